--- a/pkg/ingress/answers.go
+++ b/pkg/ingress/answers.go
@@ -19,24 +19,24 @@
 )
 
 const (
-	// shortWait is after what time a client may come back when another gateway
+	// shortRetryAfter is after what time a client may come back when another gateway
 	// can serve it.
-	shortWait = 50 * time.Millisecond
-	// startWait is after what time a client may come back to a process that
+	shortRetryAfter = 50 * time.Millisecond
+	// startupRetryAfter is after what time a client may come back to a process that
 	// knows no routes yet.
-	startWait = 1200 * time.Millisecond
+	startupRetryAfter = 1200 * time.Millisecond
 	// restartTime is how long a process that has stopped takes to serve again.
 	restartTime = time.Second
 )
 
 // refuse answers that the request has not run and won't, and when to come back.
 func (x *exchange) refuse(err error, after time.Duration) {
-	x.own(http.StatusServiceUnavailable, err, decisionlog.F("retry_after", x.retryAfter(after)))
+	x.respond(http.StatusServiceUnavailable, err, decisionlog.F("retry_after", x.setRetryAfter(after)))
 }
 
 // retryAfter tells the client when to come back: a time or up to a quarter later, so that not
 // all come at once. It returns which.
-func (x *exchange) retryAfter(after time.Duration) time.Duration {
+func (x *exchange) setRetryAfter(after time.Duration) time.Duration {
 	after += time.Duration(rand.Int64N(int64(after)/4 + 1))
 	x.w.Header().Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 2, 64))
 	return after
@@ -45,15 +45,15 @@
 // fail answers that the request failed and may have run.
 func (x *exchange) fail(err error) {
 	status := http.StatusBadGateway
-	var timed *ErrTime
+	var timed *ErrTimeout
 	if errors.As(err, &timed) {
 		status = http.StatusGatewayTimeout
 	}
-	x.own(status, err)
+	x.respond(status, err)
 }
 
 // own writes an answer of hopwell's own.
-func (x *exchange) own(status int, err error, more ...decisionlog.Field) {
+func (x *exchange) respond(status int, err error, more ...decisionlog.Field) {
 	h := x.w.Header()
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	if x.g.drain.begun() {
@@ -69,7 +69,7 @@
 	var noRoute *ErrNoRoute
 	var bad *ErrBadCall
 	var body *ErrBody
-	var unready *ErrNotReady
+	var notReady *ErrNotReady
 	var credential *workspace.ErrCredential
 	var unconfirmed *ErrUnconfirmed
 	var limited *quota.ErrQuota
@@ -79,54 +79,54 @@
 	}
 	switch {
 	case errors.As(err, &limited):
-		x.limit(limited)
+		x.respondOverQuota(limited)
 	case errors.As(err, &credential):
 		x.unauthorized(err)
 	case errors.As(err, &unconfirmed):
-		x.refuse(err, unconfirmedWait)
+		x.refuse(err, unconfirmedRetryAfter)
 	case errors.As(err, &held):
 		x.refuse(err, held.Left)
-	case errors.As(err, &unready) && !x.g.drain.begun():
-		x.refuse(err, startWait)
+	case errors.As(err, &notReady) && !x.g.drain.begun():
+		x.refuse(err, startupRetryAfter)
 	case errors.As(err, &noRoute):
-		x.own(http.StatusNotFound, err)
+		x.respond(http.StatusNotFound, err)
 	case errors.As(err, &bad):
-		x.own(http.StatusBadRequest, err)
+		x.respond(http.StatusBadRequest, err)
 	case errors.As(err, &body) && body.TooLarge:
 		x.w.Header().Set("Connection", "close")
-		x.own(http.StatusRequestEntityTooLarge, err)
+		x.respond(http.StatusRequestEntityTooLarge, err)
 	case errors.As(err, &body):
 		x.w.Header().Set("Connection", "close")
-		x.own(http.StatusRequestTimeout, err)
-	case errors.As(err, &unready):
-		x.refuse(err, x.drainWait())
+		x.respond(http.StatusRequestTimeout, err)
+	case errors.As(err, &notReady):
+		x.refuse(err, x.drainRetryAfter())
 	default:
-		x.refuse(err, shortWait)
+		x.refuse(err, shortRetryAfter)
 	}
 }
 
 // unauthorized answers that no valid key came with the request.
 func (x *exchange) unauthorized(err error) {
 	x.w.Header().Set("WWW-Authenticate", "Bearer")
-	x.own(http.StatusUnauthorized, err)
+	x.respond(http.StatusUnauthorized, err)
 }
 
-// drainWait returns when a client should come back that this process, which is stopping,
+// drainRetryAfter returns when a client should come back that this process, which is stopping,
 // refused: at once if there is another gateway for it, otherwise when this one is up again.
-func (x *exchange) drainWait() time.Duration {
+func (x *exchange) drainRetryAfter() time.Duration {
 	neighbours := x.g.options.Neighbours
 	if neighbours == nil || neighbours() > 0 {
-		return shortWait
+		return shortRetryAfter
 	}
 	up := x.g.drain.left(x.arrived) + restartTime
-	return max(shortWait, min(up, time.Duration(float64(x.call.Patience)*returnPart)))
+	return max(shortRetryAfter, min(up, time.Duration(float64(x.call.Patience)*retryAfterShare)))
 }
 
 // giveUp ends a request after tries: by its outcome, with the promise that it has
 // not run only if that is so.
 func (x *exchange) giveUp(life *request.Life, last error, after time.Duration) {
 	outcome := life.GiveUp()
-	if gone, ok := last.(errGone); ok {
+	if gone, ok := last.(errClientGone); ok {
 		x.finish(0, gone)
 		return
 	}
@@ -168,7 +168,7 @@
 
 // outcome names how a request ended for its client.
 func outcome(status int, err error) string {
-	if _, gone := err.(errGone); gone {
+	if _, gone := err.(errClientGone); gone {
 		return "client_gone"
 	}
 	var broken *ErrBroken
@@ -188,50 +188,50 @@
 // cause names why a request was not answered, for tools that read the log.
 func cause(err error) string {
 	var (
-		timed  *ErrTime
-		broken *ErrBroken
-		room   *enginepool.ErrNoRoom
-		budget *ErrBudget
-		given  *ErrGivenUp
-		limit  *quota.ErrQuota
-		key    *workspace.ErrCredential
-		old    *ErrUnconfirmed
-		held   *quarantine.ErrQuarantined
-		region *ErrNoRegion
-		domain *ErrEvacuated
-		full   *ErrLimited
-		away   *runners.ErrUnavailable
+		timeout     *ErrTimeout
+		broken      *ErrBroken
+		noRoom      *enginepool.ErrNoRoom
+		budget      *ErrRetryBudget
+		givenUp     *ErrGivenUp
+		overQuota   *quota.ErrQuota
+		credential  *workspace.ErrCredential
+		unconfirmed *ErrUnconfirmed
+		quarantined *quarantine.ErrQuarantined
+		noRegion    *ErrNoRegion
+		evacuated   *ErrEvacuated
+		limited     *ErrLimited
+		unavailable *runners.ErrUnavailable
 	)
 	switch {
-	case errors.As(err, &away):
+	case errors.As(err, &unavailable):
 		return "runners_unavailable"
-	case errors.As(err, &full):
+	case errors.As(err, &limited):
 		return "runner_limit"
-	case errors.As(err, &region):
+	case errors.As(err, &noRegion):
 		return "no_region"
-	case errors.As(err, &domain):
+	case errors.As(err, &evacuated):
 		return "evacuated"
-	case errors.As(err, &held):
+	case errors.As(err, &quarantined):
 		return "quarantined"
-	case errors.As(err, &limit):
+	case errors.As(err, &overQuota):
 		return "over_limit"
-	case errors.As(err, &key):
+	case errors.As(err, &credential):
 		return "no_key"
-	case errors.As(err, &old):
+	case errors.As(err, &unconfirmed):
 		return "key_unconfirmed"
-	case errors.Is(err, errGone{}):
+	case errors.Is(err, errClientGone{}):
 		return "client_gone"
 	case errors.As(err, &broken):
 		return "broken"
-	case errors.As(err, &timed):
+	case errors.As(err, &timeout):
 		return "timeout"
-	case errors.As(err, &given) && given.Outcome == request.NotRun && !errors.As(err, &room):
+	case errors.As(err, &givenUp) && givenUp.Outcome == request.NotRun && !errors.As(err, &noRoom):
 		return "refused"
 	case errors.As(err, &budget):
 		return "retry_budget"
-	case errors.As(err, &room):
+	case errors.As(err, &noRoom):
 		return "no_room"
-	case errors.As(err, &given) && given.Outcome != request.NotRun:
+	case errors.As(err, &givenUp) && givenUp.Outcome != request.NotRun:
 		return "answer_lost"
 	}
 	return "refused"
@@ -245,13 +245,13 @@
 }
 
 // step records a step of the request.
-func (x *exchange) step(event string, fields ...decisionlog.Field) {
+func (x *exchange) logStep(event string, fields ...decisionlog.Field) {
 	x.g.options.Log.Write(decisionlog.KindStep, event, append([]decisionlog.Field{
 		decisionlog.F("request", x.id()), decisionlog.F("at", time.Since(x.arrived))}, fields...)...)
 }
 
 // trouble records a step that went wrong.
-func (x *exchange) trouble(event string, runner string, err error, fields ...decisionlog.Field) {
+func (x *exchange) logFailedStep(event string, runner string, err error, fields ...decisionlog.Field) {
 	x.g.options.Log.Write(decisionlog.KindFailed, event, append([]decisionlog.Field{
 		decisionlog.F("request", x.id()), decisionlog.F("at", time.Since(x.arrived)), decisionlog.F("runner", runner), decisionlog.F("error", err)}, fields...)...)
 }
--- a/pkg/ingress/drain.go
+++ b/pkg/ingress/drain.go
@@ -9,9 +9,9 @@
 	// drainReserve is how long before the end of a drain short requests are refused: far
 	// more than plain runners take, so that hardly one is given up at the end.
 	drainReserve = time.Second
-	// drainAnswer is how long before the end of a drain what still runs of the requests
+	// drainResponseReserve is how long before the end of a drain what still runs of the requests
 	// that came during it is answered as timed out.
-	drainAnswer = 150 * time.Millisecond
+	drainResponseReserve = 150 * time.Millisecond
 )
 
 // drain is the planned stop: for a while everything is still served, since the balancer
@@ -46,7 +46,7 @@
 	if p == nil {
 		return limit
 	}
-	left := max(p.end.Sub(now)-drainAnswer, time.Millisecond)
+	left := max(p.end.Sub(now)-drainResponseReserve, time.Millisecond)
 	if limit <= 0 {
 		return left
 	}
--- a/pkg/ingress/drain_test.go
+++ b/pkg/ingress/drain_test.go
@@ -9,7 +9,7 @@
 
 // While streams keep a stopping process up, short requests are served until shortly before
 // its end; new streams are not.
-func TestADrainTakesShortRequestsAsLongAsStreamsRun(t *testing.T) {
+func TestDrainServesShortRequestsWhileStreamsRun(t *testing.T) {
 	g := NewWithT(t)
 	in := New(Options{})
 	in.StartDrain(2*time.Second, 8*time.Second)
@@ -30,15 +30,15 @@
 
 // A refused client comes back at once where another gateway can take it, and when this one
 // is up again where there is none.
-func TestWhoADrainRefusesComesBackWhenSomebodyServes(t *testing.T) {
+func TestDrainRetryAfterDependsOnOtherGateways(t *testing.T) {
 	g := NewWithT(t)
 	others := 1
 	in := New(Options{Neighbours: func() int { return others }})
 	in.StartDrain(0, 3*time.Second)
 	x := &exchange{g: in, arrived: time.Now(), call: &Call{Patience: 14 * time.Second}}
-	g.Expect(x.drainWait()).To(Equal(shortWait))
+	g.Expect(x.drainRetryAfter()).To(Equal(shortRetryAfter))
 	others = 0
-	g.Expect(x.drainWait()).To(BeNumerically("~", 3*time.Second+restartTime, 100*time.Millisecond))
+	g.Expect(x.drainRetryAfter()).To(BeNumerically("~", 3*time.Second+restartTime, 100*time.Millisecond))
 	x.call.Patience = 3 * time.Second
-	g.Expect(x.drainWait()).To(BeNumerically("<=", time.Second))
+	g.Expect(x.drainRetryAfter()).To(BeNumerically("<=", time.Second))
 }
--- a/pkg/ingress/errors.go
+++ b/pkg/ingress/errors.go
@@ -76,16 +76,16 @@
 // Error implements error.
 func (e *ErrBusy) Error() string { return fmt.Sprintf("busy: what=%s limit=%d", e.What, e.Limit) }
 
-// ErrTime reports that a request's time was over.
-type ErrTime struct {
+// ErrTimeout reports that a request's time was over.
+type ErrTimeout struct {
 	After time.Duration
-	// Whose is "client", "route" or "drain".
-	Whose string
+	// SetBy is "client", "route" or "drain".
+	SetBy string
 }
 
 // Error implements error.
-func (e *ErrTime) Error() string {
-	return fmt.Sprintf("out of time: after=%s whose=%s", e.After, e.Whose)
+func (e *ErrTimeout) Error() string {
+	return fmt.Sprintf("out of time: after=%s whose=%s", e.After, e.SetBy)
 }
 
 // ErrGivenUp reports that a request was tried and could not be answered.
@@ -116,13 +116,13 @@
 	return fmt.Sprintf("unusable answer: runner=%s status=%d why=%s", e.Runner, e.Status, e.Why)
 }
 
-// ErrBudget reports that no further send is allowed now.
-type ErrBudget struct {
+// ErrRetryBudget reports that no further send is allowed now.
+type ErrRetryBudget struct {
 	Service string
 }
 
 // Error implements error.
-func (e *ErrBudget) Error() string { return "retry budget spent: service=" + e.Service }
+func (e *ErrRetryBudget) Error() string { return "retry budget spent: service=" + e.Service }
 
 // ErrLimited reports that all runners that could serve a request name limits, and take no more now.
 type ErrLimited struct {
@@ -165,13 +165,13 @@
 // Unwrap returns the cause.
 func (e *ErrSilent) Unwrap() error { return e.Err }
 
-// ErrLeft reports that a runner stopped to take work after room was reserved on it.
-type ErrLeft struct {
+// ErrRunnerLeft reports that a runner stopped to take work after room was reserved on it.
+type ErrRunnerLeft struct {
 	Runner string
 }
 
 // Error implements error.
-func (e *ErrLeft) Error() string { return "runner takes no more work: runner=" + e.Runner }
+func (e *ErrRunnerLeft) Error() string { return "runner takes no more work: runner=" + e.Runner }
 
 // notAdmitted reports whether a call was not made because its runner leaves, or wants a pause.
 func notAdmitted(err error) bool {
@@ -180,8 +180,8 @@
 	return errors.As(err, &leaving) || errors.As(err, &paused)
 }
 
-// errGone reports that the client left.
-type errGone struct{}
+// errClientGone reports that the client left.
+type errClientGone struct{}
 
 // Error implements error.
-func (errGone) Error() string { return "client gone" }
+func (errClientGone) Error() string { return "client gone" }
--- a/pkg/ingress/exchange.go
+++ b/pkg/ingress/exchange.go
@@ -38,13 +38,13 @@
 	life *request.Life
 	// sends counts the sends to runners, prefills not.
 	sends int
-	// heldBytes is what its body and its answer take of the memory for what is held for
+	// bufferedBytes is what its body and its answer take of the memory for what is held for
 	// others.
-	heldBytes int64
-	rank      enginepool.Rank
-	ctx       context.Context
+	bufferedBytes int64
+	rank          enginepool.Rank
+	ctx           context.Context
 	// asked is the digest of what the request asks, once it was needed.
-	asked *quarantine.Digest
+	cachedDigest *quarantine.Digest
 	// fields are what the final line tells besides the outcome.
 	fields []decisionlog.Field
 }
@@ -75,7 +75,7 @@
 	if err := x.readBody(r, table.Config.Limits.BodyBytes); err != nil {
 		return err
 	}
-	return x.quarantined()
+	return x.checkQuarantine()
 }
 
 // readBody reads the body whole, since it may be sent more than once.
@@ -90,7 +90,7 @@
 	if share < 0 {
 		share = 64 << 10
 	}
-	if !x.takeMemory(share) {
+	if !x.reserveMemory(share) {
 		return &ErrBusy{What: "bytes held for clients and runners", Limit: int(x.g.options.MaxHeld)}
 	}
 	allowed := x.call.Patience
@@ -98,7 +98,7 @@
 		allowed = x.route.Timeout
 	}
 	if allowed > 0 {
-		defer x.readWithin(allowed)()
+		defer x.limitBodyTime(allowed)()
 	}
 	var err error
 	if r.ContentLength > 0 {
@@ -113,24 +113,24 @@
 	if int64(len(x.call.Body)) > limit {
 		return &ErrBody{Limit: limit, TooLarge: true}
 	}
-	x.takeMemory(int64(len(x.call.Body)) - share)
+	x.reserveMemory(int64(len(x.call.Body)) - share)
 	return nil
 }
 
-// takeMemory takes memory for what is held for a client or a runner. Where there is none left, new
+// reserveMemory takes memory for what is held for a client or a runner. Where there is none left, new
 // bodies are refused first: nothing was done for them yet, and their clients may come back.
-func (x *exchange) takeMemory(n int64) bool {
-	if x.g.held.Add(n) > x.g.options.MaxHeld && n > 0 {
-		x.g.held.Add(-n)
+func (x *exchange) reserveMemory(n int64) bool {
+	if x.g.bufferedBytes.Add(n) > x.g.options.MaxHeld && n > 0 {
+		x.g.bufferedBytes.Add(-n)
 		return false
 	}
-	x.heldBytes += n
+	x.bufferedBytes += n
 	return true
 }
 
 // bound gives the request's context its end: that of the client's patience or of
 // the route's time, whichever is first.
-func (x *exchange) bound(ctx context.Context) (context.Context, context.CancelFunc) {
+func (x *exchange) withDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
 	limit, whose := x.route.Timeout, "route"
 	if x.call.Patience > 0 && (limit <= 0 || x.call.Patience < limit) {
 		limit, whose = x.call.Patience, "client"
@@ -141,11 +141,11 @@
 	if limit <= 0 {
 		return context.WithCancel(ctx)
 	}
-	return context.WithDeadlineCause(ctx, x.arrived.Add(limit), &ErrTime{After: limit, Whose: whose})
+	return context.WithDeadlineCause(ctx, x.arrived.Add(limit), &ErrTimeout{After: limit, SetBy: whose})
 }
 
 // left returns the time that the request still has.
-func (x *exchange) left() time.Duration {
+func (x *exchange) timeLeft() time.Duration {
 	end, ok := x.ctx.Deadline()
 	if !ok {
 		return 0
@@ -154,13 +154,13 @@
 }
 
 // over returns why the request must end now, nil if it need not.
-func (x *exchange) over() error {
+func (x *exchange) endReason() error {
 	if x.ctx.Err() == nil {
 		return nil
 	}
-	var timed *ErrTime
+	var timed *ErrTimeout
 	if errors.As(context.Cause(x.ctx), &timed) {
 		return timed
 	}
-	return errGone{}
+	return errClientGone{}
 }
--- a/pkg/ingress/forward.go
+++ b/pkg/ingress/forward.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	// maxHeld bounds the answers that are held back until they are whole, in
+	// maxBuffered bounds the answers that are held back until they are whole, in
 	// bytes; longer ones are passed on as they come, and others while memory is short.
-	maxHeld = 256 << 10
+	maxBuffered = 256 << 10
 	// maxRefused bounds the sends of a request that runners turned away.
 	maxRefused = 3
-	// serviceWait is when a client may come back whom no plain runner took.
-	serviceWait = 300 * time.Millisecond
+	// minPlainRetryAfter is when a client may come back whom no plain runner took.
+	minPlainRetryAfter = 300 * time.Millisecond
 )
 
-// verdict is what became of one send.
-type verdict int
+// sendResult is what became of one send.
+type sendResult int
 
 const (
-	// answered: the client has its answer, or has a part of one.
-	answered verdict = iota
+	// responded: the client has its answer, or has a part of one.
+	responded sendResult = iota
 	// notRun: the runner has not run the request.
 	notRun
 	// mayHaveRun: it has, or it may have.
@@ -46,14 +46,14 @@
 	var last error
 	runs, refusals := 0, 0
 	for runs < max(1, x.route.MaxAttempts) && refusals <= maxRefused {
-		if last = firstOf(x.over(), last); x.over() != nil {
+		if last = firstError(x.endReason(), last); x.endReason() != nil {
 			break
 		}
 		n, err := life.Begin()
 		if err != nil {
 			break
 		}
-		runner, err := x.claim(avoid)
+		runner, err := x.claimPlain(avoid)
 		if err != nil {
 			if last == nil || roomAfter(err) > 0 {
 				last = err
@@ -62,13 +62,13 @@
 		}
 		if x.sends > 0 && !budget.Spend(time.Now()) {
 			runner.Release(x.call.ID)
-			last = &ErrBudget{Service: x.service}
+			last = &ErrRetryBudget{Service: x.service}
 			break
 		}
 		final := runs+1 >= x.route.MaxAttempts || !x.route.Repeatable()
-		var v verdict
+		var v sendResult
 		v, err = x.sendPlain(life, n, runner, final)
-		if v == answered {
+		if v == responded {
 			return
 		}
 		avoid[runner.ID] = true
@@ -82,14 +82,14 @@
 		}
 		runs++
 	}
-	x.giveUp(life, firstOf(x.over(), last), comeBackToService(last))
+	x.giveUp(life, firstError(x.endReason(), last), plainRetryAfter(last))
 }
 
-// comeBackToService returns the Retry-After for a request that no plain runner accepted.
-func comeBackToService(last error) time.Duration { return max(roomAfter(last), serviceWait) }
+// plainRetryAfter returns the Retry-After for a request that no plain runner accepted.
+func plainRetryAfter(last error) time.Duration { return max(roomAfter(last), minPlainRetryAfter) }
 
-// firstOf returns the first error that is one.
-func firstOf(errs ...error) error {
+// firstError returns the first error that is one.
+func firstError(errs ...error) error {
 	for _, err := range errs {
 		if err != nil {
 			return err
@@ -98,9 +98,9 @@
 	return nil
 }
 
-// sendPlain makes one try. A failure that the runner itself answered goes back
+// sendPlain makes one try. A failure that the runner itself responded goes back
 // if the try is the final one.
-func (x *exchange) sendPlain(life *request.Life, n int, runner *runners.State, final bool) (verdict, error) {
+func (x *exchange) sendPlain(life *request.Life, n int, runner *runners.State, final bool) (sendResult, error) {
 	began := time.Now()
 	defer runner.Release(x.call.ID)
 	if err := x.reconfirm(); err != nil {
@@ -112,7 +112,7 @@
 	runner.Enter()
 	defer runner.Leave()
 	x.sends++
-	x.noteLimit(runner)
+	x.logRunnerLimit(runner)
 	runner.Sent(x.call.ID, time.Now())
 	ctx, cancel := context.WithCancel(x.ctx)
 	defer cancel()
@@ -130,7 +130,7 @@
 		runner.Failed(time.Now())
 		if !final {
 			discard(answer)
-			x.trouble("answer_failed", runner.ID, &ErrAnswer{Runner: runner.ID, Status: answer.Status, Why: "runner failed"})
+			x.logFailedStep("answer_failed", runner.ID, &ErrAnswer{Runner: runner.ID, Status: answer.Status, Why: "runner failed"})
 			return mayHaveRun, &ErrAnswer{Runner: runner.ID, Status: answer.Status, Why: "runner failed"}
 		}
 	}
@@ -138,17 +138,17 @@
 		runner.Failed(time.Now())
 		return mayHaveRun, &ErrAnswer{Runner: runner.ID, Status: answer.Status, Why: "not signed, or encoded"}
 	}
-	v, err := x.passOn(life, n, answer, runner)
+	v, err := x.forwardResponse(life, n, answer, runner)
 	if err == nil && answer.Status < http.StatusInternalServerError {
 		runner.Answered(time.Since(began))
 	}
 	return v, err
 }
 
-// noteLimit records that the request is sent to a runner that names a limit.
-func (x *exchange) noteLimit(runner *runners.State) {
+// logRunnerLimit records that the request is sent to a runner that names a limit.
+func (x *exchange) logRunnerLimit(runner *runners.State) {
 	if limit, ok := runner.Limit(time.Now()); ok {
-		x.step("sent_within_limit", decisionlog.F("runner", runner.ID), decisionlog.F("limit", limit.PerSecond), decisionlog.F("named_ago", limit.NamedAgo),
+		x.logStep("sent_within_limit", decisionlog.F("runner", runner.ID), decisionlog.F("limit", limit.PerSecond), decisionlog.F("named_ago", limit.NamedAgo),
 			decisionlog.F("told_by", limit.From), decisionlog.F("left", limit.Level), decisionlog.F("users", limit.Users), decisionlog.F("heard", limit.Heard))
 	}
 }
@@ -162,17 +162,17 @@
 func discard(a *Answer) { _, _ = io.CopyN(io.Discard, a.Body, maxDiscarded) }
 
 // sendFailed records a send without an answer.
-func (x *exchange) sendFailed(life *request.Life, n int, runner *runners.State, err error) (verdict, error) {
-	if gone := x.over(); gone != nil {
+func (x *exchange) sendFailed(life *request.Life, n int, runner *runners.State, err error) (sendResult, error) {
+	if gone := x.endReason(); gone != nil {
 		return mayHaveRun, gone
 	}
 	if notAdmitted(err) {
 		life.Withdraw(n)
 		x.sends--
-		x.step("not_sent", decisionlog.F("runner", runner.ID), decisionlog.F("error", err))
+		x.logStep("not_sent", decisionlog.F("runner", runner.ID), decisionlog.F("error", err))
 		return notRun, err
 	}
-	x.trouble("send_failed", runner.ID, err, decisionlog.F("address", runner.Address), decisionlog.F("asked", x.digest()))
+	x.logFailedStep("send_failed", runner.ID, err, decisionlog.F("address", runner.Address), decisionlog.F("asked", x.digest()))
 	var dial *upstream.ErrDial
 	if errors.As(err, &dial) {
 		life.Withdraw(n)
@@ -181,8 +181,8 @@
 		return notRun, err
 	}
 	runner.Failed(time.Now())
-	if answerMissing(err) {
-		x.broke(runner, true, err)
+	if noResponse(err) {
+		x.reportBrokenRun(runner, true, err)
 	}
 	return mayHaveRun, err
 }
@@ -195,18 +195,18 @@
 		runner.Declined(time.Now())
 	}
 	x.g.metrics.declined(a.Status)
-	x.step("declined", decisionlog.F("runner", runner.ID), decisionlog.F("status", a.Status), decisionlog.F("elsewhere", a.Elsewhere))
+	x.logStep("declined", decisionlog.F("runner", runner.ID), decisionlog.F("status", a.Status), decisionlog.F("elsewhere", a.Elsewhere))
 }
 
-// passOn gives an answer to the client: whole if it is short, as it comes if it
+// forwardResponse gives an answer to the client: whole if it is short, as it comes if it
 // is long.
-func (x *exchange) passOn(life *request.Life, n int, a *Answer, runner *runners.State) (verdict, error) {
-	held, whole, err := x.hold(a.Body)
+func (x *exchange) forwardResponse(life *request.Life, n int, a *Answer, runner *runners.State) (sendResult, error) {
+	held, whole, err := x.bufferBody(a.Body)
 	if err != nil {
 		runner.Failed(time.Now())
-		x.trouble("answer_broken", runner.ID, err)
-		x.broke(runner, false, err)
-		return mayHaveRun, firstOf(x.over(), &ErrAnswer{Runner: runner.ID, Status: a.Status, Why: "broken off: " + err.Error()})
+		x.logFailedStep("answer_broken", runner.ID, err)
+		x.reportBrokenRun(runner, false, err)
+		return mayHaveRun, firstError(x.endReason(), &ErrAnswer{Runner: runner.ID, Status: a.Status, Why: "broken off: " + err.Error()})
 	}
 	x.copyHeader(a)
 	if whole {
@@ -221,13 +221,13 @@
 		x.finish(a.Status, &ErrBroken{Runner: runner.ID, Err: err})
 		panic(http.ErrAbortHandler)
 	}
-	x.end(life, n)
-	x.endedWell()
+	x.recordEnd(life, n)
+	x.recordCompleted()
 	x.finish(a.Status, nil, decisionlog.F("runner", runner.ID))
-	return answered, nil
+	return responded, nil
 }
 
 // end records the request's whole answer.
-func (x *exchange) end(life *request.Life, n int) {
+func (x *exchange) recordEnd(life *request.Life, n int) {
 	_ = life.End(n, 0)
 }
--- a/pkg/ingress/forward_test.go
+++ b/pkg/ingress/forward_test.go
@@ -13,7 +13,7 @@
 
 // plain returns an ingress that knows two plain runners, "a" healthy and "b" at
 // rest for its failures.
-func plain() *Ingress {
+func newPlainIngress() *Ingress {
 	g := New(Options{Domain: "d"})
 	for _, id := range []string{"a", "b"} {
 		g.Directory.Put(runners.Runner{ID: id, Service: "s", Domain: "d"}, time.Now())
@@ -27,33 +27,33 @@
 }
 
 // chosen returns the runner that a request gets, nil for none.
-func chosen(g *Ingress, w plainWork) *runners.State {
-	runner, _ := g.choose(w)
+func chosen(g *Ingress, w plainRequest) *runners.State {
+	runner, _ := g.choosePlain(w)
 	return runner
 }
 
 // A repeatable request whose only healthy runner failed is tried at one that
 // rests, rather than given up: its answer is lost either way.
-func TestARestingRunnerIsTheLastChoiceOfWhatMayBeRepeated(t *testing.T) {
+func TestRepeatableRequestFallsBackToUnreachableRunner(t *testing.T) {
 	g := NewWithT(t)
-	in := plain()
-	g.Expect(chosen(in, plainWork{service: "s", repeatable: true}).ID).To(Equal("a"))
-	g.Expect(chosen(in, plainWork{service: "s", repeatable: true, avoid: map[string]bool{"a": true}}).ID).To(Equal("b"))
-	g.Expect(chosen(in, plainWork{service: "s", repeatable: true, avoid: map[string]bool{"a": true, "b": true}})).To(BeNil())
+	in := newPlainIngress()
+	g.Expect(chosen(in, plainRequest{service: "s", repeatable: true}).ID).To(Equal("a"))
+	g.Expect(chosen(in, plainRequest{service: "s", repeatable: true, avoid: map[string]bool{"a": true}}).ID).To(Equal("b"))
+	g.Expect(chosen(in, plainRequest{service: "s", repeatable: true, avoid: map[string]bool{"a": true, "b": true}})).To(BeNil())
 }
 
 // What must not be repeated is not risked there: it has not run yet, and its
 // client may come back.
-func TestARestingRunnerIsNoChoiceForWhatMustNotBeRepeated(t *testing.T) {
+func TestNonRepeatableRequestSkipsUnreachableRunner(t *testing.T) {
 	g := NewWithT(t)
-	in := plain()
-	g.Expect(chosen(in, plainWork{service: "s"}).ID).To(Equal("a"))
-	g.Expect(chosen(in, plainWork{service: "s", avoid: map[string]bool{"a": true}})).To(BeNil())
+	in := newPlainIngress()
+	g.Expect(chosen(in, plainRequest{service: "s"}).ID).To(Equal("a"))
+	g.Expect(chosen(in, plainRequest{service: "s", avoid: map[string]bool{"a": true}})).To(BeNil())
 }
 
 // A request that must not be repeated is lost where its answer is: a runner that fails
 // some answers gets it only when the others have far more work.
-func TestWhatMustNotBeRepeatedAvoidsRunnersThatFail(t *testing.T) {
+func TestNonRepeatableRequestAvoidsFailingRunner(t *testing.T) {
 	g := NewWithT(t)
 	in := New(Options{})
 	for _, id := range []string{"good", "bad"} {
@@ -69,16 +69,16 @@
 	for range 2 {
 		good.Enter()
 	}
-	g.Expect(chosen(in, plainWork{service: "s", repeatable: true}).ID).To(Equal("bad"))
-	g.Expect(chosen(in, plainWork{service: "s"}).ID).To(Equal("good"))
+	g.Expect(chosen(in, plainRequest{service: "s", repeatable: true}).ID).To(Equal("bad"))
+	g.Expect(chosen(in, plainRequest{service: "s"}).ID).To(Equal("good"))
 	for range 10 {
 		good.Enter()
 	}
-	g.Expect(chosen(in, plainWork{service: "s"}).ID).To(Equal("bad"), "the other can't carry it all")
+	g.Expect(chosen(in, plainRequest{service: "s"}).ID).To(Equal("bad"), "the other can't carry it all")
 }
 
 // Guards against gateways that together open more connections to plain runners than these take.
-func TestManyGatewaysShareOutTheRunnersConnections(t *testing.T) {
+func TestGatewaySubsetsBoundConnectionsPerRunner(t *testing.T) {
 	g := NewWithT(t)
 	const most, gateways = 250, 300
 	users := map[string]int{}
@@ -90,15 +90,15 @@
 		for _, id := range []string{"a", "b", "c"} {
 			in.Directory.Put(runners.Runner{ID: id, Service: "s"}, time.Now())
 		}
-		first := chosen(in, plainWork{service: "s"})
-		g.Expect(chosen(in, plainWork{service: "s", repeatable: true})).To(Equal(first))
+		first := chosen(in, plainRequest{service: "s"})
+		g.Expect(chosen(in, plainRequest{service: "s", repeatable: true})).To(Equal(first))
 		users[first.ID]++
 		// What it uses has failed the request, or is gone: the others are there still.
-		g.Expect(chosen(in, plainWork{service: "s", avoid: map[string]bool{first.ID: true}})).NotTo(BeNil())
+		g.Expect(chosen(in, plainRequest{service: "s", avoid: map[string]bool{first.ID: true}})).NotTo(BeNil())
 	}
 	for _, n := range users {
 		g.Expect(2*n).To(BeNumerically("<", most), "two connections of each gateway")
 	}
 	few := New(Options{Name: "g", Gateways: 30})
-	g.Expect(few.used("s", 3)).To(Equal(3))
+	g.Expect(few.subsetSize("s", 3)).To(Equal(3))
 }
--- a/pkg/ingress/generate.go
+++ b/pkg/ingress/generate.go
@@ -17,45 +17,45 @@
 )
 
 const (
-	// freshPart is the part of its latency target that a new request may wait
+	// newRequestWaitShare is the part of its latency target that a new request may wait
 	// for room before it is refused with a time to come back.
-	freshPart = 0.22
-	// leastPatience and the two factors give how long clients wait for a
+	newRequestWaitShare = 0.22
+	// minClientTimeout and the two factors give how long clients wait for a
 	// stream's first event: the longest of the three.
-	leastPatience = 2 * time.Second
-	latencyFactor = 4
-	gapFactor     = 8
-	// serveTime is what is left of that for the prefill and the first event.
-	serveTime = 500 * time.Millisecond
-	// holdCall bounds a call that reserves memory.
-	holdCall = 400 * time.Millisecond
-	// A prefill whose answer has not come after prefillLate and prefillFactor
+	minClientTimeout = 2 * time.Second
+	latencyFactor    = 4
+	gapFactor        = 8
+	// serveReserve is what is left of that for the prefill and the first event.
+	serveReserve = 500 * time.Millisecond
+	// holdTimeout bounds a call that reserves memory.
+	holdTimeout = 400 * time.Millisecond
+	// A prefill whose answer has not come after prefillSlack and prefillFactor
 	// times the expected time is taken for lost; where the runner has failed
-	// next to nothing lately, after trustedLate instead.
-	prefillLate   = 300 * time.Millisecond
-	trustedLate   = 1000 * time.Millisecond
-	prefillFactor = 2
-	// trustBelow is the failure rate below which a runner is trusted.
-	trustBelow = 0.04
-	// holdAhead is how many tokens of the answer are reserved with the prompt:
+	// next to nothing lately, after trustedPrefillSlack instead.
+	prefillSlack        = 300 * time.Millisecond
+	trustedPrefillSlack = 1000 * time.Millisecond
+	prefillFactor       = 2
+	// trustedFailureRate is the failure rate below which a runner is trusted.
+	trustedFailureRate = 0.04
+	// holdOutputTokens is how many tokens of the answer are reserved with the prompt:
 	// the rest is reserved in the pool's model alone.
-	holdAhead = 256
-	// overflowAfter is the expected time of a prefill above which the decode
+	holdOutputTokens = 256
+	// localPrefillAfter is the expected time of a prefill above which the decode
 	// runner reads the prompt itself.
-	overflowAfter = 900 * time.Millisecond
-	// localAbove is the failure rate of the best prefill runner above which the decode
+	localPrefillAfter = 900 * time.Millisecond
+	// localPrefillFailureRate is the failure rate of the best prefill runner above which the decode
 	// runner reads the prompt itself: one answer then may be lost instead of two, and a
 	// lost prefill costs a second.
-	localAbove = 0.1
-	// freeCall bounds the giving back of what is not needed.
-	freeCall = time.Second
-	// defaultOut is expected of answers whose length nobody guesses, in tokens.
-	defaultOut = 512
-	// shortestReturn and longestReturn are when refused requests come back, and
-	// returnPart bounds it by the time that the client has left.
-	shortestReturn = 3000 * time.Millisecond
-	longestReturn  = 4600 * time.Millisecond
-	returnPart     = 0.33
+	localPrefillFailureRate = 0.1
+	// releaseTimeout bounds the giving back of what is not needed.
+	releaseTimeout = time.Second
+	// defaultOutputTokens is expected of answers whose length nobody guesses, in tokens.
+	defaultOutputTokens = 512
+	// minStreamRetryAfter and maxStreamRetryAfter are when refused requests come back, and
+	// retryAfterShare bounds it by the time that the client has left.
+	minStreamRetryAfter = 3000 * time.Millisecond
+	maxStreamRetryAfter = 4600 * time.Millisecond
+	retryAfterShare     = 0.33
 	// maxPrefills bounds the prefills of one try.
 	maxPrefills = 2
 )
@@ -68,17 +68,17 @@
 	life   *request.Life
 	engine *routetable.Engine
 	job    enginepool.Job
-	// unread are the prefill runners whose work was of no use.
-	unread map[string]bool
+	// failedPrefill are the prefill runners whose work was of no use.
+	failedPrefill map[string]bool
 	// charged is set when the last prefill was turned away and charged for.
 	charged bool
 	// keeper is the runner that keeps most of the prompt in its KV cache, and kept how
 	// many tokens, when a client resumes a stream; nil for none.
-	keeper *runners.State
-	kept   int
-	// unfit are the decode runners that failed the request.
-	unfit map[string]bool
-	relay relay
+	cacheHolder  *runners.State
+	cachedTokens int
+	// failedDecode are the decode runners that failed the request.
+	failedDecode map[string]bool
+	relay        relay
 }
 
 // generate serves a request by engines: room for the decode first, then the
@@ -91,47 +91,47 @@
 	s := &generation{
 		exchange: x, pool: x.g.pool(x.service), budget: x.g.budget(x.service),
 		life: request.NewLife(x.call.ID, x.route.Repeatable()), engine: engine,
-		unread: map[string]bool{}, unfit: map[string]bool{},
+		failedPrefill: map[string]bool{}, failedDecode: map[string]bool{},
 	}
 	x.life = s.life
 	s.relay = relay{s: s, last: x.call.After}
-	s.job = enginepool.Job{ID: x.call.ID, Prompt: x.call.Prompt, Length: s.pool.Lengths.Estimate(s.guess(), x.call.MaxOut), Priority: x.priority(), Allows: x.allowing()}
-	s.fields = append(s.fields, decisionlog.F("gap", s.route.Gap), decisionlog.F("prompt", s.job.Prompt), decisionlog.F("guess", s.guess()), decisionlog.F("expected", s.job.Length.Expected(0)))
+	s.job = enginepool.Job{ID: x.call.ID, Prompt: x.call.Prompt, Length: s.pool.Lengths.Estimate(s.lengthHint(), x.call.MaxOut), Priority: x.priority(), Allows: x.domainFilter()}
+	s.fields = append(s.fields, decisionlog.F("gap", s.route.Gap), decisionlog.F("prompt", s.job.Prompt), decisionlog.F("guess", s.lengthHint()), decisionlog.F("expected", s.job.Length.Expected(0)))
 	if x.call.After != "" {
 		s.fields = append(s.fields, decisionlog.F("resumed_by", "client"))
-		s.findKept()
+		s.findCachedPrompt()
 	}
 	s.budget.Request(x.arrived)
 	s.run()
 }
 
-// findKept asks the engines which of them keeps the prompt of a stream that the client
+// findCachedPrompt asks the engines which of them keeps the prompt of a stream that the client
 // resumes, so that it need not be computed again.
-func (s *generation) findKept() {
+func (s *generation) findCachedPrompt() {
 	present := slices.DeleteFunc(s.g.Directory.Present(s.service, time.Now()), func(r *runners.State) bool { return !s.allows(r.Domain) })
-	s.keeper, s.kept = s.g.kept.find(s.ctx, present, s.call.PromptID)
-	if s.keeper != nil {
-		s.fields = append(s.fields, decisionlog.F("kept_at", s.keeper.ID), decisionlog.F("kept", s.kept))
+	s.cacheHolder, s.cachedTokens = s.g.promptCaches.find(s.ctx, present, s.call.PromptID)
+	if s.cacheHolder != nil {
+		s.fields = append(s.fields, decisionlog.F("kept_at", s.cacheHolder.ID), decisionlog.F("kept", s.cachedTokens))
 	}
 }
 
 // guess returns the client's guess of the answer's length, in tokens.
-func (s *generation) guess() int {
+func (s *generation) lengthHint() int {
 	if s.call.Hint > 0 {
 		return s.call.Hint
 	}
 	if s.call.MaxOut > 0 {
-		return min(defaultOut, s.call.MaxOut)
+		return min(defaultOutputTokens, s.call.MaxOut)
 	}
-	return defaultOut
+	return defaultOutputTokens
 }
 
-// run makes tries until the request is answered or given up.
+// run makes tries until the request is responded or given up.
 func (s *generation) run() {
 	var last error
 	runs, refusals := 0, 0
 	for runs < max(1, s.route.MaxAttempts) && refusals <= maxRefused {
-		if s.over() != nil {
+		if s.endReason() != nil {
 			break
 		}
 		n, err := s.life.Begin()
@@ -139,11 +139,11 @@
 			break
 		}
 		if s.sends > 0 && !s.budget.Spend(time.Now()) {
-			last = &ErrBudget{Service: s.service}
+			last = &ErrRetryBudget{Service: s.service}
 			break
 		}
 		v, err := s.try(n)
-		if v == answered {
+		if v == responded {
 			return
 		}
 		last = err
@@ -159,12 +159,12 @@
 		}
 		s.rank = enginepool.Begun
 	}
-	s.end(firstOf(s.over(), last))
+	s.abandon(firstError(s.endReason(), last))
 }
 
 // end gives the request up.
-func (s *generation) end(last error) {
-	if gone, ok := last.(errGone); ok {
+func (s *generation) abandon(last error) {
+	if gone, ok := last.(errClientGone); ok {
 		s.finish(0, gone)
 		return
 	}
@@ -173,25 +173,25 @@
 		s.g.metrics.broken.Inc()
 		panic(http.ErrAbortHandler)
 	}
-	s.giveUp(s.life, last, s.comeBack(last))
+	s.giveUp(s.life, last, s.streamRetryAfter(last))
 }
 
-// comeBack returns when a refused client should ask again: after the first pause where all runners have
+// streamRetryAfter returns when a refused client should ask again: after the first pause where all runners have
 // one, otherwise not all at once, and well before its time is over.
-func (s *generation) comeBack(last error) time.Duration {
+func (s *generation) streamRetryAfter(last error) time.Duration {
 	if after := roomAfter(last); after > 0 {
-		return max(after, shortWait)
+		return max(after, shortRetryAfter)
 	}
-	longest := min(longestReturn, time.Duration(float64(s.left())*returnPart))
-	if longest <= shortestReturn {
-		return max(longest/2, shortWait)
+	longest := min(maxStreamRetryAfter, time.Duration(float64(s.timeLeft())*retryAfterShare))
+	if longest <= minStreamRetryAfter {
+		return max(longest/2, shortRetryAfter)
 	}
-	return shortestReturn + time.Duration(rand.Int64N(int64(longest-shortestReturn)))
+	return minStreamRetryAfter + time.Duration(rand.Int64N(int64(longest-minStreamRetryAfter)))
 }
 
 // try makes one try: room, prefill, decode.
-func (s *generation) try(n int) (verdict, error) {
-	if err := s.quarantined(); err != nil {
+func (s *generation) try(n int) (sendResult, error) {
+	if err := s.checkQuarantine(); err != nil {
 		return notRun, err
 	}
 	room, err := s.reserve()
@@ -200,28 +200,28 @@
 	}
 	defer func() { s.pool.End(room.runner.ID, s.job.ID, time.Now()) }()
 	var source Source
-	var reader *runners.State
+	var prefillRunner *runners.State
 	if !s.relay.begun && s.call.After == "" {
-		source, reader, err = s.prefill(room)
+		source, prefillRunner, err = s.prefill(room)
 	}
 	if err != nil {
-		s.drop(room)
+		s.dropHold(room)
 		return notRun, err
 	}
-	return s.decode(n, room, source, reader)
+	return s.decode(n, room, source, prefillRunner)
 }
 
 // decode has the answer made and passes it on.
-func (s *generation) decode(n int, room *place, source Source, reader *runners.State) (verdict, error) {
+func (s *generation) decode(n int, room *reservation, source Source, prefillRunner *runners.State) (sendResult, error) {
 	runner := room.runner
 	if !runner.Usable(time.Now()) {
-		s.free(reader, source, "runner_left")
-		s.unfit[runner.ID] = true
-		return notRun, &ErrLeft{Runner: runner.ID}
+		s.releaseKV(prefillRunner, source, "runner_left")
+		s.failedDecode[runner.ID] = true
+		return notRun, &ErrRunnerLeft{Runner: runner.ID}
 	}
 	if err := s.reconfirm(); err != nil {
-		s.free(reader, source, "key_not_confirmed")
-		s.drop(room)
+		s.releaseKV(prefillRunner, source, "key_not_confirmed")
+		s.dropHold(room)
 		return notRun, err
 	}
 	if err := s.life.Send(n); err != nil {
@@ -229,72 +229,72 @@
 	}
 	order := s.order()
 	order.Hold = room.hold
-	if reader != nil {
-		order.Source = s.g.options.Engines.Fetch(reader, source)
-	} else if s.keeper != nil && s.keeper.ID != runner.ID {
-		order.CacheFrom = s.keeper
+	if prefillRunner != nil {
+		order.Source = s.g.options.Engines.Fetch(prefillRunner, source)
+	} else if s.cacheHolder != nil && s.cacheHolder.ID != runner.ID {
+		order.CacheFrom = s.cacheHolder
 	}
 	if s.relay.begun {
 		order.After = s.relay.last
 		s.g.metrics.resumed.Inc()
 		s.fields = append(s.fields, decisionlog.F("resumed_by", "gateway"))
 	}
-	s.step("decode_begin", decisionlog.F("service", s.service), decisionlog.F("runner", runner.ID))
-	s.readAnew(runner)
+	s.logStep("decode_begin", decisionlog.F("service", s.service), decisionlog.F("runner", runner.ID))
+	s.recordRecomputed(runner)
 	s.sends++
-	s.noteLimit(runner)
+	s.logRunnerLimit(runner)
 	runner.Sent(s.job.ID, time.Now())
 	ctx, cancel := context.WithCancel(s.ctx)
 	defer cancel()
 	answer, err := s.g.options.Engines.Send(ctx, runner, s.call, order)
 	if err != nil {
-		s.free(reader, source, "decode_failed")
-		s.unfit[runner.ID] = true
+		s.releaseKV(prefillRunner, source, "decode_failed")
+		s.failedDecode[runner.ID] = true
 		return s.sendFailed(s.life, n, runner, err)
 	}
 	defer answer.Body.Close()
 	if answer.NotRun || answer.Elsewhere {
 		s.life.Withdraw(n)
 		s.declined(runner, answer)
-		s.avoidRefusing(runner)
-		s.useless(reader, source)
+		s.avoidDeclining(runner)
+		s.recordLostCache(prefillRunner, source)
 		return notRun, &ErrDeclined{Runner: runner.ID, Status: answer.Status, Elsewhere: answer.Elsewhere}
 	}
-	if reader != nil {
-		reader.Succeeded(time.Now())
+	if prefillRunner != nil {
+		prefillRunner.Succeeded(time.Now())
 	}
-	return s.take(n, runner, answer)
+	return s.handleResponse(n, runner, answer)
 }
 
-// avoidRefusing keeps the request from a runner that turned it away, as long as another is left.
-func (s *generation) avoidRefusing(runner *runners.State) {
+// avoidDeclining keeps the request from a runner that turned it away, as long as another is left.
+func (s *generation) avoidDeclining(runner *runners.State) {
 	now := time.Now()
 	for _, other := range s.g.Directory.Stage(s.service, runners.Decode) {
-		if other.ID != runner.ID && !s.unfit[other.ID] && s.allows(other.Domain) && other.Usable(now) {
-			s.unfit[runner.ID] = true
+		if other.ID != runner.ID && !s.failedDecode[other.ID] && s.allows(other.Domain) && other.Usable(now) {
+			s.failedDecode[runner.ID] = true
 			return
 		}
 	}
 }
 
-// readAnew records a prompt that the decode runner has to read although a runner read
+// recordRecomputed records a prompt that the decode runner has to read although a runner read
 // it before: that of a resumed stream.
-func (s *generation) readAnew(runner *runners.State) {
+func (s *generation) recordRecomputed(runner *runners.State) {
 	switch {
 	case s.relay.begun:
-		s.wasted("resumed_by_gateway", runner, s.job.Prompt)
+		s.recordWasted("resumed_by_gateway", runner, s.job.Prompt)
 	case s.call.After != "":
-		s.wasted("resumed_by_client", runner, max(0, s.job.Prompt-s.kept))
+		s.recordWasted("resumed_by_client", runner, max(0, s.job.Prompt-s.cachedTokens))
 	}
 }
 
 // take passes a decode's answer on, or finds that it can't be.
-func (s *generation) take(n int, runner *runners.State, answer *Answer) (verdict, error) {
+func (s *generation) handleResponse(n int, runner *runners.State, answer *Answer) (sendResult, error) {
 	bad := &ErrAnswer{Runner: runner.ID, Status: answer.Status, Why: "runner failed"}
 	if answer.OK() && answer.Whole {
 		return s.relay.pass(n, runner, answer)
 	}
-	s.unfit[runner.ID] = true
+	s.failedDecode[runner.ID] = true
 	if answer.OK() {
 		bad.Why = "not signed, or encoded"
 		runner.Failed(time.Now())
@@ -306,5 +306,5 @@
 	if s.relay.begun || s.route.Repeatable() && s.life.Attempts() < s.route.MaxAttempts {
 		return mayHaveRun, bad
 	}
-	return s.passOn(s.life, n, answer, runner)
+	return s.forwardResponse(s.life, n, answer, runner)
 }
--- a/pkg/ingress/identity.go
+++ b/pkg/ingress/identity.go
@@ -33,10 +33,10 @@
 	return fmt.Sprintf("keys not confirmed: age=%s limit=%s", e.Age, e.Limit)
 }
 
-// unconfirmedWait is when a client may come back whose key can't be confirmed: the balancer
+// unconfirmedRetryAfter is when a client may come back whose key can't be confirmed: the balancer
 // has moved it to another gateway by then if just this one is cut off (two questions, one a
 // second), and a short outage of the store is over.
-const unconfirmedWait = 2 * time.Second
+const unconfirmedRetryAfter = 2 * time.Second
 
 // identify finds the workspace that a request is for, where requests must prove it. It fails
 // with *workspace.ErrCredential or *ErrUnconfirmed.
@@ -72,7 +72,7 @@
 // waited its key may have been taken away, the process may have stood still, or others like it
 // may have crashed their runners.
 func (x *exchange) reconfirm() error {
-	if err := x.quarantined(); err != nil {
+	if err := x.checkQuarantine(); err != nil {
 		return err
 	}
 	if x.workspace == nil {
@@ -90,7 +90,7 @@
 
 // order returns what every send of the request has in common.
 func (x *exchange) order() Order {
-	o := Order{Left: x.left(), Priority: x.priority(), Keyed: x.table.Workspaces != nil}
+	o := Order{Left: x.timeLeft(), Priority: x.priority(), Keyed: x.table.Workspaces != nil}
 	if x.workspace != nil {
 		o.Workspace = x.workspace.Name
 	}
--- a/pkg/ingress/identity_test.go
+++ b/pkg/ingress/identity_test.go
@@ -13,7 +13,7 @@
 )
 
 // keyed returns a configuration version in which some keys speak for workspace "w".
-func keyed(t *testing.T, version uint64, keys ...string) *routetable.Table {
+func tableWithKeys(t *testing.T, version uint64, keys ...string) *routetable.Table {
 	t.Helper()
 	w := workspace.Workspace{Name: "w", Limit: workspace.Limit{Unit: workspace.Requests}}
 	for _, k := range keys {
@@ -32,30 +32,30 @@
 }
 
 // asked returns a request to a path with some values of the Authorization header.
-func asked(g *Ingress, path string, credentials ...string) *exchange {
+func newExchange(g *Ingress, path string, credentials ...string) *exchange {
 	table := g.Table()
 	return &exchange{g: g, arrived: time.Now(), table: table, route: table.Match("", path), call: &Call{Credentials: credentials}}
 }
 
-func TestAPublicRouteAsksForNoKey(t *testing.T) {
+func TestPublicRouteNeedsNoKey(t *testing.T) {
 	g := NewWithT(t)
 	in := New(Options{})
-	in.Use(keyed(t, 1, "k"))
-	g.Expect(asked(in, "/open/").identify()).To(Succeed())
+	in.Use(tableWithKeys(t, 1, "k"))
+	g.Expect(newExchange(in, "/open/").identify()).To(Succeed())
 	var bad *workspace.ErrCredential
-	g.Expect(errors.As(asked(in, "/closed/").identify(), &bad)).To(BeTrue())
-	x := asked(in, "/closed/", "Bearer k")
+	g.Expect(errors.As(newExchange(in, "/closed/").identify(), &bad)).To(BeTrue())
+	x := newExchange(in, "/closed/", "Bearer k")
 	g.Expect(x.identify()).To(Succeed())
 	x.ctx = t.Context()
 	g.Expect(x.order().Workspace).To(Equal("w"))
 	g.Expect(x.order().Keyed).To(BeTrue())
 }
 
-func TestTheWorkspacesPriorityGoesBeforeTheRoutes(t *testing.T) {
+func TestWorkspacePriorityOverridesRoutePriority(t *testing.T) {
 	g := NewWithT(t)
 	in := New(Options{})
-	in.Use(keyed(t, 1, "k"))
-	x := asked(in, "/closed/", "Bearer k")
+	in.Use(tableWithKeys(t, 1, "k"))
+	x := newExchange(in, "/closed/", "Bearer k")
 	x.ctx, x.route.Priority = t.Context(), 3
 	g.Expect(x.identify()).To(Succeed())
 	g.Expect(x.order().Priority).To(Equal(3))
@@ -65,49 +65,49 @@
 }
 
 // A key that is taken away while its request waits is refused before the request is sent.
-func TestAKeyTakenAwayMeanwhileIsNotSentOn(t *testing.T) {
+func TestKeyRevokedWhileWaitingIsRefused(t *testing.T) {
 	g := NewWithT(t)
 	in := New(Options{})
-	in.Use(keyed(t, 1, "k"))
-	x := asked(in, "/closed/", "Bearer k")
+	in.Use(tableWithKeys(t, 1, "k"))
+	x := newExchange(in, "/closed/", "Bearer k")
 	g.Expect(x.identify()).To(Succeed())
 	g.Expect(x.reconfirm()).To(Succeed())
-	in.Use(keyed(t, 2, "another"))
+	in.Use(tableWithKeys(t, 2, "another"))
 	g.Expect(notAllowed(x.reconfirm())).To(BeTrue())
 }
 
 // Guards against keys that are taken away while the machine is suspended and accepted when it is back: the
 // steady clock stands still meanwhile.
-func TestKeysAreNotReliedOnOverASuspension(t *testing.T) {
+func TestKeysAreUnconfirmedAfterSuspension(t *testing.T) {
 	g := NewWithT(t)
 	confirmed := boottime.Now()
 	in := New(Options{Revocation: Revocation{After: time.Second, Confirmed: func() time.Time { return confirmed }}})
-	in.Use(keyed(t, 1, "k"))
-	x := asked(in, "/closed/", "Bearer k")
+	in.Use(tableWithKeys(t, 1, "k"))
+	x := newExchange(in, "/closed/", "Bearer k")
 	g.Expect(x.identify()).To(Succeed())
 	t.Cleanup(boottime.Suspend(5 * time.Second))
 	var old *ErrUnconfirmed
 	g.Expect(errors.As(x.reconfirm(), &old)).To(BeTrue())
-	g.Expect(errors.As(asked(in, "/closed/", "Bearer k").identify(), &old)).To(BeTrue())
+	g.Expect(errors.As(newExchange(in, "/closed/", "Bearer k").identify(), &old)).To(BeTrue())
 }
 
 // Keys that fail closed are refused, also such as nobody knows, once the configuration is not
 // confirmed any more: never with the word that they are not valid.
-func TestUnconfirmedKeysAreRefusedWithoutAVerdict(t *testing.T) {
+func TestUnconfirmedKeysAreNotReportedInvalid(t *testing.T) {
 	g := NewWithT(t)
 	confirmed := time.Now()
 	in := New(Options{Revocation: Revocation{After: time.Second, Confirmed: func() time.Time { return confirmed }}})
-	in.Use(keyed(t, 1, "k"))
-	x := asked(in, "/closed/", "Bearer k")
+	in.Use(tableWithKeys(t, 1, "k"))
+	x := newExchange(in, "/closed/", "Bearer k")
 	g.Expect(x.identify()).To(Succeed())
 	confirmed = time.Now().Add(-2 * time.Second)
 	var old *ErrUnconfirmed
 	g.Expect(errors.As(x.reconfirm(), &old)).To(BeTrue(), "it stood still while the request waited")
 	for _, credential := range []string{"Bearer k", "Bearer unknown", ""} {
-		g.Expect(errors.As(asked(in, "/closed/", credential).identify(), &old)).To(BeTrue(), credential)
+		g.Expect(errors.As(newExchange(in, "/closed/", credential).identify(), &old)).To(BeTrue(), credential)
 	}
-	g.Expect(asked(in, "/open/").identify()).To(Succeed())
+	g.Expect(newExchange(in, "/open/").identify()).To(Succeed())
 	open := New(Options{})
-	open.Use(keyed(t, 1, "k"))
-	g.Expect(asked(open, "/closed/", "Bearer k").identify()).To(Succeed(), "where keys don't fail closed")
+	open.Use(tableWithKeys(t, 1, "k"))
+	g.Expect(newExchange(open, "/closed/", "Bearer k").identify()).To(Succeed(), "where keys don't fail closed")
 }
--- a/pkg/ingress/ingress.go
+++ b/pkg/ingress/ingress.go
@@ -54,29 +54,29 @@
 type Ingress struct {
 	options Options
 	// Directory is filled by whoever watches the store.
-	Directory *runners.Directory
-	table     atomic.Pointer[routetable.Table]
-	metrics   *meters
-	drain     drain
-	kept      *keptPrompts
-	open      atomic.Int64
+	Directory    *runners.Directory
+	table        atomic.Pointer[routetable.Table]
+	metrics      *meters
+	drain        drain
+	promptCaches *promptCaches
+	open         atomic.Int64
 	// lastArrival is when the newest request came, in nanoseconds of Unix time.
-	lastArrival atomic.Int64
-	held        atomic.Int64
+	lastArrival   atomic.Int64
+	bufferedBytes atomic.Int64
 
 	mu       sync.Mutex
 	pools    map[string]*enginepool.Pool
 	budgets  map[string]*retrybudget.Budget
 	gateways int
 	// returns tells returning clients from new ones, by route.
-	returns map[string]*returns
+	returnDetectors map[string]*returnDetector
 }
 
 // New returns an ingress that knows no routes yet.
 func New(o Options) *Ingress {
 	return &Ingress{
-		options: o, kept: newKeptPrompts(o.Engines, o.Log), Directory: runners.NewDirectory(o.Name), metrics: newMeters(), gateways: o.Gateways,
-		pools: map[string]*enginepool.Pool{}, budgets: map[string]*retrybudget.Budget{}, returns: map[string]*returns{},
+		options: o, promptCaches: newPromptCaches(o.Engines, o.Log), Directory: runners.NewDirectory(o.Name), metrics: newMeters(), gateways: o.Gateways,
+		pools: map[string]*enginepool.Pool{}, budgets: map[string]*retrybudget.Budget{}, returnDetectors: map[string]*returnDetector{},
 	}
 }
 
@@ -218,7 +218,7 @@
 	defer g.mu.Unlock()
 	g.options.Budget = l
 	for _, b := range g.budgets {
-		b.Limit(l)
+		b.SetLimits(l)
 	}
 }
 
@@ -228,32 +228,32 @@
 	defer g.mu.Unlock()
 	g.gateways = n
 	for _, b := range g.budgets {
-		b.Share(n)
+		b.SetGateways(n)
 	}
 }
 
 const (
-	// pulse is the time between two looks at what waits.
-	pulse = 20 * time.Millisecond
-	// beatsPerSweep is how many of them pass between two sweeps: one second.
-	beatsPerSweep = 50
+	// dispatchInterval is the time between two looks at what waits.
+	dispatchInterval = 20 * time.Millisecond
+	// ticksPerSweep is how many of them pass between two sweeps: one second.
+	ticksPerSweep = 50
 )
 
 // Run keeps the pools going until the context ends.
 func (g *Ingress) Run(ctx context.Context) {
-	tick := time.NewTicker(pulse)
+	tick := time.NewTicker(dispatchInterval)
 	defer tick.Stop()
 	for n := 1; ; n++ {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-tick.C:
-			g.beat(now, n%beatsPerSweep == 0)
+			g.onTick(now, n%ticksPerSweep == 0)
 		}
 	}
 }
 
-func (g *Ingress) beat(now time.Time, sweep bool) {
+func (g *Ingress) onTick(now time.Time, sweep bool) {
 	for _, p := range g.Pools() {
 		if here, _ := p.Waiting(); here > 0 {
 			p.Dispatch(now)
@@ -267,7 +267,7 @@
 		if t := g.options.Suspicion.Table; t != nil {
 			t.Sweep(now)
 		}
-		g.kept.sweep(now)
+		g.promptCaches.sweep(now)
 		g.logPools(now)
 	}
 }
@@ -286,30 +286,30 @@
 
 // ServeHTTP implements http.Handler.
 func (g *Ingress) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	x := &exchange{g: g, w: httpd.NewStallWriter(w, clientStall), arrived: time.Now()}
+	x := &exchange{g: g, w: httpd.NewStallWriter(w, clientStallTimeout), arrived: time.Now()}
 	g.lastArrival.Store(x.arrived.UnixNano())
 	if g.open.Add(1) > int64(g.options.MaxOpen) {
 		g.open.Add(-1)
-		x.refuse(&ErrBusy{What: "open requests", Limit: g.options.MaxOpen}, shortWait)
+		x.refuse(&ErrBusy{What: "open requests", Limit: g.options.MaxOpen}, shortRetryAfter)
 		return
 	}
 	defer g.open.Add(-1)
-	defer func() { g.held.Add(-x.heldBytes) }()
+	defer func() { g.bufferedBytes.Add(-x.bufferedBytes) }()
 	if err := x.accept(r); err != nil {
 		x.reject(err)
 		httpd.DiscardBody(w, r.Body)
 		return
 	}
-	if err := x.servable(); err != nil {
-		x.refuse(err, nowhereWait)
+	if err := x.checkServable(); err != nil {
+		x.refuse(err, notServableRetryAfter)
 		return
 	}
-	if err := x.charge(); err != nil {
+	if err := x.chargeQuota(); err != nil {
 		x.reject(err)
 		return
 	}
-	defer x.giveBack()
-	ctx, cancel := x.bound(r.Context())
+	defer x.refundQuota()
+	ctx, cancel := x.withDeadline(r.Context())
 	defer cancel()
 	x.ctx = ctx
 	if engine := x.table.Config.Services[x.service].Engine; engine != nil && x.route.Kind == routetable.Stream {
--- a/pkg/ingress/kept.go
+++ b/pkg/ingress/kept.go
@@ -10,49 +10,49 @@
 )
 
 const (
-	// keptFor is how long an engine's list of kept prompts is used: parts that
+	// promptCacheTTL is how long an engine's list of kept prompts is used: parts that
 	// nobody uses give way within some hundred milliseconds under load.
-	keptFor = 300 * time.Millisecond
-	// keptCall bounds the call for a list. An engine answers in a few milliseconds;
+	promptCacheTTL = 300 * time.Millisecond
+	// promptCacheTimeout bounds the call for a list. An engine answers in a few milliseconds;
 	// one that does not is of no use for the resumption either.
-	keptCall = 120 * time.Millisecond
-	// maxKeptAsked bounds the engines that are asked for one prompt, so that the cost of
+	promptCacheTimeout = 120 * time.Millisecond
+	// maxPromptCacheCalls bounds the engines that are asked for one prompt, so that the cost of
 	// a resumption does not grow with the fleet. Of more, some are asked, and the prompt may
 	// be computed again.
-	maxKeptAsked = 64
+	maxPromptCacheCalls = 64
 )
 
-// keptPrompts knows which engines keep a prompt in their KV cache. It asks them when
+// promptCaches knows which engines keep a prompt in their KV cache. It asks them when
 // a stream is resumed: the gateway that passed it on before may be gone, with all it
 // knew.
-type keptPrompts struct {
+type promptCaches struct {
 	engines Engines
 	log     *decisionlog.Log
 
 	mu    sync.Mutex
-	lists map[string]*keptList
+	lists map[string]*promptCacheList
 }
 
-// keptList is one engine's answer, or the call for it that is under way.
-type keptList struct {
+// promptCacheList is one engine's answer, or the call for it that is under way.
+type promptCacheList struct {
 	asked time.Time
 	// done is closed with the call's end; tokens is by prompt ID.
 	done   chan struct{}
 	tokens map[string]int
 }
 
-func newKeptPrompts(e Engines, l *decisionlog.Log) *keptPrompts {
-	return &keptPrompts{engines: e, log: l, lists: map[string]*keptList{}}
+func newPromptCaches(e Engines, l *decisionlog.Log) *promptCaches {
+	return &promptCaches{engines: e, log: l, lists: map[string]*promptCacheList{}}
 }
 
 // find returns the engine of a list that keeps most of a prompt, and how many tokens;
 // nil if none does.
-func (k *keptPrompts) find(ctx context.Context, list []*runners.State, prompt string) (*runners.State, int) {
+func (k *promptCaches) find(ctx context.Context, list []*runners.State, prompt string) (*runners.State, int) {
 	if prompt == "" {
 		return nil, 0
 	}
-	list = list[:min(len(list), maxKeptAsked)]
-	calls := make([]*keptList, len(list))
+	list = list[:min(len(list), maxPromptCacheCalls)]
+	calls := make([]*promptCacheList, len(list))
 	for i, s := range list {
 		calls[i] = k.ask(ctx, s)
 	}
@@ -73,18 +73,18 @@
 
 // ask returns an engine's list that is new enough, or a call for it. Requests that
 // need it at the same time share the call.
-func (k *keptPrompts) ask(ctx context.Context, s *runners.State) *keptList {
+func (k *promptCaches) ask(ctx context.Context, s *runners.State) *promptCacheList {
 	now := time.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if l := k.lists[s.ID]; l != nil && now.Sub(l.asked) < keptFor {
+	if l := k.lists[s.ID]; l != nil && now.Sub(l.asked) < promptCacheTTL {
 		return l
 	}
-	l := &keptList{asked: now, done: make(chan struct{})}
+	l := &promptCacheList{asked: now, done: make(chan struct{})}
 	k.lists[s.ID] = l
 	go func() {
 		defer close(l.done)
-		call, cancel := context.WithTimeout(context.WithoutCancel(ctx), keptCall)
+		call, cancel := context.WithTimeout(context.WithoutCancel(ctx), promptCacheTimeout)
 		defer cancel()
 		s.Called("", time.Now())
 		tokens, err := k.engines.Kept(call, s)
@@ -97,11 +97,11 @@
 }
 
 // sweep drops lists that are too old to be used.
-func (k *keptPrompts) sweep(now time.Time) {
+func (k *promptCaches) sweep(now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for id, l := range k.lists {
-		if now.Sub(l.asked) > keptFor {
+		if now.Sub(l.asked) > promptCacheTTL {
 			delete(k.lists, id)
 		}
 	}
--- a/pkg/ingress/kept_test.go
+++ b/pkg/ingress/kept_test.go
@@ -14,15 +14,15 @@
 	"github.com/hopwell/hopwell/pkg/runners"
 )
 
-// keepers are engines of which one keeps a prompt; they count the calls.
-type keepers struct {
+// cachingEngines are engines of which one keeps a prompt; they count the calls.
+type cachingEngines struct {
 	Engines
 	mu     sync.Mutex
 	keeper string
 	calls  map[string]int
 }
 
-func (k *keepers) Kept(_ context.Context, r *runners.State) (map[string]int, error) {
+func (k *cachingEngines) Kept(_ context.Context, r *runners.State) (map[string]int, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.calls[r.ID]++
@@ -42,19 +42,19 @@
 
 // Requests that are resumed at the same time share one call to each engine, and the
 // number of engines that are asked is bounded.
-func TestResumptionsShareABoundedNumberOfCalls(t *testing.T) {
+func TestResumedStreamsShareBoundedCacheCalls(t *testing.T) {
 	g := NewWithT(t)
-	engines := enginesOf(3 * maxKeptAsked)
-	k := &keepers{keeper: engines[5].ID, calls: map[string]int{}}
+	engines := enginesOf(3 * maxPromptCacheCalls)
+	k := &cachingEngines{keeper: engines[5].ID, calls: map[string]int{}}
 	log := decisionlog.New("p", io.Discard)
 	defer log.Close(time.Second)
-	kept := newKeptPrompts(k, log)
+	kept := newPromptCaches(k, log)
 	for range 10 {
 		keeper, tokens := kept.find(t.Context(), engines, "p")
 		g.Expect(keeper).To(Equal(engines[5]))
 		g.Expect(tokens).To(Equal(900))
 	}
-	g.Expect(k.calls).To(HaveLen(maxKeptAsked))
+	g.Expect(k.calls).To(HaveLen(maxPromptCacheCalls))
 	g.Expect(k.calls[engines[5].ID]).To(BeNumerically("<=", 2), "shared for as long as a list is used")
 	none, _ := kept.find(t.Context(), engines, "")
 	g.Expect(none).To(BeNil())
--- a/pkg/ingress/metrics.go
+++ b/pkg/ingress/metrics.go
@@ -16,14 +16,14 @@
 	firstEvent *metrics.Histogram
 	wait       *metrics.Histogram
 	prefill    *metrics.Histogram
-	read       *metrics.Counter
+	prefilled  *metrics.Counter
 	wasted     *metrics.Counter
 	resumed    *metrics.Counter
 	broken     *metrics.Counter
 	// quarantines counts the requests that this gateway learned to keep from runners.
 	quarantines *metrics.Counter
-	// notHeld counts the answers that were passed on as they came for want of memory.
-	notHeld *metrics.Counter
+	// notBuffered counts the answers that were passed on as they came for want of memory.
+	notBuffered *metrics.Counter
 }
 
 func newMeters() *meters {
@@ -33,11 +33,11 @@
 		firstEvent:  set.NewHistogram("hopwell_ingress_first_event_seconds"),
 		wait:        set.NewHistogram("hopwell_ingress_room_wait_seconds"),
 		prefill:     set.NewHistogram("hopwell_ingress_prefill_seconds"),
-		read:        set.NewCounter("hopwell_ingress_prefilled_tokens_total"),
+		prefilled:   set.NewCounter("hopwell_ingress_prefilled_tokens_total"),
 		wasted:      set.NewCounter("hopwell_ingress_wasted_prefill_tokens_total"),
 		resumed:     set.NewCounter("hopwell_ingress_resumed_streams_total"),
 		broken:      set.NewCounter("hopwell_ingress_broken_streams_total"),
-		notHeld:     set.NewCounter("hopwell_ingress_answers_not_held_total"),
+		notBuffered: set.NewCounter("hopwell_ingress_answers_not_held_total"),
 		quarantines: set.NewCounter("hopwell_ingress_quarantines_total"),
 	}
 }
@@ -123,7 +123,7 @@
 // WriteMetrics writes the metrics in the Prometheus text format.
 func (g *Ingress) WriteMetrics(w io.Writer) {
 	fmt.Fprintf(w, "hopwell_ingress_open_requests %d\n", g.open.Load())
-	fmt.Fprintf(w, "hopwell_ingress_held_bytes %d\n", g.held.Load())
+	fmt.Fprintf(w, "hopwell_ingress_held_bytes %d\n", g.bufferedBytes.Load())
 	fmt.Fprintf(w, "hopwell_ingress_evacuated_domains %d\n", len(g.Directory.Evacuated()))
 	fmt.Fprintf(w, "hopwell_ingress_runners %d\n", g.Directory.Len())
 	if t := g.table.Load(); t != nil {
--- a/pkg/ingress/notices.go
+++ b/pkg/ingress/notices.go
@@ -14,8 +14,8 @@
 	maxPassedOver = 3
 )
 
-// notePassedOver records the runners of a stage that can't be chosen for what they said of themselves.
-func (x *exchange) notePassedOver(stage runners.Stage) {
+// logPassedOver records the runners of a stage that can't be chosen for what they said of themselves.
+func (x *exchange) logPassedOver(stage runners.Stage) {
 	left := maxPassedOver
 	for _, n := range x.g.Directory.Notices.Withheld(passedOverFor, time.Now()) {
 		runner := x.g.Directory.Find(n.Runner)
@@ -26,7 +26,7 @@
 		if n.Leaving {
 			why = "leaving"
 		}
-		x.step("passed_over", decisionlog.F("runner", n.Runner), decisionlog.F("why", why), decisionlog.F("told_by", n.From),
+		x.logStep("passed_over", decisionlog.F("runner", n.Runner), decisionlog.F("why", why), decisionlog.F("told_by", n.From),
 			decisionlog.F("known_for", n.Known), decisionlog.F("left", n.Left))
 		if left--; left == 0 {
 			return
--- a/pkg/ingress/plain.go
+++ b/pkg/ingress/plain.go
@@ -12,12 +12,12 @@
 // claim chooses a plain runner and keeps a place there. Where all name limits, or want a pause, it waits
 // for the next place as long as a new request may wait for room, and fails with *ErrLimited or
 // *runners.ErrUnavailable if there is none by then.
-func (x *exchange) claim(avoid map[string]bool) (*runners.State, error) {
-	latest := x.arrived.Add(time.Duration(freshPart * float64(x.route.Latency)))
-	w := plainWork{id: x.call.ID, service: x.service, domain: x.g.options.Domain, repeatable: x.route.Repeatable(), avoid: avoid, allows: x.allowing()}
-	x.notePassedOver("")
+func (x *exchange) claimPlain(avoid map[string]bool) (*runners.State, error) {
+	latest := x.arrived.Add(time.Duration(newRequestWaitShare * float64(x.route.Latency)))
+	w := plainRequest{id: x.call.ID, service: x.service, domain: x.g.options.Domain, repeatable: x.route.Repeatable(), avoid: avoid, allows: x.domainFilter()}
+	x.logPassedOver("")
 	for {
-		runner, err := x.g.choose(w)
+		runner, err := x.g.choosePlain(w)
 		after := roomAfter(err)
 		if after == 0 || time.Now().Add(after).After(latest) {
 			return runner, err
@@ -44,8 +44,8 @@
 	return 0
 }
 
-// plainWork is a request that a plain runner is wanted for.
-type plainWork struct {
+// plainRequest is a request that a plain runner is wanted for.
+type plainRequest struct {
 	// id is the request's.
 	id      string
 	service string
@@ -63,7 +63,7 @@
 // that rests is chosen for a request that may be repeated. It fails with *runners.ErrUnavailable if all
 // leave, pause or had a pause a moment ago, *ErrLimited if runners are left that take no more now, and *enginepool.ErrNoRunner if
 // none is.
-func (g *Ingress) choose(w plainWork) (*runners.State, error) {
+func (g *Ingress) choosePlain(w plainRequest) (*runners.State, error) {
 	now := time.Now()
 	usable := g.Directory.Usable(w.service, "", now)
 	if w.allows != nil {
@@ -72,14 +72,14 @@
 	healthy := runners.Healthy(usable, now)
 	cost := failureCost
 	if !w.repeatable {
-		cost = onceFailureCost
+		cost = nonRepeatableFailureCost
 	}
-	best := w.leastWork(g.share(w.service, healthy), cost, now)
+	best := w.claimBest(g.subset(w.service, healthy), cost, now)
 	if best == nil {
-		best = w.leastWork(healthy, cost, now)
+		best = w.claimBest(healthy, cost, now)
 	}
 	if best == nil && w.repeatable {
-		best = w.leastWork(usable, cost, now)
+		best = w.claimBest(usable, cost, now)
 	}
 	if best != nil {
 		return best, nil
@@ -87,11 +87,11 @@
 	if err := g.Directory.Unavailable(w.service, "", w.allows, now); err != nil {
 		return nil, err
 	}
-	return nil, w.noRoom(usable, now)
+	return nil, w.noRoomError(usable, now)
 }
 
 // noRoom returns why no runner of a list was chosen.
-func (w plainWork) noRoom(list []*runners.State, now time.Time) error {
+func (w plainRequest) noRoomError(list []*runners.State, now time.Time) error {
 	var first *runners.State
 	var least time.Duration
 	for _, s := range list {
@@ -108,11 +108,11 @@
 	return &runners.ErrUnavailable{Service: w.service, Paused: 1, After: least}
 }
 
-// leastWork keeps a place at the plain runner of a list that is expected to answer first, and
+// claimBest keeps a place at the plain runner of a list that is expected to answer first, and
 // returns it; nil if all are to be avoided or take no more now.
-func (w plainWork) leastWork(list []*runners.State, failureCost float64, now time.Time) *runners.State {
+func (w plainRequest) claimBest(list []*runners.State, failureCost float64, now time.Time) *runners.State {
 	for {
-		best := w.expectedFirst(list, failureCost, now)
+		best := w.lowestCost(list, failureCost, now)
 		if best == nil || best.Claim(w.id, now) {
 			return best
 		}
@@ -121,14 +121,14 @@
 	}
 }
 
-func (w plainWork) expectedFirst(list []*runners.State, failureCost float64, now time.Time) *runners.State {
+func (w plainRequest) lowestCost(list []*runners.State, failureCost float64, now time.Time) *runners.State {
 	var best *runners.State
 	var least float64
 	for _, s := range list {
 		if w.avoid[s.ID] || !s.Room(now) {
 			continue
 		}
-		cost := (float64(s.Outstanding()) + 1) * (s.Latency().Seconds() + plainGuess) * (1 + failureCost*s.Failures(now) + refusalCost*s.Refusals(now))
+		cost := (float64(s.Outstanding()) + 1) * (s.Latency().Seconds() + baseLatency) * (1 + failureCost*s.Failures(now) + refusalCost*s.Refusals(now))
 		if s.Domain != w.domain {
 			cost *= otherDomainCost
 		}
@@ -140,15 +140,15 @@
 }
 
 const (
-	// plainGuess is added to the mean time of a runner's answers, in seconds.
-	plainGuess = 0.01
+	// baseLatency is added to the mean time of a runner's answers, in seconds.
+	baseLatency = 0.01
 	// otherDomainCost is how much dearer a runner in another domain is.
 	otherDomainCost = 1.3
 	// failureCost is how much dearer a runner is that fails all requests, for one that
-	// may be repeated; onceFailureCost for one that must not, and is lost then. The
+	// may be repeated; nonRepeatableFailureCost for one that must not, and is lost then. The
 	// others take such requests as long as they answer in some five times the time.
-	failureCost     = 4.0
-	onceFailureCost = 10.0
+	failureCost              = 4.0
+	nonRepeatableFailureCost = 10.0
 	// refusalCost is how much dearer a runner is that turns all requests away: it would
 	// else attract them, having the least work.
 	refusalCost = 10
--- a/pkg/ingress/prefill_test.go
+++ b/pkg/ingress/prefill_test.go
@@ -10,13 +10,13 @@
 )
 
 // A runner that loses answers is given up sooner than one that is only slow.
-func TestAPrefillIsWaitedForLongerAtARunnerThatLosesNothing(t *testing.T) {
+func TestPrefillTimeoutIsLongerForReliableRunner(t *testing.T) {
 	g := NewWithT(t)
 	d := runners.NewDirectory("a")
 	d.Put(runners.Runner{ID: "r", Service: "s", Stage: runners.Prefill}, time.Now())
 	r := d.All("s")[0]
-	trusted := patience(r, time.Second)
+	trusted := prefillTimeout(r, time.Second)
 	r.Failed(time.Now())
-	g.Expect(patience(r, time.Second)).To(Equal(prefillLate + prefillFactor*time.Second))
-	g.Expect(trusted).To(BeNumerically(">", patience(r, time.Second)))
+	g.Expect(prefillTimeout(r, time.Second)).To(Equal(prefillSlack + prefillFactor*time.Second))
+	g.Expect(trusted).To(BeNumerically(">", prefillTimeout(r, time.Second)))
 }
--- a/pkg/ingress/quota.go
+++ b/pkg/ingress/quota.go
@@ -10,7 +10,7 @@
 
 // charge takes what the request may use from its workspace's limit. It fails with
 // *quota.ErrQuota.
-func (x *exchange) charge() error {
+func (x *exchange) chargeQuota() error {
 	if x.workspace == nil || x.g.options.Quota == nil {
 		return nil
 	}
@@ -22,14 +22,14 @@
 	return nil
 }
 
-// giveBack returns what was taken for a request that never ran.
-func (x *exchange) giveBack() {
+// refundQuota returns what was taken for a request that never ran.
+func (x *exchange) refundQuota() {
 	if x.cost > 0 && (x.life == nil || !x.life.MayHaveRun()) {
 		x.g.options.Quota.GiveBack(x.workspace, x.cost, time.Now())
 	}
 }
 
 // limit answers that a workspace has used up its limit, and when there is room again.
-func (x *exchange) limit(err *quota.ErrQuota) {
-	x.own(http.StatusTooManyRequests, err, decisionlog.F("retry_after", x.retryAfter(max(err.After, shortWait))))
+func (x *exchange) respondOverQuota(err *quota.ErrQuota) {
+	x.respond(http.StatusTooManyRequests, err, decisionlog.F("retry_after", x.setRetryAfter(max(err.After, shortRetryAfter))))
 }
--- a/pkg/ingress/relay.go
+++ b/pkg/ingress/relay.go
@@ -39,12 +39,12 @@
 	events int
 	// written is when the last event was written, pause the longest time between
 	// two of them.
-	written time.Time
-	pause   time.Duration
+	written    time.Time
+	longestGap time.Duration
 }
 
 // pass passes the events of an answer on until its end.
-func (r *relay) pass(n int, runner *runners.State, a *Answer) (verdict, error) {
+func (r *relay) pass(n int, runner *runners.State, a *Answer) (sendResult, error) {
 	r.runner = runner.ID
 	began, before := time.Now(), r.events
 	in := bufio.NewReaderSize(a.Body, eventBuffer)
@@ -54,39 +54,39 @@
 			return r.whole(n, runner, a, began)
 		}
 		if err != nil {
-			return r.broke(runner, r.events == before, err)
+			return r.streamBroken(runner, r.events == before, err)
 		}
 		r.s.pool.Made(runner.ID, r.s.job.ID, (r.events+1)*max(1, r.s.engine.TokensPerEvent), time.Now())
 		if err := r.write(a, event); err != nil {
-			return mayHaveRun, errGone{}
+			return mayHaveRun, errClientGone{}
 		}
 	}
 }
 
 // whole ends the client's answer.
-func (r *relay) whole(n int, runner *runners.State, a *Answer, began time.Time) (verdict, error) {
+func (r *relay) whole(n int, runner *runners.State, a *Answer, began time.Time) (sendResult, error) {
 	if !r.begun {
 		r.head(a)
 	}
 	runner.Answered(time.Since(began))
-	r.s.pool.Lengths.Learn(r.s.guess(), r.events*r.s.engine.TokensPerEvent)
-	r.s.exchange.end(r.s.life, n)
-	r.s.endedWell()
-	r.s.finish(a.Status, nil, decisionlog.F("runner", runner.ID), decisionlog.F("events", r.events), decisionlog.F("pause", r.pause))
-	return answered, nil
+	r.s.pool.Lengths.Learn(r.s.lengthHint(), r.events*r.s.engine.TokensPerEvent)
+	r.s.exchange.recordEnd(r.s.life, n)
+	r.s.recordCompleted()
+	r.s.finish(a.Status, nil, decisionlog.F("runner", runner.ID), decisionlog.F("events", r.events), decisionlog.F("pause", r.longestGap))
+	return responded, nil
 }
 
 // broke records a stream that ended before its end, before its runner had made an event of it
 // if early.
-func (r *relay) broke(runner *runners.State, early bool, err error) (verdict, error) {
-	r.s.unfit[runner.ID] = true
-	if gone := r.s.over(); gone != nil {
+func (r *relay) streamBroken(runner *runners.State, early bool, err error) (sendResult, error) {
+	r.s.failedDecode[runner.ID] = true
+	if gone := r.s.endReason(); gone != nil {
 		return mayHaveRun, gone
 	}
 	runner.Failed(time.Now())
-	r.s.trouble("stream_broken", runner.ID, err, decisionlog.F("events", r.events), decisionlog.F("last", r.last),
+	r.s.logFailedStep("stream_broken", runner.ID, err, decisionlog.F("events", r.events), decisionlog.F("last", r.last),
 		decisionlog.F("asked", r.s.digest()))
-	r.s.exchange.broke(runner, early, err)
+	r.s.exchange.reportBrokenRun(runner, early, err)
 	return mayHaveRun, &ErrBroken{Runner: runner.ID, After: r.last, Err: err}
 }
 
@@ -116,7 +116,7 @@
 	}
 	now := time.Now()
 	if r.events > 0 {
-		r.pause = max(r.pause, now.Sub(r.written))
+		r.longestGap = max(r.longestGap, now.Sub(r.written))
 	}
 	r.written = now
 	r.events++
--- a/pkg/ingress/reserve.go
+++ b/pkg/ingress/reserve.go
@@ -12,33 +12,33 @@
 )
 
 // place is room on a decode runner.
-type place struct {
+type reservation struct {
 	runner *runners.State
 	hold   string
 }
 
 // reserve waits for room on a decode runner and has it reserved there.
-func (s *generation) reserve() (*place, error) {
+func (s *generation) reserve() (*reservation, error) {
 	began := time.Now()
-	latest, unanswered := s.latest(), 0
+	latest, unanswered := s.roomDeadline(), 0
 	w := s.pool.Join(s.job, s.rank)
-	for id := range s.unfit {
+	for id := range s.failedDecode {
 		w.Avoid(id)
 	}
-	if s.keeper != nil {
-		w.Prefer(s.keeper.ID)
+	if s.cacheHolder != nil {
+		w.Prefer(s.cacheHolder.ID)
 	}
 	if s.rank == enginepool.Returning {
-		w.LateFrom(s.arrived.Add(s.route.Latency - serveTime))
+		w.LateFrom(s.arrived.Add(s.route.Latency - serveReserve))
 	}
-	s.notePassedOver(runners.Decode)
+	s.logPassedOver(runners.Decode)
 	for {
 		if err := s.unavailable(latest); err != nil {
-			return nil, firstOf(s.over(), err)
+			return nil, firstError(s.endReason(), err)
 		}
 		runner, err := s.waitForRoom(w, latest)
 		if err != nil {
-			return nil, firstOf(s.over(), err)
+			return nil, firstError(s.endReason(), err)
 		}
 		// A hold that was asked for in time is waited for beyond it: one that is
 		// cut off says nothing about the runner.
@@ -46,19 +46,19 @@
 		if err == nil {
 			s.g.metrics.wait.UpdateDuration(began)
 			s.fields = append(s.fields, decisionlog.F("decode", runner.ID), decisionlog.F("room_after", time.Since(s.arrived)))
-			return &place{runner, hold}, nil
+			return &reservation{runner, hold}, nil
 		}
 		s.pool.Refused(runner.ID, s.job.ID, time.Now())
-		s.step("hold_refused", decisionlog.F("runner", runner.ID), decisionlog.F("error", err))
+		s.logStep("hold_refused", decisionlog.F("runner", runner.ID), decisionlog.F("error", err))
 		s.recordFailure(runner, err)
-		if answerMissing(err) && unanswered < maxUnanswered {
+		if noResponse(err) && unanswered < maxUnansweredHolds {
 			unanswered++
-			if next := time.Now().Add(nextRoom); next.After(latest) {
+			if next := time.Now().Add(extraRoomWait); next.After(latest) {
 				latest = next
 			}
 		}
 		if s.ctx.Err() != nil || !time.Now().Before(latest) {
-			return nil, firstOf(s.over(), &enginepool.ErrNoRoom{ID: s.job.ID, Waited: time.Since(began)})
+			return nil, firstError(s.endReason(), &enginepool.ErrNoRoom{ID: s.job.ID, Waited: time.Since(began)})
 		}
 	}
 }
@@ -83,15 +83,15 @@
 }
 
 const (
-	// maxUnanswered is how many reservations may go unanswered without an end to the wait:
+	// maxUnansweredHolds is how many reservations may go unanswered without an end to the wait:
 	// connections to several runners may have fallen silent while there is room.
-	maxUnanswered = 2
-	// nextRoom is how long room elsewhere is waited for after that.
-	nextRoom = 50 * time.Millisecond
+	maxUnansweredHolds = 2
+	// extraRoomWait is how long room elsewhere is waited for after that.
+	extraRoomWait = 50 * time.Millisecond
 )
 
-// answerMissing reports whether a call had no answer, which says nothing about room.
-func answerMissing(err error) bool {
+// noResponse reports whether a call had no answer, which says nothing about room.
+func noResponse(err error) bool {
 	var exchange *upstream.ErrExchange
 	return errors.As(err, &exchange)
 }
@@ -117,27 +117,27 @@
 }
 
 // latest returns until when the request may wait for room.
-func (s *generation) latest() time.Time {
+func (s *generation) roomDeadline() time.Time {
 	switch s.rank {
 	case enginepool.Fresh:
-		return s.arrived.Add(time.Duration(freshPart * float64(s.route.Latency)))
+		return s.arrived.Add(time.Duration(newRequestWaitShare * float64(s.route.Latency)))
 	default:
-		patience := max(leastPatience, latencyFactor*s.route.Latency, gapFactor*s.route.Gap)
-		return s.arrived.Add(patience - serveTime)
+		patience := max(minClientTimeout, latencyFactor*s.route.Latency, gapFactor*s.route.Gap)
+		return s.arrived.Add(patience - serveReserve)
 	}
 }
 
 func (s *generation) hold(runner *runners.State) (string, error) {
-	ctx, cancel := context.WithTimeout(s.ctx, holdCall)
+	ctx, cancel := context.WithTimeout(s.ctx, holdTimeout)
 	defer cancel()
 	runner.Called(s.job.ID, time.Now())
-	return s.g.options.Engines.Hold(ctx, runner, s.missing(runner)+holdAhead, s.holdFor())
+	return s.g.options.Engines.Hold(ctx, runner, s.missingTokens(runner)+holdOutputTokens, s.holdTTL())
 }
 
 // holdFor returns how long a reservation lasts: it is used before the first event is
 // due, or that is late anyway. One whose answer was lost can't be given back, and
 // keeps the memory for that long.
-func (s *generation) holdFor() time.Duration {
+func (s *generation) holdTTL() time.Duration {
 	if s.route.Latency > 0 {
 		return min(s.engine.HoldFor, s.route.Latency)
 	}
@@ -145,18 +145,18 @@
 }
 
 // missing returns how many tokens of the prompt a runner does not have in its KV cache.
-func (s *generation) missing(runner *runners.State) int {
-	if s.keeper != nil && s.keeper.ID == runner.ID {
-		return max(0, s.job.Prompt-s.kept)
+func (s *generation) missingTokens(runner *runners.State) int {
+	if s.cacheHolder != nil && s.cacheHolder.ID == runner.ID {
+		return max(0, s.job.Prompt-s.cachedTokens)
 	}
 	return s.job.Prompt
 }
 
 // drop gives a reservation back, after the request's end too.
-func (s *generation) drop(p *place) {
+func (s *generation) dropHold(p *reservation) {
 	p.runner.Called("", time.Now())
 	go func() {
-		ctx, cancel := context.WithTimeout(context.WithoutCancel(s.ctx), freeCall)
+		ctx, cancel := context.WithTimeout(context.WithoutCancel(s.ctx), releaseTimeout)
 		defer cancel()
 		_ = s.g.options.Engines.Drop(ctx, p.runner, p.hold)
 	}()
--- a/pkg/ingress/returns_test.go
+++ b/pkg/ingress/returns_test.go
@@ -10,10 +10,10 @@
 
 // Load pattern: all clients wait 14 s; in a burst 4 of 10 requests are those of refused clients
 // that come back.
-func TestReturningClientsAreToldWhereAllWaitAlike(t *testing.T) {
+func TestReturningClientsAreDetectedWithEqualTimeouts(t *testing.T) {
 	g := NewWithT(t)
 	rng := rand.New(rand.NewPCG(1, 1))
-	var r returns
+	var r returnDetector
 	wrong := 0
 	for range 2000 {
 		back := rng.Float64() < 0.4
@@ -29,10 +29,10 @@
 }
 
 // Load pattern: clients' own times differ by 15 in 100, and hardly any comes back.
-func TestClientsWhoseTimesDifferAreNotTakenForReturning(t *testing.T) {
+func TestVaryingTimeoutsAreNotDetectedAsReturning(t *testing.T) {
 	g := NewWithT(t)
 	rng := rand.New(rand.NewPCG(1, 1))
-	var r returns
+	var r returnDetector
 	taken := 0
 	for range 2000 {
 		left := time.Duration(float64(14*time.Second) * (0.85 + 0.15*rng.Float64()))
--- a/pkg/ingress/share.go
+++ b/pkg/ingress/share.go
@@ -9,15 +9,15 @@
 	"github.com/hopwell/hopwell/pkg/runners"
 )
 
-// connectionsEach is how many of a plain runner's connections are counted for each gateway that uses
+// connectionsPerGateway is how many of a plain runner's connections are counted for each gateway that uses
 // it: two that it keeps, and as many for those that it opens while these are busy.
-const connectionsEach = 4
+const connectionsPerGateway = 4
 
 // share returns the plain runners of a list that this gateway uses: all, unless so many gateways
 // would open more connections than the runners take, which reset what is beyond. Then each uses
 // fewer, chosen by its name, so that all runners have about as many gateways.
-func (g *Ingress) share(service string, list []*runners.State) []*runners.State {
-	used := g.used(service, len(list))
+func (g *Ingress) subset(service string, list []*runners.State) []*runners.State {
+	used := g.subsetSize(service, len(list))
 	if used >= len(list) {
 		return list
 	}
@@ -28,7 +28,7 @@
 }
 
 // used returns how many of a service's plain runners this gateway uses.
-func (g *Ingress) used(service string, n int) int {
+func (g *Ingress) subsetSize(service string, n int) int {
 	table := g.table.Load()
 	if table == nil {
 		return n
@@ -40,5 +40,5 @@
 	g.mu.Lock()
 	gateways := g.gateways
 	g.mu.Unlock()
-	return max(1, most*n/(connectionsEach*max(1, gateways)))
+	return max(1, most*n/(connectionsPerGateway*max(1, gateways)))
 }
--- a/pkg/ingress/slow_test.go
+++ b/pkg/ingress/slow_test.go
@@ -22,30 +22,30 @@
 	"github.com/hopwell/hopwell/pkg/runners"
 )
 
-// pipes is a listener whose connections are pipes: they buffer nothing, and run in virtual time.
-type pipes chan net.Conn
+// pipeListener is a listener whose connections are pipeListener: they buffer nothing, and run in virtual time.
+type pipeListener chan net.Conn
 
-func (p pipes) Accept() (net.Conn, error) {
+func (p pipeListener) Accept() (net.Conn, error) {
 	c, ok := <-p
 	if !ok {
 		return nil, net.ErrClosed
 	}
 	return c, nil
 }
-func (p pipes) Close() error   { return nil }
-func (p pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (p pipeListener) Close() error   { return nil }
+func (p pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
 // connect returns a client's end of a new connection.
-func (p pipes) connect() net.Conn {
+func (p pipeListener) connect() net.Conn {
 	here, there := net.Pipe()
 	p <- there
 	return here
 }
 
-// endless answers all calls with a body that has no end.
-type endless struct{ Engines }
+// endlessEngines answers all calls with a body that has no end.
+type endlessEngines struct{ Engines }
 
-func (endless) Send(ctx context.Context, _ *runners.State, _ *Call, _ Order) (*Answer, error) {
+func (endlessEngines) Send(ctx context.Context, _ *runners.State, _ *Call, _ Order) (*Answer, error) {
 	return &Answer{Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(zeros{}), Whole: true}, nil
 }
 
@@ -61,9 +61,9 @@
 }
 
 // serving returns an ingress before one plain runner, and where its clients connect.
-func serving(t *testing.T, maxHeld int64) (*Ingress, pipes) {
+func serveOnPipes(t *testing.T, maxBuffered int64) (*Ingress, pipeListener) {
 	log := decisionlog.New("g", io.Discard)
-	in := New(Options{Engines: endless{}, Reader: plainReader{}, Log: log, MaxOpen: 4000, MaxHeld: maxHeld, Budget: retrybudget.Limits{Window: time.Second}})
+	in := New(Options{Engines: endlessEngines{}, Reader: plainReader{}, Log: log, MaxOpen: 4000, MaxHeld: maxBuffered, Budget: retrybudget.Limits{Window: time.Second}})
 	table, err := routetable.New(routetable.Config{
 		Version: 1, Services: map[string]routetable.Service{"s": {Name: "s"}}, Limits: routetable.Limits{BodyBytes: 1 << 20},
 		Routes: []routetable.Route{{Name: "r", Host: "h", PathPrefix: "/", Kind: routetable.Unsafe, Timeout: time.Minute, MaxAttempts: 1, Targets: []routetable.Target{{Service: "s", Weight: 1}}}},
@@ -73,7 +73,7 @@
 	}
 	in.Use(table)
 	in.Directory.Put(runners.Runner{ID: "a", Service: "s"}, time.Now())
-	l := make(pipes)
+	l := make(pipeListener)
 	server := &http.Server{Handler: in}
 	go func() { _ = server.Serve(l) }()
 	t.Cleanup(func() {
@@ -86,11 +86,11 @@
 
 // Guards against clients that stop reading and hold memory, and their runner's place, for as long as a
 // request may take.
-func TestClientsThatStopReadingHoldNeitherMemoryNorPlaces(t *testing.T) {
-	const clients, maxHeld = 2000, 32 << 20
+func TestStalledClientsReleaseMemoryAndRunners(t *testing.T) {
+	const clients, maxBuffered = 2000, 32 << 20
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		in, l := serving(t, maxHeld)
+		in, l := serveOnPipes(t, maxBuffered)
 		before := heapInUse()
 		for i := range clients {
 			c := l.connect()
@@ -100,16 +100,16 @@
 				_, _ = c.Read(make([]byte, 1))
 			}()
 		}
-		time.Sleep(clientStall / 2)
+		time.Sleep(clientStallTimeout / 2)
 		synctest.Wait()
 		runner := in.Directory.Find("a")
 		g.Expect(runner.Outstanding()).To(Equal(clients))
-		g.Expect(in.held.Load()).To(BeNumerically("<=", maxHeld))
+		g.Expect(in.bufferedBytes.Load()).To(BeNumerically("<=", maxBuffered))
 		g.Expect(heapInUse()-before).To(BeNumerically("<", 112<<20), "the smallest gateway's memory")
-		time.Sleep(clientStall)
+		time.Sleep(clientStallTimeout)
 		synctest.Wait()
 		g.Expect(runner.Outstanding()).To(BeZero())
-		g.Expect(in.held.Load()).To(BeZero())
+		g.Expect(in.bufferedBytes.Load()).To(BeZero())
 	})
 }
 
@@ -121,10 +121,10 @@
 }
 
 // A client that takes a little every two seconds is served as long as it has patience.
-func TestAClientThatReadsSlowlyIsServed(t *testing.T) {
+func TestSlowReadingClientIsServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		in, l := serving(t, 32<<20)
+		in, l := serveOnPipes(t, 32<<20)
 		c := l.connect()
 		defer c.Close()
 		go func() { _, _ = io.WriteString(c, "GET / HTTP/1.1\r\nHost: h\r\n\r\n") }()
@@ -138,10 +138,10 @@
 }
 
 // A deadline that an answer had does not end the next one on its connection.
-func TestAnAnswersDeadlineIsNotTheNextOnes(t *testing.T) {
+func TestWriteDeadlineDoesNotAffectNextResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		_, l := serving(t, 32<<20)
+		_, l := serveOnPipes(t, 32<<20)
 		c := l.connect()
 		defer c.Close()
 		in := bufio.NewReader(c)
@@ -151,16 +151,16 @@
 			g.Expect(err).NotTo(HaveOccurred())
 			_, err = io.Copy(io.Discard, res.Body)
 			g.Expect(err).NotTo(HaveOccurred())
-			time.Sleep(2 * clientStall)
+			time.Sleep(2 * clientStallTimeout)
 		}
 	})
 }
 
 // A client that sends its body a byte a second is not waited for longer than it waits itself.
-func TestABodyThatDoesNotComeIsGivenUp(t *testing.T) {
+func TestSlowRequestBodyTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		in, l := serving(t, 32<<20)
+		in, l := serveOnPipes(t, 32<<20)
 		c := l.connect()
 		defer c.Close()
 		go func() {
@@ -180,6 +180,6 @@
 		_ = c.Close()
 		time.Sleep(2 * time.Second) // The client's next write fails.
 		synctest.Wait()
-		g.Expect(in.held.Load()).To(BeZero())
+		g.Expect(in.bufferedBytes.Load()).To(BeZero())
 	})
 }
--- a/pkg/ingress/suspicion.go
+++ b/pkg/ingress/suspicion.go
@@ -23,19 +23,19 @@
 
 // digest returns the digest of what the request asks. It is made when it is needed first.
 func (x *exchange) digest() quarantine.Digest {
-	if x.asked == nil {
+	if x.cachedDigest == nil {
 		a := quarantine.Asked{Method: x.call.Method, Host: x.call.Host, Path: x.call.Path, Body: x.call.Body}
 		if x.workspace != nil {
 			a.Workspace = x.workspace.Name
 		}
 		d := a.Digest()
-		x.asked = &d
+		x.cachedDigest = &d
 	}
-	return *x.asked
+	return *x.cachedDigest
 }
 
 // quarantined returns *quarantine.ErrQuarantined if the request is kept from runners.
-func (x *exchange) quarantined() error {
+func (x *exchange) checkQuarantine() error {
 	table := x.g.options.Suspicion.Table
 	if table == nil || table.Empty() {
 		return nil
@@ -43,28 +43,28 @@
 	return table.Check(x.digest(), time.Now())
 }
 
-// aliveCall bounds the question whether a runner is still there: one that crashed refuses a
+// aliveTimeout bounds the question whether a runner is still there: one that crashed refuses a
 // connection at once.
-const aliveCall = 400 * time.Millisecond
+const aliveTimeout = 400 * time.Millisecond
 
 // broke records a run that broke off with its runner's connection, before anything of its answer
 // had come if early, if the runner crashed. It is asked, since runners that reset connections and
 // go on would have harmless requests quarantined. A connection that only timed out says nothing of a
 // crash. Prefills that break off are not counted: the decode engine that
 // reads the prompt in their place crashes in the same moment, or serves the request.
-func (x *exchange) broke(runner *runners.State, early bool, err error) {
+func (x *exchange) reportBrokenRun(runner *runners.State, early bool, err error) {
 	var timeout net.Error
 	if x.g.options.Suspicion.Table == nil || errors.As(err, &timeout) && timeout.Timeout() {
 		return
 	}
 	asked, at := x.digest(), time.Now()
 	go func() {
-		ctx, cancel := context.WithTimeout(context.WithoutCancel(x.ctx), aliveCall)
+		ctx, cancel := context.WithTimeout(context.WithoutCancel(x.ctx), aliveTimeout)
 		defer cancel()
 		runner.Called("", time.Now())
 		alive, err := x.g.options.Engines.Alive(ctx, runner)
 		if err != nil {
-			x.trouble("runner_not_asked", runner.ID, err, decisionlog.F("asked", asked))
+			x.logFailedStep("runner_not_asked", runner.ID, err, decisionlog.F("asked", asked))
 		}
 		if alive || err != nil {
 			return
@@ -82,8 +82,8 @@
 	g.options.Suspicion.Report(report)
 }
 
-// endedWell records that a runner ran the request to its end.
-func (x *exchange) endedWell() {
+// recordCompleted records that a runner ran the request to its end.
+func (x *exchange) recordCompleted() {
 	if table := x.g.options.Suspicion.Table; table != nil && !table.Empty() {
 		table.EndedWell(x.digest(), time.Now())
 	}
--- a/pkg/ingress/where.go
+++ b/pkg/ingress/where.go
@@ -9,9 +9,9 @@
 	"github.com/hopwell/hopwell/pkg/routetable"
 )
 
-// nowhereWait is when a client may come back whose request no runner may serve now: operators
+// notServableRetryAfter is when a client may come back whose request no runner may serve now: operators
 // change where requests may run, and take an evacuation back, within minutes rather than seconds.
-const nowhereWait = 3 * time.Second
+const notServableRetryAfter = 3 * time.Second
 
 // ErrNoRegion reports that no runner is left in the regions that a request is bound to.
 type ErrNoRegion struct {
@@ -37,9 +37,9 @@
 	return fmt.Sprintf("all runners are in evacuated domains: service=%s domains=%s", e.Service, strings.Join(e.Domains, ","))
 }
 
-// bonds returns the lists of regions that bind the request: those of its route and of its
+// regionLists returns the lists of regions that bind the request: those of its route and of its
 // workspace, as they were when it came and as they are now.
-func (x *exchange) bonds() [][]string {
+func (x *exchange) regionLists() [][]string {
 	var out [][]string
 	add := func(regions []string) {
 		if len(regions) > 0 {
@@ -73,7 +73,7 @@
 // known is in none that a request could be bound to.
 func (x *exchange) allows(domain string) bool {
 	region := x.g.options.Regions[domain]
-	for _, regions := range x.bonds() {
+	for _, regions := range x.regionLists() {
 		if !slices.Contains(regions, region) {
 			return false
 		}
@@ -81,17 +81,17 @@
 	return true
 }
 
-// allowing returns allows, nil for a request that nothing binds: its choice looks at no domain.
-func (x *exchange) allowing() func(domain string) bool {
-	if len(x.bonds()) == 0 {
+// domainFilter returns allows, nil for a request that nothing binds: its choice looks at no domain.
+func (x *exchange) domainFilter() func(domain string) bool {
+	if len(x.regionLists()) == 0 {
 		return nil
 	}
 	return x.allows
 }
 
-// servable fails with *ErrNoRegion or *ErrEvacuated if no runner may serve the request however
+// checkServable fails with *ErrNoRegion or *ErrEvacuated if no runner may serve the request however
 // long it waits.
-func (x *exchange) servable() error {
+func (x *exchange) checkServable() error {
 	all := x.g.Directory.All(x.service)
 	allowed, left := 0, 0
 	evacuated := x.g.Directory.Evacuated()
@@ -110,7 +110,7 @@
 		return nil
 	case allowed == 0:
 		e := &ErrNoRegion{Service: x.service}
-		for _, regions := range x.bonds() {
+		for _, regions := range x.regionLists() {
 			e.Regions = append(e.Regions, strings.Join(regions, ","))
 		}
 		return e
--- a/pkg/retrybudget/retrybudget.go
+++ b/pkg/retrybudget/retrybudget.go
@@ -18,13 +18,13 @@
 	Window time.Duration
 }
 
-// caution is the part of the limits that is used: windows of the gateways and of
+// safetyShare is the part of the limits that is used: windows of the gateways and of
 // the judge begin at different times.
-const caution = 0.8
+const safetyShare = 0.8
 
-// startPart is the part of the slack that a process uses in its first window: what an earlier one
-// spent in that window is not known, and with caution both stay below the whole.
-const startPart = 0.25
+// startSlackShare is the part of the slack that a process uses in its first window: what an earlier one
+// spent in that window is not known, and with safetyShare both stay below the whole.
+const startSlackShare = 0.25
 
 // buckets is how many parts a window is counted in.
 const buckets = 10
@@ -39,19 +39,19 @@
 	at       int64
 	start    time.Time
 	// began is when the process did, aged is set a window later.
-	began time.Time
-	aged  bool
+	created time.Time
+	aged    bool
 }
 
 // New returns a budget that is shared by a number of gateways.
 func New(l Limits, gateways int) *Budget { return newAt(l, gateways, time.Now()) }
 
 func newAt(l Limits, gateways int, now time.Time) *Budget {
-	return &Budget{limits: l, gateways: max(1, gateways), start: now, began: now}
+	return &Budget{limits: l, gateways: max(1, gateways), start: now, created: now}
 }
 
 // Share sets by how many gateways the slack is shared.
-func (b *Budget) Share(gateways int) {
+func (b *Budget) SetGateways(gateways int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.gateways = max(1, gateways)
@@ -59,7 +59,7 @@
 
 // Limit changes the limits. What was counted stays; with a window of another
 // length it is counted anew from now.
-func (b *Budget) Limit(l Limits) {
+func (b *Budget) SetLimits(l Limits) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if l.Window != b.limits.Window {
@@ -70,7 +70,7 @@
 }
 
 // age notes that a whole window has passed since the process began. The caller holds the lock.
-func (b *Budget) age(now time.Time) { b.aged = b.aged || now.Sub(b.began) > b.limits.Window }
+func (b *Budget) updateAged(now time.Time) { b.aged = b.aged || now.Sub(b.created) > b.limits.Window }
 
 // Request records a new request.
 func (b *Budget) Request(now time.Time) {
@@ -109,14 +109,14 @@
 func (b *Budget) allowed() float64 {
 	slack := b.limits.Slack / float64(b.gateways)
 	if !b.aged {
-		slack *= startPart
+		slack *= startSlackShare
 	}
-	return caution * (b.limits.Share*sum(b.requests[:]) + slack)
+	return safetyShare * (b.limits.Share*sum(b.requests[:]) + slack)
 }
 
 // bucket returns the current bucket and empties those that time has passed.
 func (b *Budget) bucket(now time.Time) int {
-	b.age(now)
+	b.updateAged(now)
 	width := b.limits.Window / buckets
 	at := int64(now.Sub(b.start) / max(width, 1))
 	for ; b.at < at; b.at++ {
--- a/pkg/retrybudget/retrybudget_test.go
+++ b/pkg/retrybudget/retrybudget_test.go
@@ -14,7 +14,7 @@
 
 // However requests and retries fall, gateways that share a budget stay within it
 // in every window.
-func TestGatewaysTogetherStayWithinTheBudget(t *testing.T) {
+func TestGatewaysTogetherStayWithinBudget(t *testing.T) {
 	spectest.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		n := rapid.IntRange(1, 6).Draw(t, "gateways")
@@ -67,7 +67,7 @@
 	})
 }
 
-func TestAChargeCountsThoughNothingIsLeft(t *testing.T) {
+func TestChargeMayOverdrawBudget(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	b := New(Limits{Slack: 10, Window: time.Second}, 1)
@@ -79,11 +79,11 @@
 	g.Expect(b.Spend(now.Add(3 * time.Second))).To(BeTrue())
 }
 
-func TestMoreGatewaysShareTheSlack(t *testing.T) {
+func TestSlackIsDividedAmongGateways(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	b := New(Limits{Slack: 10, Window: time.Second}, 1)
-	b.Share(10)
+	b.SetGateways(10)
 	spent := 0
 	for b.Spend(now) {
 		spent++
@@ -92,15 +92,15 @@
 }
 
 // New limits count what was spent under the old ones.
-func TestNewLimitsCountWhatWasSpent(t *testing.T) {
+func TestSetLimitsKeepsSpentSends(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	b := newAt(Limits{Slack: 10, Window: 10 * time.Second}, 1, now.Add(-11*time.Second))
 	for range 5 {
 		g.Expect(b.Spend(now)).To(BeTrue())
 	}
-	b.Limit(Limits{Slack: 5, Window: 10 * time.Second})
+	b.SetLimits(Limits{Slack: 5, Window: 10 * time.Second})
 	g.Expect(b.Spend(now)).To(BeFalse())
-	b.Limit(Limits{Slack: 20, Window: 10 * time.Second})
+	b.SetLimits(Limits{Slack: 20, Window: 10 * time.Second})
 	g.Expect(b.Spend(now)).To(BeTrue())
 }
