--- a/pkg/ingress/answers.go
+++ b/pkg/ingress/answers.go
@@ -19,30 +19,28 @@
 )
 
 const (
-	// shortRetryAfter is after what time a client may come back when another gateway
-	// can serve it.
+	// shortRetryAfter is the Retry-After of a request that another gateway can serve.
 	shortRetryAfter = 50 * time.Millisecond
-	// startupRetryAfter is after what time a client may come back to a process that
-	// knows no routes yet.
+	// startupRetryAfter is the Retry-After while this process has no route table yet.
 	startupRetryAfter = 1200 * time.Millisecond
-	// restartTime is how long a process that has stopped takes to serve again.
+	// restartTime is the time from the end of a process until its successor serves requests.
 	restartTime = time.Second
 )
 
-// refuse answers that the request has not run and won't, and when to come back.
+// refuse responds with 503 and Retry-After to a request that has not run and will not run.
 func (x *exchange) refuse(err error, after time.Duration) {
 	x.respond(http.StatusServiceUnavailable, err, decisionlog.F("retry_after", x.setRetryAfter(after)))
 }
 
-// retryAfter tells the client when to come back: a time or up to a quarter later, so that not
-// all come at once. It returns which.
+// setRetryAfter sets Retry-After to the given time plus a random part of up to a quarter of it, so
+// that refused clients do not all retry at once. It returns the time that was set.
 func (x *exchange) setRetryAfter(after time.Duration) time.Duration {
 	after += time.Duration(rand.Int64N(int64(after)/4 + 1))
 	x.w.Header().Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 2, 64))
 	return after
 }
 
-// fail answers that the request failed and may have run.
+// fail responds with 502 or 504 to a request that failed and may have run.
 func (x *exchange) fail(err error) {
 	status := http.StatusBadGateway
 	var timed *ErrTimeout
@@ -52,7 +50,7 @@
 	x.respond(status, err)
 }
 
-// own writes an answer of hopwell's own.
+// respond writes a response that hopwell itself generates.
 func (x *exchange) respond(status int, err error, more ...decisionlog.Field) {
 	h := x.w.Header()
 	h.Set("Content-Type", "text/plain; charset=utf-8")
@@ -64,7 +62,7 @@
 	x.finish(status, err, more...)
 }
 
-// reject ends a request that was not accepted.
+// reject responds to a request that was not accepted, with the status that fits the error.
 func (x *exchange) reject(err error) {
 	var noRoute *ErrNoRoute
 	var bad *ErrBadCall
@@ -105,14 +103,15 @@
 	}
 }
 
-// unauthorized answers that no valid key came with the request.
+// unauthorized responds with 401 to a request without a valid key.
 func (x *exchange) unauthorized(err error) {
 	x.w.Header().Set("WWW-Authenticate", "Bearer")
 	x.respond(http.StatusUnauthorized, err)
 }
 
-// drainRetryAfter returns when a client should come back that this process, which is stopping,
-// refused: at once if there is another gateway for it, otherwise when this one is up again.
+// drainRetryAfter returns the Retry-After of a request refused during the drain of this process:
+// short if another gateway can serve the client, otherwise the time until this gateway has
+// restarted.
 func (x *exchange) drainRetryAfter() time.Duration {
 	neighbours := x.g.options.Neighbours
 	if neighbours == nil || neighbours() > 0 {
@@ -122,8 +121,8 @@
 	return max(shortRetryAfter, min(up, time.Duration(float64(x.call.Patience)*retryAfterShare)))
 }
 
-// giveUp ends a request after tries: by its outcome, with the promise that it has
-// not run only if that is so.
+// giveUp ends a request whose attempts have all failed. Only if no attempt can have run does the
+// response promise that the request has not run.
 func (x *exchange) giveUp(life *request.Life, last error, after time.Duration) {
 	outcome := life.GiveUp()
 	if gone, ok := last.(errClientGone); ok {
@@ -142,7 +141,7 @@
 	x.fail(err)
 }
 
-// finish records the request's end.
+// finish records the end of the request in the metrics and in the decision log.
 func (x *exchange) finish(status int, err error, more ...decisionlog.Field) {
 	took := time.Since(x.arrived)
 	route, kind := "none", decisionlog.KindDone
@@ -166,7 +165,7 @@
 	x.g.options.Log.Write(kind, "request_end", fields...)
 }
 
-// outcome names how a request ended for its client.
+// outcome returns the log value for how the request ended for its client.
 func outcome(status int, err error) string {
 	if _, gone := err.(errClientGone); gone {
 		return "client_gone"
@@ -185,7 +184,7 @@
 	return "done"
 }
 
-// cause names why a request was not answered, for tools that read the log.
+// cause returns the log value for the reason of a failed request, for tools that parse the log.
 func cause(err error) string {
 	var (
 		timeout     *ErrTimeout
@@ -244,19 +243,19 @@
 	return x.call.ID
 }
 
-// step records a step of the request.
+// logStep logs a step of the request.
 func (x *exchange) logStep(event string, fields ...decisionlog.Field) {
 	x.g.options.Log.Write(decisionlog.KindStep, event, append([]decisionlog.Field{
 		decisionlog.F("request", x.id()), decisionlog.F("at", time.Since(x.arrived))}, fields...)...)
 }
 
-// trouble records a step that went wrong.
+// logFailedStep logs a failed step of the request.
 func (x *exchange) logFailedStep(event string, runner string, err error, fields ...decisionlog.Field) {
 	x.g.options.Log.Write(decisionlog.KindFailed, event, append([]decisionlog.Field{
 		decisionlog.F("request", x.id()), decisionlog.F("at", time.Since(x.arrived)), decisionlog.F("runner", runner), decisionlog.F("error", err)}, fields...)...)
 }
 
-// copyHeader puts a runner's headers into the client's answer.
+// copyHeader copies the headers of a runner's response to the client's response.
 func (x *exchange) copyHeader(a *Answer) {
 	h := x.w.Header()
 	for name, values := range a.Header {
--- a/pkg/ingress/call.go
+++ b/pkg/ingress/call.go
@@ -9,104 +9,102 @@
 	"github.com/hopwell/hopwell/pkg/runners"
 )
 
-// Call is one request of a client: what it says of itself, and what travels on
-// to a runner unchanged.
+// Call is one request of a client: the parameters read from its headers, and the parts that are
+// forwarded to a runner unchanged.
 type Call struct {
-	// ID is the client's own; each of its tries has another.
+	// ID identifies this request. A client that retries uses a new ID for each try.
 	ID string
-	// Patience is how long the client will wait, from its arrival; 0 if it does
-	// not say.
+	// Patience is how long the client waits for its response, counted from the arrival of the
+	// request; 0 if the client does not specify it.
 	Patience time.Duration
-	// Method, Target and Host are sent on as they came. Path is without query.
+	// Method, Target and Host are forwarded as received. Path is the target without the query.
 	Method, Target, Host, Path string
-	// Header is what travels on: without the headers of one connection only,
-	// and without those that are hopwell's to set.
+	// Header holds the headers to forward: without hop-by-hop headers, and without those that
+	// hopwell sets itself.
 	Header http.Header
 	Body   []byte
-	// Prompt, MaxOut and Hint are, in tokens, the length of the prompt, the
-	// longest answer and the client's guess of its length; 0 if not given.
+	// Prompt is the length of the prompt, MaxOut the limit on the output and Hint the client's
+	// estimate of the output, all in tokens; 0 if not given.
 	Prompt, MaxOut, Hint int
-	// PromptID names the prompt's own last part: the same in all tries of a client;
-	// empty if not given.
+	// PromptID identifies the last part of the prompt, which is the request's own. It is the same
+	// in all tries of a client; empty if not given.
 	PromptID string
-	// Credentials are what the request shows to prove whom it is for, as they came.
+	// Credentials are the request's credentials as received, such as API keys.
 	Credentials []string
-	// After is the last event that the client has, when it resumes a stream.
+	// After is the ID of the last event that the client received, set when it resumes a stream.
 	After string
 }
 
-// Order says how a call is sent to a runner.
+// Order holds the parameters of one call to a runner.
 type Order struct {
-	// Left is the time that the runner may take.
+	// Left is the time left for the runner to respond.
 	Left time.Duration
-	// Source names the KV cache that a decode goes on from; empty for none.
+	// Source names the KV cache from which a decode continues; empty for none.
 	Source string
-	// CacheFrom is a runner that keeps the prompt in its KV cache, from which the
-	// decode runner fetches it; nil for none.
+	// CacheFrom is a runner that has the prompt in its KV cache, from which the decode runner
+	// fetches it; nil for none.
 	CacheFrom *runners.State
-	// Hold names the reservation that the call uses; empty for none.
+	// Hold is the ID of the hold that the call uses; empty for none.
 	Hold string
-	// After resumes a stream behind an event; empty takes the call's own.
+	// After is the event ID after which a stream is resumed; if empty, that of the call is used.
 	After string
-	// Priority is the call's rank at the runner, 0 to 9, 0 first.
+	// Priority is the priority of the call at the runner, from 0 (highest) to 9.
 	Priority int
-	// Keyed says that requests prove by keys whom they are for: a runner gets none of
-	// them, and is told the Workspace instead, empty where a route asks for no key.
+	// Keyed is set if clients authenticate by keys. Keys are then not forwarded: the runner
+	// receives the Workspace instead, which is empty on routes that need no key.
 	Keyed     bool
 	Workspace string
 }
 
-// Answer is a runner's answer to a call. The body must be closed.
+// Answer is a runner's response to a call. The caller must close the body.
 type Answer struct {
 	Status int
-	// Header is what goes back to the client.
+	// Header holds the headers to forward to the client.
 	Header http.Header
 	Body   io.ReadCloser
-	// NotRun is the runner's word that it has not run the call and won't.
+	// NotRun is set if the runner guarantees that it has not run the call and will not run it.
 	NotRun bool
-	// Elsewhere says that another runner has the address now, or that the
-	// runner has the wrong stage.
+	// Elsewhere is set if another runner has the address now, or if the runner is in the wrong
+	// stage.
 	Elsewhere bool
-	// Whole says that the answer carries the runner's signature and its body as
-	// it is, without which no success is passed on.
+	// Whole is set if the response carries the runner's signature and its body is not encoded.
+	// Successful responses are forwarded only if it is set.
 	Whole bool
 }
 
-// OK reports whether the answer is a success.
+// OK reports whether the status is 2xx.
 func (a *Answer) OK() bool { return a.Status >= 200 && a.Status < 300 }
 
-// Source is a prompt's KV cache at a prefill runner.
+// Source is a prompt's KV cache on a prefill runner.
 type Source struct {
 	Handle string
 	Tokens int
 }
 
-// Engines is how runners are called. Calls fail with *upstream.ErrDial, *notice.ErrLeaving or
-// *notice.ErrPaused when nothing was sent, *upstream.ErrExchange when the call may have run, and
-// *ErrDeclined when the runner refused.
+// Engines makes the calls to runners. Calls fail with *upstream.ErrDial, *notice.ErrLeaving or
+// *notice.ErrPaused if nothing was sent, with *upstream.ErrExchange if the call may have run, and
+// with *ErrDeclined if the runner refused.
 type Engines interface {
-	// Send sends a call to be run.
+	// Send sends a call to a runner, which runs it.
 	Send(ctx context.Context, r *runners.State, c *Call, o Order) (*Answer, error)
-	// Prefill has a call's prompt read and its KV cache kept.
+	// Prefill has a runner compute the KV cache of a call's prompt and keep it.
 	Prefill(ctx context.Context, r *runners.State, c *Call, o Order) (Source, error)
-	// Free gives up a KV cache that nobody will fetch.
+	// Free releases a KV cache that no runner will fetch.
 	Free(ctx context.Context, r *runners.State, s Source) error
-	// Hold reserves a slot and memory.
+	// Hold reserves a slot, and memory for a number of tokens, on a runner.
 	Hold(ctx context.Context, r *runners.State, tokens int, ttl time.Duration) (string, error)
-	// Drop gives a reservation back.
+	// Drop releases a hold.
 	Drop(ctx context.Context, r *runners.State, hold string) error
-	// Kept returns the prompts that a runner keeps in its KV cache: tokens by
-	// Call.PromptID.
+	// Kept returns the prompts in a runner's KV cache: the number of tokens by Call.PromptID.
 	Kept(ctx context.Context, r *runners.State) (map[string]int, error)
-	// Alive reports whether this very start of a runner still answers, whatever it answers. It
-	// fails with *ErrSilent where that can't be told.
+	// Alive reports whether the same incarnation of a runner still responds, with whatever status.
+	// It fails with *ErrSilent if this can't be determined.
 	Alive(ctx context.Context, r *runners.State) (bool, error)
-	// Fetch names a KV cache so that another runner can fetch it.
+	// Fetch returns the name by which another runner can fetch a KV cache.
 	Fetch(r *runners.State, s Source) string
 }
 
-// Reader takes what a request says of itself out of its headers. It does not
-// read the body.
+// Reader parses the headers of a request into a Call. It does not read the body.
 type Reader interface {
 	Read(r *http.Request) (*Call, error)
 }
--- a/pkg/ingress/drain.go
+++ b/pkg/ingress/drain.go
@@ -6,32 +6,34 @@
 )
 
 const (
-	// drainReserve is how long before the end of a drain short requests are refused: far
-	// more than plain runners take, so that hardly one is given up at the end.
+	// drainReserve is the time before the end of a drain in which short requests are refused. It is
+	// far longer than plain runners take to respond, so that hardly any request is cut off at the
+	// end.
 	drainReserve = time.Second
-	// drainResponseReserve is how long before the end of a drain what still runs of the requests
-	// that came during it is answered as timed out.
+	// drainResponseReserve is the time before the end of a drain at which requests that arrived
+	// during the drain, and still run, are failed with a timeout.
 	drainResponseReserve = 150 * time.Millisecond
 )
 
-// drain is the planned stop: for a while everything is still served, since the balancer
-// goes on sending. Then new streams are refused. Short requests are served as long as
-// streams keep the process up: a balancer without another gateway goes on sending them.
+// drain is the graceful shutdown. All requests are accepted at first, since the balancer keeps
+// sending them for a while. Then new streams are refused. Short requests are accepted as long as
+// running streams keep the process alive, because a balancer without another gateway keeps sending
+// them.
 type drain struct {
-	// period is set once the stop has begun.
+	// period is nil until the drain begins.
 	period atomic.Pointer[drainPeriod]
-	// streams counts the streams that are served.
+	// streams is the number of streams being served.
 	streams atomic.Int64
 }
 
-// drainPeriod is when a drain takes new requests, and when it ends.
+// drainPeriod holds the time until which all new requests are accepted, and the end of the drain.
 type drainPeriod struct {
 	acceptUntil, end time.Time
 }
 
 func (d *drain) begun() bool { return d.period.Load() != nil }
 
-// refuses reports whether a request that came now is no longer taken.
+// refuses reports whether a request that arrives now is refused because of the drain.
 func (d *drain) refuses(now time.Time, stream bool) bool {
 	p := d.period.Load()
 	if p == nil || now.Before(p.acceptUntil) {
@@ -40,7 +42,8 @@
 	return stream || d.streams.Load() == 0 || now.After(p.end.Add(-drainReserve))
 }
 
-// bound shortens the time of a request that came during the drain to what is left of it.
+// bound returns the time limit of a request that arrives now: during a drain at most the time left
+// until its end. A limit of 0 is none.
 func (d *drain) bound(now time.Time, limit time.Duration) time.Duration {
 	p := d.period.Load()
 	if p == nil {
@@ -53,7 +56,7 @@
 	return min(limit, left)
 }
 
-// left returns how long the drain may still take.
+// left returns the time left until the end of the drain, 0 without one.
 func (d *drain) left(now time.Time) time.Duration {
 	p := d.period.Load()
 	if p == nil {
@@ -62,15 +65,15 @@
 	return max(0, p.end.Sub(now))
 }
 
-// StartDrain begins the planned stop. All new requests are taken for accept more, and the
+// StartDrain begins the graceful shutdown. All new requests are accepted for the time accept; the
 // process ends after longest.
 func (g *Ingress) StartDrain(accept, longest time.Duration) {
 	now := time.Now()
 	g.drain.period.CompareAndSwap(nil, &drainPeriod{acceptUntil: now.Add(accept), end: now.Add(longest)})
 }
 
-// Streams returns how many streams are being served.
+// Streams returns the number of streams being served.
 func (g *Ingress) Streams() int { return int(g.drain.streams.Load()) }
 
-// Open returns how many requests are being served.
+// Open returns the number of requests being served.
 func (g *Ingress) Open() int { return int(g.open.Load()) }
--- a/pkg/ingress/drain_test.go
+++ b/pkg/ingress/drain_test.go
@@ -7,8 +7,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// While streams keep a stopping process up, short requests are served until shortly before
-// its end; new streams are not.
+// While streams keep a draining process alive, short requests are accepted until shortly before its
+// end; new streams are not.
 func TestDrainServesShortRequestsWhileStreamsRun(t *testing.T) {
 	g := NewWithT(t)
 	in := New(Options{})
@@ -23,13 +23,13 @@
 		g.Expect(d.refuses(now.Add(c.after), c.stream)).To(Equal(c.refused), "after %s, stream %t", c.after, c.stream)
 	}
 	d.streams.Store(0)
-	g.Expect(d.refuses(now.Add(3*time.Second), false)).To(BeTrue(), "nothing keeps the process up")
+	g.Expect(d.refuses(now.Add(3*time.Second), false)).To(BeTrue(), "no stream keeps the process alive")
 	g.Expect(d.bound(now.Add(7*time.Second), 4*time.Second)).To(BeNumerically("<", time.Second))
 	g.Expect(d.bound(now, 0)).To(BeNumerically(">", 7*time.Second))
 }
 
-// A refused client comes back at once where another gateway can take it, and when this one
-// is up again where there is none.
+// Retry-After is short if another gateway can serve the client, otherwise it lasts until this
+// gateway has restarted.
 func TestDrainRetryAfterDependsOnOtherGateways(t *testing.T) {
 	g := NewWithT(t)
 	others := 1
--- a/pkg/ingress/errors.go
+++ b/pkg/ingress/errors.go
@@ -10,11 +10,12 @@
 	"github.com/hopwell/hopwell/pkg/runnerlimit"
 )
 
-// ErrDeclined reports that a runner answered that it does not do what it was asked.
+// ErrDeclined reports that a runner refused a call.
 type ErrDeclined struct {
 	Runner string
 	Status int
-	// Elsewhere says that the runner is not the one that was meant.
+	// Elsewhere is set if the call reached another runner than the intended one, or one in the
+	// wrong stage.
 	Elsewhere bool
 }
 
@@ -23,7 +24,7 @@
 	return fmt.Sprintf("declined: runner=%s status=%d elsewhere=%t", e.Runner, e.Status, e.Elsewhere)
 }
 
-// ErrBadCall reports that a request lacks what every request must have.
+// ErrBadCall reports that a required field of a request is missing or malformed.
 type ErrBadCall struct {
 	Field, Expected string
 }
@@ -33,7 +34,7 @@
 	return fmt.Sprintf("bad request: field=%s expected=%q", e.Field, e.Expected)
 }
 
-// ErrNoRoute reports that no route takes a request.
+// ErrNoRoute reports that no route matches a request.
 type ErrNoRoute struct {
 	Host, Path string
 	Version    uint64
@@ -44,8 +45,8 @@
 	return fmt.Sprintf("no route: host=%s path=%s version=%d", e.Host, e.Path, e.Version)
 }
 
-// ErrNotReady reports that the process can't serve: it knows no routes yet, or
-// stops.
+// ErrNotReady reports that the process can't serve requests: it has no routes or runners yet, or it
+// is draining.
 type ErrNotReady struct {
 	Why string
 }
@@ -53,10 +54,11 @@
 // Error implements error.
 func (e *ErrNotReady) Error() string { return "not ready: why=" + e.Why }
 
-// ErrBody reports that a request's body did not come whole, or is too large.
+// ErrBody reports that the body of a request could not be read completely, or exceeds the limit in
+// bytes.
 type ErrBody struct {
 	Limit int64
-	// TooLarge tells the one from the other.
+	// TooLarge is set if the body exceeds the limit.
 	TooLarge bool
 	Err      error
 }
@@ -66,8 +68,7 @@
 	return fmt.Sprintf("bad body: limit=%d too_large=%t cause=%v", e.Limit, e.TooLarge, e.Err)
 }
 
-// ErrBusy reports that a request was refused since a limit of the process is
-// reached.
+// ErrBusy reports that a request was refused because the process reached one of its limits.
 type ErrBusy struct {
 	What  string
 	Limit int
@@ -76,10 +77,10 @@
 // Error implements error.
 func (e *ErrBusy) Error() string { return fmt.Sprintf("busy: what=%s limit=%d", e.What, e.Limit) }
 
-// ErrTimeout reports that a request's time was over.
+// ErrTimeout reports that the time limit of a request has expired.
 type ErrTimeout struct {
 	After time.Duration
-	// SetBy is "client", "route" or "drain".
+	// SetBy is what set the limit: "client", "route" or "drain".
 	SetBy string
 }
 
@@ -88,11 +89,11 @@
 	return fmt.Sprintf("out of time: after=%s whose=%s", e.After, e.SetBy)
 }
 
-// ErrGivenUp reports that a request was tried and could not be answered.
+// ErrGivenUp reports that no attempt of a request got a response.
 type ErrGivenUp struct {
 	Outcome request.Outcome
 	Sends   int
-	// Last is the last try's failure.
+	// Last is the error of the last attempt.
 	Last error
 }
 
@@ -101,10 +102,10 @@
 	return fmt.Sprintf("given up: outcome=%s sends=%d last=%v", e.Outcome, e.Sends, e.Last)
 }
 
-// Unwrap returns the last try's failure.
+// Unwrap returns the error of the last attempt.
 func (e *ErrGivenUp) Unwrap() error { return e.Last }
 
-// ErrAnswer reports that a runner's answer can't be passed on.
+// ErrAnswer reports that a runner's response can't be forwarded.
 type ErrAnswer struct {
 	Runner string
 	Status int
@@ -116,7 +117,7 @@
 	return fmt.Sprintf("unusable answer: runner=%s status=%d why=%s", e.Runner, e.Status, e.Why)
 }
 
-// ErrRetryBudget reports that no further send is allowed now.
+// ErrRetryBudget reports that the retry budget allows no further send now.
 type ErrRetryBudget struct {
 	Service string
 }
@@ -124,10 +125,11 @@
 // Error implements error.
 func (e *ErrRetryBudget) Error() string { return "retry budget spent: service=" + e.Service }
 
-// ErrLimited reports that all runners that could serve a request name limits, and take no more now.
+// ErrLimited reports that all runners that could serve a request have reached their rate limits.
 type ErrLimited struct {
 	Service string
-	// Runner is the one that has room first, Limit what it names, After how long until then.
+	// Runner is the one that has room first, Limit its rate limit, and After the time until it has
+	// room.
 	Runner string
 	Limit  runnerlimit.Status
 	After  time.Duration
@@ -138,7 +140,7 @@
 	return fmt.Sprintf("runners take no more: service=%s first=%s after=%s %s", e.Service, e.Runner, e.After.Round(time.Millisecond), e.Limit)
 }
 
-// ErrBroken reports that an answer broke off after a part of it had been passed on.
+// ErrBroken reports that a response ended early, after a part of it had been forwarded.
 type ErrBroken struct {
 	Runner string
 	After  string
@@ -153,7 +155,7 @@
 // Unwrap returns the cause.
 func (e *ErrBroken) Unwrap() error { return e.Err }
 
-// ErrSilent reports that a runner said nothing in the time that it had.
+// ErrSilent reports that a runner did not respond in time.
 type ErrSilent struct {
 	Runner string
 	Err    error
@@ -165,7 +167,7 @@
 // Unwrap returns the cause.
 func (e *ErrSilent) Unwrap() error { return e.Err }
 
-// ErrRunnerLeft reports that a runner stopped to take work after room was reserved on it.
+// ErrRunnerLeft reports that a runner stopped accepting work after room was reserved on it.
 type ErrRunnerLeft struct {
 	Runner string
 }
@@ -173,14 +175,14 @@
 // Error implements error.
 func (e *ErrRunnerLeft) Error() string { return "runner takes no more work: runner=" + e.Runner }
 
-// notAdmitted reports whether a call was not made because its runner leaves, or wants a pause.
+// notAdmitted reports whether a call was not made because its runner is leaving or paused.
 func notAdmitted(err error) bool {
 	var leaving *notice.ErrLeaving
 	var paused *notice.ErrPaused
 	return errors.As(err, &leaving) || errors.As(err, &paused)
 }
 
-// errClientGone reports that the client left.
+// errClientGone reports that the client disconnected.
 type errClientGone struct{}
 
 // Error implements error.
--- a/pkg/ingress/exchange.go
+++ b/pkg/ingress/exchange.go
@@ -17,7 +17,7 @@
 	"github.com/hopwell/hopwell/pkg/workspace"
 )
 
-// exchange is one request while it is served.
+// exchange is the state of one request while it is served.
 type exchange struct {
 	g       *Ingress
 	w       *httpd.StallWriter
@@ -25,31 +25,32 @@
 	route   *routetable.Route
 	service string
 	arrived time.Time
-	// table is the one that the request is served by, whatever comes into force
-	// meanwhile, and version its version.
+	// table is the route table that was in force when the request arrived, and version its version.
+	// The request is served by it even if a newer one comes into force.
 	table   *routetable.Table
 	version uint64
-	// workspace is the one that the request is for, key what proved it; nil where no key
-	// is asked for.
+	// workspace is the workspace of the request, and key the digest of the key that it was
+	// authenticated by; both are unset if no key is required.
 	workspace *workspace.Workspace
 	key       workspace.Digest
-	// cost is what was taken from the workspace's limit, life what became of the request.
+	// cost is what the request was charged on its workspace's quota. life tracks the attempts of
+	// the request.
 	cost float64
 	life *request.Life
-	// sends counts the sends to runners, prefills not.
+	// sends counts the calls that run the request on a runner, without prefills.
 	sends int
-	// bufferedBytes is what its body and its answer take of the memory for what is held for
-	// others.
+	// bufferedBytes is the part of Options.MaxHeld that this request's body and buffered response
+	// use.
 	bufferedBytes int64
 	rank          enginepool.Rank
 	ctx           context.Context
-	// asked is the digest of what the request asks, once it was needed.
+	// cachedDigest is the digest of the request's content; nil until it is first needed.
 	cachedDigest *quarantine.Digest
-	// fields are what the final line tells besides the outcome.
+	// fields are added to the request's final log line.
 	fields []decisionlog.Field
 }
 
-// accept finds the route and reads the body.
+// accept parses the request, finds its route, authenticates it and reads its body.
 func (x *exchange) accept(r *http.Request) error {
 	call, err := x.g.options.Reader.Read(r)
 	x.call = call
@@ -78,7 +79,7 @@
 	return x.checkQuarantine()
 }
 
-// readBody reads the body whole, since it may be sent more than once.
+// readBody reads the whole body into memory, since it may be sent more than once.
 func (x *exchange) readBody(r *http.Request, limit int64) error {
 	if r.ContentLength > limit {
 		return &ErrBody{Limit: limit, TooLarge: true}
@@ -117,8 +118,9 @@
 	return nil
 }
 
-// reserveMemory takes memory for what is held for a client or a runner. Where there is none left, new
-// bodies are refused first: nothing was done for them yet, and their clients may come back.
+// reserveMemory reserves n bytes of the memory for buffered bodies and responses; a negative n
+// releases them. When the memory is used up, requests with new bodies are refused first: no work
+// has been done for them yet, and their clients may retry.
 func (x *exchange) reserveMemory(n int64) bool {
 	if x.g.bufferedBytes.Add(n) > x.g.options.MaxHeld && n > 0 {
 		x.g.bufferedBytes.Add(-n)
@@ -128,8 +130,8 @@
 	return true
 }
 
-// bound gives the request's context its end: that of the client's patience or of
-// the route's time, whichever is first.
+// withDeadline returns a context that ends at the client's time limit, the route's or that of the
+// drain, whichever is first.
 func (x *exchange) withDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
 	limit, whose := x.route.Timeout, "route"
 	if x.call.Patience > 0 && (limit <= 0 || x.call.Patience < limit) {
@@ -144,7 +146,7 @@
 	return context.WithDeadlineCause(ctx, x.arrived.Add(limit), &ErrTimeout{After: limit, SetBy: whose})
 }
 
-// left returns the time that the request still has.
+// timeLeft returns the time until the request's deadline; 0 without a deadline.
 func (x *exchange) timeLeft() time.Duration {
 	end, ok := x.ctx.Deadline()
 	if !ok {
@@ -153,7 +155,8 @@
 	return max(time.Until(end), time.Millisecond)
 }
 
-// over returns why the request must end now, nil if it need not.
+// endReason returns why the request has to end now: *ErrTimeout or errClientGone, nil if neither
+// applies.
 func (x *exchange) endReason() error {
 	if x.ctx.Err() == nil {
 		return nil
--- a/pkg/ingress/forward.go
+++ b/pkg/ingress/forward.go
@@ -15,28 +15,28 @@
 )
 
 const (
-	// maxBuffered bounds the answers that are held back until they are whole, in
-	// bytes; longer ones are passed on as they come, and others while memory is short.
+	// maxBuffered is the size in bytes up to which a response is buffered until it is complete.
+	// Longer responses are streamed, and so are all while memory is short.
 	maxBuffered = 256 << 10
-	// maxRefused bounds the sends of a request that runners turned away.
+	// maxRefused is the number of refusals by runners after which a request is still retried.
 	maxRefused = 3
-	// minPlainRetryAfter is when a client may come back whom no plain runner took.
+	// minPlainRetryAfter is the shortest Retry-After of a request that no plain runner accepted.
 	minPlainRetryAfter = 300 * time.Millisecond
 )
 
-// sendResult is what became of one send.
+// sendResult is the result of one send to a runner.
 type sendResult int
 
 const (
-	// responded: the client has its answer, or has a part of one.
+	// responded means that the client has received at least a part of the response.
 	responded sendResult = iota
-	// notRun: the runner has not run the request.
+	// notRun means that the runner has not run the request.
 	notRun
-	// mayHaveRun: it has, or it may have.
+	// mayHaveRun means that the runner has run the request or may have run it.
 	mayHaveRun
 )
 
-// forward serves a request by a plain service.
+// forward serves a request by the runners of a plain service.
 func (x *exchange) forward() {
 	life := request.NewLife(x.call.ID, x.route.Repeatable())
 	x.life = life
@@ -88,7 +88,7 @@
 // plainRetryAfter returns the Retry-After for a request that no plain runner accepted.
 func plainRetryAfter(last error) time.Duration { return max(roomAfter(last), minPlainRetryAfter) }
 
-// firstError returns the first error that is one.
+// firstError returns the first non-nil error.
 func firstError(errs ...error) error {
 	for _, err := range errs {
 		if err != nil {
@@ -98,8 +98,8 @@
 	return nil
 }
 
-// sendPlain makes one try. A failure that the runner itself responded goes back
-// if the try is the final one.
+// sendPlain sends the request to a runner once. A 5xx response of the runner is forwarded to the
+// client only in the final attempt.
 func (x *exchange) sendPlain(life *request.Life, n int, runner *runners.State, final bool) (sendResult, error) {
 	began := time.Now()
 	defer runner.Release(x.call.ID)
@@ -145,7 +145,7 @@
 	return v, err
 }
 
-// logRunnerLimit records that the request is sent to a runner that names a limit.
+// logRunnerLimit logs a send to a runner that announces a rate limit.
 func (x *exchange) logRunnerLimit(runner *runners.State) {
 	if limit, ok := runner.Limit(time.Now()); ok {
 		x.logStep("sent_within_limit", decisionlog.F("runner", runner.ID), decisionlog.F("limit", limit.PerSecond), decisionlog.F("named_ago", limit.NamedAgo),
@@ -153,15 +153,15 @@
 	}
 }
 
-// maxDiscarded bounds what is read of an answer that nobody gets, in bytes, so that its
-// connection can be used again.
+// maxDiscarded is the number of bytes read of a response that is not forwarded, so that its
+// connection can be reused.
 const maxDiscarded = 16 << 10
 
-// discard reads an answer that nobody gets. What of it is not there yet ends with its
-// connection.
+// discard drains a response that is not forwarded, up to maxDiscarded. If the response is longer,
+// its connection is closed.
 func discard(a *Answer) { _, _ = io.CopyN(io.Discard, a.Body, maxDiscarded) }
 
-// sendFailed records a send without an answer.
+// sendFailed records a send that got no response.
 func (x *exchange) sendFailed(life *request.Life, n int, runner *runners.State, err error) (sendResult, error) {
 	if gone := x.endReason(); gone != nil {
 		return mayHaveRun, gone
@@ -187,7 +187,7 @@
 	return mayHaveRun, err
 }
 
-// declined records a runner's refusal.
+// declined records a refusal by a runner.
 func (x *exchange) declined(runner *runners.State, a *Answer) {
 	if a.Elsewhere {
 		runner.MarkUnusable(time.Now())
@@ -198,8 +198,8 @@
 	x.logStep("declined", decisionlog.F("runner", runner.ID), decisionlog.F("status", a.Status), decisionlog.F("elsewhere", a.Elsewhere))
 }
 
-// forwardResponse gives an answer to the client: whole if it is short, as it comes if it
-// is long.
+// forwardResponse forwards a response to the client: buffered and in one piece if it is short,
+// streamed if it is long.
 func (x *exchange) forwardResponse(life *request.Life, n int, a *Answer, runner *runners.State) (sendResult, error) {
 	held, whole, err := x.bufferBody(a.Body)
 	if err != nil {
@@ -227,7 +227,7 @@
 	return responded, nil
 }
 
-// end records the request's whole answer.
+// recordEnd records that the response is complete.
 func (x *exchange) recordEnd(life *request.Life, n int) {
 	_ = life.End(n, 0)
 }
--- a/pkg/ingress/forward_test.go
+++ b/pkg/ingress/forward_test.go
@@ -11,8 +11,8 @@
 	"github.com/hopwell/hopwell/pkg/runners"
 )
 
-// plain returns an ingress that knows two plain runners, "a" healthy and "b" at
-// rest for its failures.
+// newPlainIngress returns an ingress with two plain runners: "a" is healthy, "b" is backed off
+// after a failed connection.
 func newPlainIngress() *Ingress {
 	g := New(Options{Domain: "d"})
 	for _, id := range []string{"a", "b"} {
@@ -26,14 +26,14 @@
 	return g
 }
 
-// chosen returns the runner that a request gets, nil for none.
+// chosen returns the runner chosen for a request, nil for none.
 func chosen(g *Ingress, w plainRequest) *runners.State {
 	runner, _ := g.choosePlain(w)
 	return runner
 }
 
-// A repeatable request whose only healthy runner failed is tried at one that
-// rests, rather than given up: its answer is lost either way.
+// A repeatable request whose only healthy runner failed is sent to one in backoff rather than given
+// up: without a retry it would be lost as well.
 func TestRepeatableRequestFallsBackToUnreachableRunner(t *testing.T) {
 	g := NewWithT(t)
 	in := newPlainIngress()
@@ -42,8 +42,8 @@
 	g.Expect(chosen(in, plainRequest{service: "s", repeatable: true, avoid: map[string]bool{"a": true, "b": true}})).To(BeNil())
 }
 
-// What must not be repeated is not risked there: it has not run yet, and its
-// client may come back.
+// A request that must not be repeated is not risked on a runner in backoff: it has not run yet, and
+// its client may retry.
 func TestNonRepeatableRequestSkipsUnreachableRunner(t *testing.T) {
 	g := NewWithT(t)
 	in := newPlainIngress()
@@ -51,8 +51,8 @@
 	g.Expect(chosen(in, plainRequest{service: "s", avoid: map[string]bool{"a": true}})).To(BeNil())
 }
 
-// A request that must not be repeated is lost where its answer is: a runner that fails
-// some answers gets it only when the others have far more work.
+// A request that must not be repeated is lost if its response is lost. A runner that fails some
+// requests gets it only if the others have far more work.
 func TestNonRepeatableRequestAvoidsFailingRunner(t *testing.T) {
 	g := NewWithT(t)
 	in := New(Options{})
@@ -74,10 +74,11 @@
 	for range 10 {
 		good.Enter()
 	}
-	g.Expect(chosen(in, plainRequest{service: "s"}).ID).To(Equal("bad"), "the other can't carry it all")
+	g.Expect(chosen(in, plainRequest{service: "s"}).ID).To(Equal("bad"), "the other runner can't serve everything")
 }
 
-// Guards against gateways that together open more connections to plain runners than these take.
+// Guards against gateways that together open more connections to plain runners than the runners
+// accept.
 func TestGatewaySubsetsBoundConnectionsPerRunner(t *testing.T) {
 	g := NewWithT(t)
 	const most, gateways = 250, 300
@@ -93,7 +94,7 @@
 		first := chosen(in, plainRequest{service: "s"})
 		g.Expect(chosen(in, plainRequest{service: "s", repeatable: true})).To(Equal(first))
 		users[first.ID]++
-		// What it uses has failed the request, or is gone: the others are there still.
+		// Runners outside the subset are candidates if those inside failed the request or were removed.
 		g.Expect(chosen(in, plainRequest{service: "s", avoid: map[string]bool{first.ID: true}})).NotTo(BeNil())
 	}
 	for _, n := range users {
--- a/pkg/ingress/generate.go
+++ b/pkg/ingress/generate.go
@@ -17,50 +17,51 @@
 )
 
 const (
-	// newRequestWaitShare is the part of its latency target that a new request may wait
-	// for room before it is refused with a time to come back.
+	// newRequestWaitShare is the share of its latency target that a new request may wait for room
+	// before it is refused with Retry-After.
 	newRequestWaitShare = 0.22
-	// minClientTimeout and the two factors give how long clients wait for a
-	// stream's first event: the longest of the three.
+	// minClientTimeout and the two factors estimate how long clients wait for the first event of a
+	// stream: the longest of this time, latencyFactor times the latency target and gapFactor times
+	// the target gap between events.
 	minClientTimeout = 2 * time.Second
 	latencyFactor    = 4
 	gapFactor        = 8
-	// serveReserve is what is left of that for the prefill and the first event.
+	// serveReserve is the part of that time kept for the prefill and the first event.
 	serveReserve = 500 * time.Millisecond
-	// holdTimeout bounds a call that reserves memory.
+	// holdTimeout limits the call that takes a hold.
 	holdTimeout = 400 * time.Millisecond
-	// A prefill whose answer has not come after prefillSlack and prefillFactor
-	// times the expected time is taken for lost; where the runner has failed
-	// next to nothing lately, after trustedPrefillSlack instead.
+	// A prefill is considered lost if no response has come after its slack plus prefillFactor times
+	// the expected time. The slack is prefillSlack, or trustedPrefillSlack if the runner has hardly
+	// failed lately.
 	prefillSlack        = 300 * time.Millisecond
 	trustedPrefillSlack = 1000 * time.Millisecond
 	prefillFactor       = 2
-	// trustedFailureRate is the failure rate below which a runner is trusted.
+	// trustedFailureRate is the failure rate below which a runner gets trustedPrefillSlack.
 	trustedFailureRate = 0.04
-	// holdOutputTokens is how many tokens of the answer are reserved with the prompt:
-	// the rest is reserved in the pool's model alone.
+	// holdOutputTokens is the number of output tokens held in addition to the prompt. The rest of
+	// the output is reserved only in the model of the pool.
 	holdOutputTokens = 256
-	// localPrefillAfter is the expected time of a prefill above which the decode
-	// runner reads the prompt itself.
+	// localPrefillAfter is the expected time of a prefill above which the decode runner computes
+	// the prompt itself.
 	localPrefillAfter = 900 * time.Millisecond
 	// localPrefillFailureRate is the failure rate of the best prefill runner above which the decode
-	// runner reads the prompt itself: one answer then may be lost instead of two, and a
+	// runner computes the prompt itself. Only one response can be lost then instead of two, and a
 	// lost prefill costs a second.
 	localPrefillFailureRate = 0.1
-	// releaseTimeout bounds the giving back of what is not needed.
+	// releaseTimeout limits calls that release a hold or a KV cache.
 	releaseTimeout = time.Second
-	// defaultOutputTokens is expected of answers whose length nobody guesses, in tokens.
+	// defaultOutputTokens is the expected output, in tokens, of a request without a length hint.
 	defaultOutputTokens = 512
-	// minStreamRetryAfter and maxStreamRetryAfter are when refused requests come back, and
-	// retryAfterShare bounds it by the time that the client has left.
+	// minStreamRetryAfter and maxStreamRetryAfter are the range of Retry-After for refused streams.
+	// retryAfterShare limits it to a share of the time that the client has left.
 	minStreamRetryAfter = 3000 * time.Millisecond
 	maxStreamRetryAfter = 4600 * time.Millisecond
 	retryAfterShare     = 0.33
-	// maxPrefills bounds the prefills of one try.
+	// maxPrefills limits the prefills of one attempt.
 	maxPrefills = 2
 )
 
-// generation is a request to model engines while it is served.
+// generation is the state of one request to model engines while it is served.
 type generation struct {
 	*exchange
 	pool   *enginepool.Pool
@@ -68,20 +69,21 @@
 	life   *request.Life
 	engine *routetable.Engine
 	job    enginepool.Job
-	// failedPrefill are the prefill runners whose work was of no use.
+	// failedPrefill holds the IDs of the prefill runners that failed or whose KV cache could not be
+	// fetched.
 	failedPrefill map[string]bool
-	// charged is set when the last prefill was turned away and charged for.
+	// charged is set if the last prefill was refused and already charged to the retry budget.
 	charged bool
-	// keeper is the runner that keeps most of the prompt in its KV cache, and kept how
-	// many tokens, when a client resumes a stream; nil for none.
+	// cacheHolder is the runner that has the longest part of the prompt in its KV cache, and
+	// cachedTokens the length of that part, if a client resumes a stream; nil for none.
 	cacheHolder  *runners.State
 	cachedTokens int
-	// failedDecode are the decode runners that failed the request.
+	// failedDecode holds the IDs of the decode runners that failed the request.
 	failedDecode map[string]bool
 	relay        relay
 }
 
-// generate serves a request by engines: room for the decode first, then the
+// generate serves a request by engines. It reserves room for the decode first, then runs the
 // prefill, then the decode.
 func (x *exchange) generate(engine *routetable.Engine) {
 	x.rank = enginepool.Fresh
@@ -105,8 +107,8 @@
 	s.run()
 }
 
-// findCachedPrompt asks the engines which of them keeps the prompt of a stream that the client
-// resumes, so that it need not be computed again.
+// findCachedPrompt asks the engines which of them has the prompt of a resumed stream in its KV
+// cache, so that it need not be computed again.
 func (s *generation) findCachedPrompt() {
 	present := slices.DeleteFunc(s.g.Directory.Present(s.service, time.Now()), func(r *runners.State) bool { return !s.allows(r.Domain) })
 	s.cacheHolder, s.cachedTokens = s.g.promptCaches.find(s.ctx, present, s.call.PromptID)
@@ -115,7 +117,7 @@
 	}
 }
 
-// guess returns the client's guess of the answer's length, in tokens.
+// lengthHint returns the client's estimate of the output in tokens, or a default.
 func (s *generation) lengthHint() int {
 	if s.call.Hint > 0 {
 		return s.call.Hint
@@ -126,7 +128,7 @@
 	return defaultOutputTokens
 }
 
-// run makes tries until the request is responded or given up.
+// run makes attempts until the request has its response or is given up.
 func (s *generation) run() {
 	var last error
 	runs, refusals := 0, 0
@@ -162,7 +164,8 @@
 	s.abandon(firstError(s.endReason(), last))
 }
 
-// end gives the request up.
+// abandon ends the request without a complete response. If a part of the stream was sent, the
+// connection is aborted.
 func (s *generation) abandon(last error) {
 	if gone, ok := last.(errClientGone); ok {
 		s.finish(0, gone)
@@ -176,8 +179,9 @@
 	s.giveUp(s.life, last, s.streamRetryAfter(last))
 }
 
-// streamRetryAfter returns when a refused client should ask again: after the first pause where all runners have
-// one, otherwise not all at once, and well before its time is over.
+// streamRetryAfter returns the Retry-After of a refused stream: the end of the first pause if all
+// runners are paused, otherwise a random time, so that clients do not all retry at once, and well
+// before the client's timeout.
 func (s *generation) streamRetryAfter(last error) time.Duration {
 	if after := roomAfter(last); after > 0 {
 		return max(after, shortRetryAfter)
@@ -189,7 +193,7 @@
 	return minStreamRetryAfter + time.Duration(rand.Int64N(int64(longest-minStreamRetryAfter)))
 }
 
-// try makes one try: room, prefill, decode.
+// try makes one attempt: it reserves room, runs the prefill and then the decode.
 func (s *generation) try(n int) (sendResult, error) {
 	if err := s.checkQuarantine(); err != nil {
 		return notRun, err
@@ -211,7 +215,7 @@
 	return s.decode(n, room, source, prefillRunner)
 }
 
-// decode has the answer made and passes it on.
+// decode runs the decode on the reserved runner and forwards its stream.
 func (s *generation) decode(n int, room *reservation, source Source, prefillRunner *runners.State) (sendResult, error) {
 	runner := room.runner
 	if !runner.Usable(time.Now()) {
@@ -266,7 +270,7 @@
 	return s.handleResponse(n, runner, answer)
 }
 
-// avoidDeclining keeps the request from a runner that turned it away, as long as another is left.
+// avoidDeclining excludes a runner that refused the request, as long as another runner is left.
 func (s *generation) avoidDeclining(runner *runners.State) {
 	now := time.Now()
 	for _, other := range s.g.Directory.Stage(s.service, runners.Decode) {
@@ -277,8 +281,8 @@
 	}
 }
 
-// recordRecomputed records a prompt that the decode runner has to read although a runner read
-// it before: that of a resumed stream.
+// recordRecomputed records a prompt that the decode runner has to compute although another runner
+// computed it before, which is the case for resumed streams.
 func (s *generation) recordRecomputed(runner *runners.State) {
 	switch {
 	case s.relay.begun:
@@ -288,7 +292,7 @@
 	}
 }
 
-// take passes a decode's answer on, or finds that it can't be.
+// handleResponse forwards the response of a decode runner, or returns why it can't be forwarded.
 func (s *generation) handleResponse(n int, runner *runners.State, answer *Answer) (sendResult, error) {
 	bad := &ErrAnswer{Runner: runner.ID, Status: answer.Status, Why: "runner failed"}
 	if answer.OK() && answer.Whole {
--- a/pkg/ingress/identity.go
+++ b/pkg/ingress/identity.go
@@ -11,20 +11,21 @@
 	"github.com/hopwell/hopwell/pkg/workspace"
 )
 
-// Revocation says how keys that were taken away are kept out.
+// Revocation holds the settings that stop revoked keys from being accepted while the gateway may
+// have missed the revocation.
 type Revocation struct {
-	// After is how long ago the store may have been known to hold nothing newer before
-	// requests with a key are refused; 0 for any time.
+	// After is the age of the last confirmation, by the store, that there is nothing newer, above
+	// which requests with a key are refused; 0 for no limit.
 	After time.Duration
-	// Confirmed returns when, by boottime, the store was asked last of which it is known that
-	// it held nothing newer then; zero for never.
+	// Confirmed returns the time, by boottime, of the last read of the store that is known to have
+	// found nothing newer; zero for never.
 	Confirmed func() time.Time
 }
 
-// ErrUnconfirmed reports that a request was refused since its key may have been taken away
-// without this gateway knowing.
+// ErrUnconfirmed reports that a request was refused because its key may have been revoked without
+// this gateway knowing.
 type ErrUnconfirmed struct {
-	// Age is how old the knowledge is, Limit how old it may be.
+	// Age is the time since the last confirmation, Limit the longest allowed.
 	Age, Limit time.Duration
 }
 
@@ -33,12 +34,12 @@
 	return fmt.Sprintf("keys not confirmed: age=%s limit=%s", e.Age, e.Limit)
 }
 
-// unconfirmedRetryAfter is when a client may come back whose key can't be confirmed: the balancer
-// has moved it to another gateway by then if just this one is cut off (two questions, one a
-// second), and a short outage of the store is over.
+// unconfirmedRetryAfter is the Retry-After of a request whose key can't be confirmed. If only this
+// gateway is cut off from the store, the balancer has moved the client to another one by then (it
+// needs two health checks, one per second). A short outage of the store is over by then, too.
 const unconfirmedRetryAfter = 2 * time.Second
 
-// identify finds the workspace that a request is for, where requests must prove it. It fails
+// identify authenticates the request and sets its workspace, if its route requires a key. It fails
 // with *workspace.ErrCredential or *ErrUnconfirmed.
 func (x *exchange) identify() error {
 	if x.table.Workspaces == nil || x.route.Public {
@@ -56,7 +57,7 @@
 	return nil
 }
 
-// unconfirmed returns *ErrUnconfirmed if keys can't be relied on now.
+// unconfirmed returns *ErrUnconfirmed if the last confirmation of the keys is too old.
 func (g *Ingress) unconfirmed() error {
 	limit := g.options.Revocation.After
 	if limit <= 0 {
@@ -68,9 +69,9 @@
 	return nil
 }
 
-// reconfirm checks once more that a request may run before it is sent to a runner: while it
-// waited its key may have been taken away, the process may have stood still, or others like it
-// may have crashed their runners.
+// reconfirm checks again, right before a request is sent to a runner, that it may run. While it
+// waited, its key may have been revoked, the process may have been suspended, or requests with the
+// same content may have crashed their runners.
 func (x *exchange) reconfirm() error {
 	if err := x.checkQuarantine(); err != nil {
 		return err
@@ -88,7 +89,7 @@
 	return &workspace.ErrCredential{Why: workspace.Unknown, Fingerprint: x.key.Fingerprint()}
 }
 
-// order returns what every send of the request has in common.
+// order returns the parameters that all calls of the request share.
 func (x *exchange) order() Order {
 	o := Order{Left: x.timeLeft(), Priority: x.priority(), Keyed: x.table.Workspaces != nil}
 	if x.workspace != nil {
@@ -97,8 +98,8 @@
 	return o
 }
 
-// priority returns how urgent the request is, 0 most: its workspace's word goes before its
-// route's.
+// priority returns the priority of the request, 0 being the highest. The workspace's setting
+// overrides the route's.
 func (x *exchange) priority() int {
 	if x.workspace != nil && x.workspace.Priority != nil {
 		return *x.workspace.Priority
@@ -106,7 +107,7 @@
 	return x.route.Priority
 }
 
-// notAllowed reports whether a try ended since the request may not be served any more.
+// notAllowed reports whether an attempt ended because the request may no longer be served.
 func notAllowed(err error) bool {
 	var credential *workspace.ErrCredential
 	var unconfirmed *ErrUnconfirmed
--- a/pkg/ingress/identity_test.go
+++ b/pkg/ingress/identity_test.go
@@ -12,7 +12,7 @@
 	"github.com/hopwell/hopwell/pkg/workspace"
 )
 
-// keyed returns a configuration version in which some keys speak for workspace "w".
+// tableWithKeys returns a route table of the given version, with keys that belong to workspace "w".
 func tableWithKeys(t *testing.T, version uint64, keys ...string) *routetable.Table {
 	t.Helper()
 	w := workspace.Workspace{Name: "w", Limit: workspace.Limit{Unit: workspace.Requests}}
@@ -31,7 +31,7 @@
 	return table
 }
 
-// asked returns a request to a path with some values of the Authorization header.
+// newExchange returns a request to a path with the given values of the Authorization header.
 func newExchange(g *Ingress, path string, credentials ...string) *exchange {
 	table := g.Table()
 	return &exchange{g: g, arrived: time.Now(), table: table, route: table.Match("", path), call: &Call{Credentials: credentials}}
@@ -64,7 +64,7 @@
 	g.Expect(x.order().Priority).To(Equal(7))
 }
 
-// A key that is taken away while its request waits is refused before the request is sent.
+// A key that is revoked while its request waits is refused before the request is sent.
 func TestKeyRevokedWhileWaitingIsRefused(t *testing.T) {
 	g := NewWithT(t)
 	in := New(Options{})
@@ -76,8 +76,8 @@
 	g.Expect(notAllowed(x.reconfirm())).To(BeTrue())
 }
 
-// Guards against keys that are taken away while the machine is suspended and accepted when it is back: the
-// steady clock stands still meanwhile.
+// Guards against accepting, after a suspension of the machine, keys that were revoked meanwhile:
+// the steady clock stood still, so the last confirmation would look recent.
 func TestKeysAreUnconfirmedAfterSuspension(t *testing.T) {
 	g := NewWithT(t)
 	confirmed := boottime.Now()
@@ -91,8 +91,8 @@
 	g.Expect(errors.As(newExchange(in, "/closed/", "Bearer k").identify(), &old)).To(BeTrue())
 }
 
-// Keys that fail closed are refused, also such as nobody knows, once the configuration is not
-// confirmed any more: never with the word that they are not valid.
+// If keys fail closed and the configuration is no longer confirmed, all keys are refused, also
+// unknown ones, but never as invalid.
 func TestUnconfirmedKeysAreNotReportedInvalid(t *testing.T) {
 	g := NewWithT(t)
 	confirmed := time.Now()
@@ -102,12 +102,12 @@
 	g.Expect(x.identify()).To(Succeed())
 	confirmed = time.Now().Add(-2 * time.Second)
 	var old *ErrUnconfirmed
-	g.Expect(errors.As(x.reconfirm(), &old)).To(BeTrue(), "it stood still while the request waited")
+	g.Expect(errors.As(x.reconfirm(), &old)).To(BeTrue(), "the process was suspended while the request waited")
 	for _, credential := range []string{"Bearer k", "Bearer unknown", ""} {
 		g.Expect(errors.As(newExchange(in, "/closed/", credential).identify(), &old)).To(BeTrue(), credential)
 	}
 	g.Expect(newExchange(in, "/open/").identify()).To(Succeed())
 	open := New(Options{})
 	open.Use(tableWithKeys(t, 1, "k"))
-	g.Expect(newExchange(open, "/closed/", "Bearer k").identify()).To(Succeed(), "where keys don't fail closed")
+	g.Expect(newExchange(open, "/closed/", "Bearer k").identify()).To(Succeed(), "keys don't fail closed")
 }
--- a/pkg/ingress/ingress.go
+++ b/pkg/ingress/ingress.go
@@ -1,6 +1,6 @@
-// Package ingress serves clients' requests to operators' routes before runners
-// that admit by themselves. Bodies and answers go through unchanged; what is
-// decided is where, when and how often a request is sent.
+// Package ingress serves clients' requests by forwarding them to runners, which do their own
+// admission control. Bodies and responses are forwarded unchanged. The package decides where, when
+// and how often a request is sent.
 package ingress
 
 import (
@@ -19,9 +19,9 @@
 	"github.com/hopwell/hopwell/pkg/runners"
 )
 
-// Options are an ingress's settings.
+// Options are the settings of an Ingress.
 type Options struct {
-	// Name is the gateway's, which tells it from the others.
+	// Name identifies the gateway among all gateways.
 	Name string
 	// Domain is the failure domain of the process, Regions the region of each failure domain.
 	Domain  string
@@ -29,38 +29,38 @@
 	Engines Engines
 	Reader  Reader
 	Log     *decisionlog.Log
-	// Budget is shared by all gateways.
+	// Budget holds the retry limits, which all gateways share.
 	Budget retrybudget.Limits
-	// Gateways is how many gateways there are at first.
+	// Gateways is the initial number of gateways.
 	Gateways int
-	// MaxOpen bounds the requests that are served at once, MaxHeld the bytes of their bodies
-	// and of answers that are held back, together.
+	// MaxOpen limits the requests served at once. MaxHeld limits the total bytes of request bodies
+	// and buffered responses.
 	MaxOpen int
 	MaxHeld int64
-	// Neighbours returns how many other gateways are in the failure domain: the
-	// balancer sends clients to those first. Nil for unknown.
+	// Neighbours returns the number of other gateways in the failure domain, to which the balancer
+	// sends clients first. Nil if it is not known.
 	Neighbours func() int
-	// Pool tunes the choice of engines.
+	// Pool holds the settings of the choice of engines.
 	Pool enginepool.Options
-	// Revocation says when keys are not relied on.
+	// Revocation says when keys are refused because they can't be confirmed.
 	Revocation Revocation
-	// Quota keeps workspaces within their limits; nil for no limits.
+	// Quota enforces the workspaces' quotas; nil for none.
 	Quota *quota.Ledger
-	// Suspicion keeps requests from runners that crash those that run them.
+	// Suspicion quarantines requests that crash runners.
 	Suspicion Suspicion
 }
 
 // Ingress serves requests. It is safe for concurrent use.
 type Ingress struct {
 	options Options
-	// Directory is filled by whoever watches the store.
+	// Directory holds the runners. It is filled by the watcher of the store.
 	Directory    *runners.Directory
 	table        atomic.Pointer[routetable.Table]
 	metrics      *meters
 	drain        drain
 	promptCaches *promptCaches
 	open         atomic.Int64
-	// lastArrival is when the newest request came, in nanoseconds of Unix time.
+	// lastArrival is the arrival of the latest request, in nanoseconds of Unix time.
 	lastArrival   atomic.Int64
 	bufferedBytes atomic.Int64
 
@@ -68,11 +68,11 @@
 	pools    map[string]*enginepool.Pool
 	budgets  map[string]*retrybudget.Budget
 	gateways int
-	// returns tells returning clients from new ones, by route.
+	// returnDetectors detects returning clients, by route.
 	returnDetectors map[string]*returnDetector
 }
 
-// New returns an ingress that knows no routes yet.
+// New returns an Ingress without routes.
 func New(o Options) *Ingress {
 	return &Ingress{
 		options: o, promptCaches: newPromptCaches(o.Engines, o.Log), Directory: runners.NewDirectory(o.Name), metrics: newMeters(), gateways: o.Gateways,
@@ -80,8 +80,8 @@
 	}
 }
 
-// Use puts a table into force. A table that is not newer is left, and false is
-// returned: configurations never go back.
+// Use puts a route table into force. It ignores a table that is not newer than the one in force and
+// returns false, so that the configuration never goes back.
 func (g *Ingress) Use(t *routetable.Table) bool {
 	for {
 		old := g.table.Load()
@@ -106,8 +106,8 @@
 // Table returns the table in force, nil before the first.
 func (g *Ingress) Table() *routetable.Table { return g.table.Load() }
 
-// Ready reports whether new connections should come here.
-// One that can't rely on any key is of no use to clients where all show one.
+// Ready reports whether the balancer should send new connections to this process. It is not ready
+// while it can't confirm keys, if workspaces authenticate by key: it would refuse their requests.
 func (g *Ingress) Ready() bool {
 	if !g.informed() || g.drain.begun() {
 		return false
@@ -115,15 +115,15 @@
 	return g.Table().Workspaces == nil || g.unconfirmed() == nil
 }
 
-// Idle reports whether no request has come for a time and none is served.
+// Idle reports whether no request is being served and none has arrived for the given time.
 func (g *Ingress) Idle(now time.Time, since time.Duration) bool {
 	return g.open.Load() == 0 && now.Sub(time.Unix(0, g.lastArrival.Load())) >= since
 }
 
-// informed reports whether routes and runners are known.
+// informed reports whether the process has a route table and at least one runner.
 func (g *Ingress) informed() bool { return g.table.Load() != nil && g.Directory.Len() > 0 }
 
-// pool returns the engines of a service.
+// pool returns the engine pool of a service and creates it if needed.
 func (g *Ingress) pool(service string) *enginepool.Pool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -135,7 +135,7 @@
 	return p
 }
 
-// Pools returns the engines of all services, by service.
+// Pools returns the engine pools by service.
 func (g *Ingress) Pools() map[string]*enginepool.Pool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -146,8 +146,8 @@
 	return out
 }
 
-// Snapshots returns what changed in this gateway's reservations after the given
-// revisions, by service, and the revisions reached; everything for nil.
+// Snapshots returns, by service, the changes of this gateway's reservations since the given
+// revisions, and the new revisions. It returns all reservations for nil.
 func (g *Ingress) Snapshots(since map[string]uint64) (map[string]enginepool.Snapshot, map[string]uint64) {
 	out, reached := map[string]enginepool.Snapshot{}, map[string]uint64{}
 	for service, p := range g.Pools() {
@@ -156,38 +156,37 @@
 	return out, reached
 }
 
-// ReceiveSnapshot takes another gateway's reservations for a service. Services that the
-// own configuration doesn't know are left.
+// ReceiveSnapshot applies a peer's reservations for a service. Services that this gateway's
+// configuration doesn't contain are ignored.
 func (g *Ingress) ReceiveSnapshot(gateway, service string, snapshot enginepool.Snapshot) {
 	if p := g.Pools()[service]; p != nil {
 		p.ReceiveSnapshot(gateway, snapshot, time.Now())
 	}
 }
 
-// DropGateway drops what a gateway that has fallen silent had reserved.
+// DropGateway drops the reservations of a peer that no longer sends.
 func (g *Ingress) DropGateway(gateway string) {
 	for _, p := range g.Pools() {
 		p.DropGateway(gateway)
 	}
 }
 
-// Outcomes returns what other gateways should know of failing runners.
+// Outcomes returns the failures of runners to report to other gateways.
 func (g *Ingress) Outcomes() []runners.Outcome { return g.Directory.Outcomes(time.Now()) }
 
-// ReceiveStageChanges takes what another gateway reported of engines on their way
-// to another stage.
+// ReceiveStageChanges applies a peer's report of engines that are switching to another stage.
 func (g *Ingress) ReceiveStageChanges(changes []runners.StageChange) {
 	g.Directory.ReceiveStageChanges(changes, time.Now())
 }
 
-// EndStageChange ends a change of stage that has taken as long as it may.
+// EndStageChange ends a stage change that has reached its time limit.
 func (g *Ingress) EndStageChange(runner string) {
 	if s := g.Directory.Find(runner); s != nil {
 		s.EndStageChange()
 	}
 }
 
-// ReceiveOutcomes takes what another gateway reported of failing runners.
+// ReceiveOutcomes applies a peer's report of failures of runners.
 func (g *Ingress) ReceiveOutcomes(gateway string, sameDomain bool, outcomes []runners.Outcome) {
 	g.Directory.ReceiveOutcomes(gateway, sameDomain, outcomes, time.Now())
 }
@@ -200,7 +199,7 @@
 	return 0
 }
 
-// budget returns the retry budget of a service.
+// budget returns the retry budget of a service and creates it if needed.
 func (g *Ingress) budget(service string) *retrybudget.Budget {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -212,7 +211,7 @@
 	return b
 }
 
-// LimitRetries changes the retry budget of all services.
+// LimitRetries changes the limits of all retry budgets.
 func (g *Ingress) LimitRetries(l retrybudget.Limits) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -222,7 +221,7 @@
 	}
 }
 
-// Gateways sets how many gateways share the retry budget.
+// Gateways sets the number of gateways that share the retry budgets.
 func (g *Ingress) Gateways(n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -233,13 +232,13 @@
 }
 
 const (
-	// dispatchInterval is the time between two looks at what waits.
+	// dispatchInterval is the interval at which waiting requests are dispatched.
 	dispatchInterval = 20 * time.Millisecond
-	// ticksPerSweep is how many of them pass between two sweeps: one second.
+	// ticksPerSweep is the number of dispatch intervals between two sweeps: one second.
 	ticksPerSweep = 50
 )
 
-// Run keeps the pools going until the context ends.
+// Run dispatches waiting requests and sweeps expired state until the context ends.
 func (g *Ingress) Run(ctx context.Context) {
 	tick := time.NewTicker(dispatchInterval)
 	defer tick.Stop()
@@ -272,8 +271,7 @@
 	}
 }
 
-// logPools writes the state of the engines of each service, for tools that read the
-// log.
+// logPools logs the state of each service's engine pool, for tools that parse the log.
 func (g *Ingress) logPools(now time.Time) {
 	for service, p := range g.Pools() {
 		s := p.Status(now)
--- a/pkg/ingress/kept.go
+++ b/pkg/ingress/kept.go
@@ -10,21 +10,20 @@
 )
 
 const (
-	// promptCacheTTL is how long an engine's list of kept prompts is used: parts that
-	// nobody uses give way within some hundred milliseconds under load.
+	// promptCacheTTL is the time for which an engine's list of cached prompts is used. Under load,
+	// engines evict unused prompts within some hundred milliseconds.
 	promptCacheTTL = 300 * time.Millisecond
-	// promptCacheTimeout bounds the call for a list. An engine answers in a few milliseconds;
-	// one that does not is of no use for the resumption either.
+	// promptCacheTimeout limits the call that fetches a list. An engine normally responds in a few
+	// milliseconds; one that does not is of no use for the resumed stream either.
 	promptCacheTimeout = 120 * time.Millisecond
-	// maxPromptCacheCalls bounds the engines that are asked for one prompt, so that the cost of
-	// a resumption does not grow with the fleet. Of more, some are asked, and the prompt may
-	// be computed again.
+	// maxPromptCacheCalls limits the engines asked for one prompt, so that the cost of a resumed
+	// stream does not grow with the number of engines. If there are more, only some are asked, and
+	// the prompt may be computed again.
 	maxPromptCacheCalls = 64
 )
 
-// promptCaches knows which engines keep a prompt in their KV cache. It asks them when
-// a stream is resumed: the gateway that passed it on before may be gone, with all it
-// knew.
+// promptCaches finds the engines that have a prompt in their KV cache. It asks them when a stream
+// is resumed, since the gateway that relayed the stream before may have been lost with its state.
 type promptCaches struct {
 	engines Engines
 	log     *decisionlog.Log
@@ -33,10 +32,10 @@
 	lists map[string]*promptCacheList
 }
 
-// promptCacheList is one engine's answer, or the call for it that is under way.
+// promptCacheList is an engine's list of cached prompts, or the pending call for it.
 type promptCacheList struct {
 	asked time.Time
-	// done is closed with the call's end; tokens is by prompt ID.
+	// done is closed when the call ends. tokens holds the number of cached tokens by prompt ID.
 	done   chan struct{}
 	tokens map[string]int
 }
@@ -45,8 +44,8 @@
 	return &promptCaches{engines: e, log: l, lists: map[string]*promptCacheList{}}
 }
 
-// find returns the engine of a list that keeps most of a prompt, and how many tokens;
-// nil if none does.
+// find returns the engine of a list that has most tokens of a prompt in its cache, and their
+// number; nil if none has any.
 func (k *promptCaches) find(ctx context.Context, list []*runners.State, prompt string) (*runners.State, int) {
 	if prompt == "" {
 		return nil, 0
@@ -71,8 +70,8 @@
 	return best, most
 }
 
-// ask returns an engine's list that is new enough, or a call for it. Requests that
-// need it at the same time share the call.
+// ask returns an engine's list, from an earlier call if that is recent enough. Concurrent requests
+// share one call.
 func (k *promptCaches) ask(ctx context.Context, s *runners.State) *promptCacheList {
 	now := time.Now()
 	k.mu.Lock()
@@ -96,7 +95,7 @@
 	return l
 }
 
-// sweep drops lists that are too old to be used.
+// sweep removes lists that are too old to be used.
 func (k *promptCaches) sweep(now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/pkg/ingress/kept_test.go
+++ b/pkg/ingress/kept_test.go
@@ -14,7 +14,8 @@
 	"github.com/hopwell/hopwell/pkg/runners"
 )
 
-// cachingEngines are engines of which one keeps a prompt; they count the calls.
+// cachingEngines is a fake of the engines, one of which has a prompt in its cache. It counts the
+// calls.
 type cachingEngines struct {
 	Engines
 	mu     sync.Mutex
@@ -40,8 +41,8 @@
 	return d.Present("s", time.Now())
 }
 
-// Requests that are resumed at the same time share one call to each engine, and the
-// number of engines that are asked is bounded.
+// Streams resumed at the same time share one call to each engine, and the number of engines asked
+// is limited.
 func TestResumedStreamsShareBoundedCacheCalls(t *testing.T) {
 	g := NewWithT(t)
 	engines := enginesOf(3 * maxPromptCacheCalls)
--- a/pkg/ingress/metrics.go
+++ b/pkg/ingress/metrics.go
@@ -10,7 +10,7 @@
 	"github.com/hopwell/hopwell/pkg/quota"
 )
 
-// meters are the ingress's metrics.
+// meters holds the metrics of an Ingress.
 type meters struct {
 	set        *metrics.Set
 	firstEvent *metrics.Histogram
@@ -20,9 +20,10 @@
 	wasted     *metrics.Counter
 	resumed    *metrics.Counter
 	broken     *metrics.Counter
-	// quarantines counts the requests that this gateway learned to keep from runners.
+	// quarantines counts the quarantines that began at this gateway.
 	quarantines *metrics.Counter
-	// notBuffered counts the answers that were passed on as they came for want of memory.
+	// notBuffered counts the responses that were streamed because the memory for buffers was used
+	// up.
 	notBuffered *metrics.Counter
 }
 
@@ -42,7 +43,7 @@
 	}
 }
 
-// answered counts a request by the answer that the client got.
+// answered records the status and duration of a request.
 func (m *meters) answered(x *exchange, status int, took time.Duration) {
 	kind := "none"
 	if x.route != nil {
@@ -52,17 +53,16 @@
 	m.set.GetOrCreateHistogram(fmt.Sprintf(`hopwell_ingress_request_seconds{kind=%q}`, kind)).Update(took.Seconds())
 }
 
-// declined counts runners' refusals.
+// declined counts a runner's refusal.
 func (m *meters) declined(status int) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`hopwell_ingress_declined_total{status="%d"}`, status)).Inc()
 }
 
-// shownWorkspaces bounds the workspaces that the metrics name: those that this gateway served
-// last.
+// shownWorkspaces limits the workspaces in the metrics to those that this gateway served last.
 const shownWorkspaces = 20
 
-// Usage returns what this gateway spent for workspaces lately, at most a number of them; nothing
-// without limits.
+// Usage returns what workspaces recently spent at this gateway, for at most the given number of
+// workspaces; nil if there are no quotas.
 func (g *Ingress) Usage(most int) []quota.Status {
 	if g.options.Quota == nil {
 		return nil
@@ -70,7 +70,7 @@
 	return g.options.Quota.Status(most, time.Now())
 }
 
-// writeQuota writes the state of the workspaces' limits.
+// writeQuota writes the state of the workspaces' quotas.
 func (g *Ingress) writeQuota(w io.Writer) {
 	for _, s := range g.Usage(shownWorkspaces) {
 		fmt.Fprintf(w, "hopwell_workspace_spent{workspace=%q} %d\n", s.Workspace, s.Spent)
@@ -80,10 +80,11 @@
 	}
 }
 
-// shownLimits bounds the runners whose limits the metrics name.
+// shownLimits limits the runners whose rate limits are in the metrics.
 const shownLimits = 20
 
-// writeLimits writes the limits that runners name, and what they got from here.
+// writeLimits writes the runners' rate limits and the number of requests that this gateway sent
+// within them.
 func (g *Ingress) writeLimits(w io.Writer) {
 	all := g.Directory.Limits.All(time.Now())
 	fmt.Fprintf(w, "hopwell_runner_limits %d\n", len(all))
@@ -96,13 +97,14 @@
 }
 
 const (
-	// shownNotices bounds the runners whose notices the metrics name.
+	// shownNotices limits the runners whose pauses are in the metrics.
 	shownNotices = 20
-	// shownLeaving is how long the metrics count a runner that said that it leaves.
+	// shownLeaving is the time for which the metrics count a runner after it announced its
+	// departure.
 	shownLeaving = time.Minute
 )
 
-// writeNotices writes which runners said that they leave, and which want a pause.
+// writeNotices writes how many runners are leaving and paused, and the pauses.
 func (g *Ingress) writeNotices(w io.Writer) {
 	all := g.Directory.Notices.Withheld(shownLeaving, time.Now())
 	leaving := 0
--- a/pkg/ingress/notices.go
+++ b/pkg/ingress/notices.go
@@ -8,13 +8,15 @@
 )
 
 const (
-	// passedOverFor is how long the steps of requests name a runner that said that it leaves.
+	// passedOverFor is the time after a runner announced its departure in which requests log it as
+	// passed over.
 	passedOverFor = 10 * time.Second
-	// maxPassedOver bounds the runners that the steps of one choice name.
+	// maxPassedOver limits the runners that are logged as passed over in one choice.
 	maxPassedOver = 3
 )
 
-// logPassedOver records the runners of a stage that can't be chosen for what they said of themselves.
+// logPassedOver logs the runners of a stage that are no candidates because they are leaving or
+// paused.
 func (x *exchange) logPassedOver(stage runners.Stage) {
 	left := maxPassedOver
 	for _, n := range x.g.Directory.Notices.Withheld(passedOverFor, time.Now()) {
--- a/pkg/ingress/plain.go
+++ b/pkg/ingress/plain.go
@@ -9,9 +9,9 @@
 	"github.com/hopwell/hopwell/pkg/runners"
 )
 
-// claim chooses a plain runner and keeps a place there. Where all name limits, or want a pause, it waits
-// for the next place as long as a new request may wait for room, and fails with *ErrLimited or
-// *runners.ErrUnavailable if there is none by then.
+// claimPlain chooses a plain runner and claims a place on it. If all runners have reached their
+// rate limits or are paused, it waits for the next place for as long as a new request may wait for
+// room. It fails with *ErrLimited or *runners.ErrUnavailable if there is still no place.
 func (x *exchange) claimPlain(avoid map[string]bool) (*runners.State, error) {
 	latest := x.arrived.Add(time.Duration(newRequestWaitShare * float64(x.route.Latency)))
 	w := plainRequest{id: x.call.ID, service: x.service, domain: x.g.options.Domain, repeatable: x.route.Repeatable(), avoid: avoid, allows: x.domainFilter()}
@@ -30,8 +30,8 @@
 	}
 }
 
-// roomAfter returns after what time there may be room where an error says that there is none now; 0 if
-// it doesn't say.
+// roomAfter returns the time until a runner may have room, according to an error that reports that
+// none has; 0 if the error doesn't contain it.
 func roomAfter(err error) time.Duration {
 	var limited *ErrLimited
 	var unavailable *runners.ErrUnavailable
@@ -44,25 +44,26 @@
 	return 0
 }
 
-// plainRequest is a request that a plain runner is wanted for.
+// plainRequest holds the properties of a request by which a plain runner is chosen.
 type plainRequest struct {
-	// id is the request's.
+	// id is the request ID.
 	id      string
 	service string
-	// domain is the gateway's.
+	// domain is the failure domain of the gateway.
 	domain     string
 	repeatable bool
-	// avoid are runners that are not taken, by ID.
+	// avoid holds the IDs of runners that are not candidates.
 	avoid map[string]bool
-	// allows reports whether it may be served in a failure domain; nil for all.
+	// allows reports whether the request may be served in a failure domain; nil allows all.
 	allows func(domain string) bool
 }
 
-// choose keeps a place at the plain runner with the least work, in the own domain first, of those
-// that this gateway uses and that may serve the request. Where no healthy one is left of all, one
-// that rests is chosen for a request that may be repeated. It fails with *runners.ErrUnavailable if all
-// leave, pause or had a pause a moment ago, *ErrLimited if runners are left that take no more now, and *enginepool.ErrNoRunner if
-// none is.
+// choosePlain claims a place on the plain runner with the lowest cost, which favors the gateway's
+// own failure domain. The candidates are first the healthy runners of this gateway's subset, then
+// all healthy ones, and for a repeatable request also those in backoff. It fails with
+// *runners.ErrUnavailable if all runners are leaving, paused or were paused a moment ago, with
+// *ErrLimited if the remaining ones accept no request now, and with *enginepool.ErrNoRunner if none
+// remains.
 func (g *Ingress) choosePlain(w plainRequest) (*runners.State, error) {
 	now := time.Now()
 	usable := g.Directory.Usable(w.service, "", now)
@@ -90,7 +91,7 @@
 	return nil, w.noRoomError(usable, now)
 }
 
-// noRoom returns why no runner of a list was chosen.
+// noRoomError returns why no runner of a list was chosen.
 func (w plainRequest) noRoomError(list []*runners.State, now time.Time) error {
 	var first *runners.State
 	var least time.Duration
@@ -108,19 +109,22 @@
 	return &runners.ErrUnavailable{Service: w.service, Paused: 1, After: least}
 }
 
-// claimBest keeps a place at the plain runner of a list that is expected to answer first, and
-// returns it; nil if all are to be avoided or take no more now.
+// claimBest claims a place on the runner of a list with the lowest cost and returns it; nil if all
+// are avoided or accept no request now.
 func (w plainRequest) claimBest(list []*runners.State, failureCost float64, now time.Time) *runners.State {
 	for {
 		best := w.lowestCost(list, failureCost, now)
 		if best == nil || best.Claim(w.id, now) {
 			return best
 		}
-		// Another request had the last place meanwhile.
+		// Another request claimed the last place meanwhile.
 		list = slices.DeleteFunc(slices.Clone(list), func(s *runners.State) bool { return s == best })
 	}
 }
 
+// lowestCost returns the runner of a list with the lowest cost, which is the expected time until
+// its response, weighted by its failures, refusals and failure domain; nil if all are avoided or
+// accept no request now.
 func (w plainRequest) lowestCost(list []*runners.State, failureCost float64, now time.Time) *runners.State {
 	var best *runners.State
 	var least float64
@@ -140,16 +144,16 @@
 }
 
 const (
-	// baseLatency is added to the mean time of a runner's answers, in seconds.
+	// baseLatency is added to the mean response time of a runner, in seconds.
 	baseLatency = 0.01
-	// otherDomainCost is how much dearer a runner in another domain is.
+	// otherDomainCost is the factor on the cost of a runner in another failure domain.
 	otherDomainCost = 1.3
-	// failureCost is how much dearer a runner is that fails all requests, for one that
-	// may be repeated; nonRepeatableFailureCost for one that must not, and is lost then. The
-	// others take such requests as long as they answer in some five times the time.
+	// failureCost is the weight of a runner's failure rate in its cost for a repeatable request,
+	// nonRepeatableFailureCost for one that must not be repeated and is lost by a failure. The
+	// other runners serve those requests as long as they take at most about five times as long.
 	failureCost              = 4.0
 	nonRepeatableFailureCost = 10.0
-	// refusalCost is how much dearer a runner is that turns all requests away: it would
-	// else attract them, having the least work.
+	// refusalCost is the weight of a runner's refusal rate in its cost. Without it, a runner that
+	// refuses all requests would attract them, since it has the fewest outstanding.
 	refusalCost = 10
 )
--- a/pkg/ingress/prefill.go
+++ b/pkg/ingress/prefill.go
@@ -10,8 +10,8 @@
 	"github.com/hopwell/hopwell/pkg/runners"
 )
 
-// prefill has the prompt read by the runner that will have done so first. With
-// no prefill runner left the decode runner reads it itself: the source is empty.
+// prefill computes the prompt on the prefill runner that is expected to finish first. If there is
+// none, the source is empty and the decode runner computes the prompt itself.
 func (s *generation) prefill(room *reservation) (Source, *runners.State, error) {
 	var again *runners.State
 	for tries := 0; ; tries++ {
@@ -55,8 +55,8 @@
 	}
 }
 
-// beginPrefill assigns the prompt to a runner: to one whose answer was lost, if it is
-// given, otherwise to the best.
+// beginPrefill assigns the prompt to a prefill runner: to the given one, whose response was lost,
+// or else to the best.
 func (s *generation) beginPrefill(room *reservation, again *runners.State) (*runners.State, time.Duration, error) {
 	now := time.Now()
 	if again != nil && again.Usable(now) {
@@ -67,15 +67,15 @@
 	}, now)
 }
 
-// responseLost reports whether a prefill's connection ended before its answer came, while
-// the runner may be well: it keeps the prompt that it read, and answers again without
-// reading it anew.
+// responseLost reports whether the connection of a prefill ended before its response came, while
+// the runner may be healthy. Such a runner still has the prompt in its KV cache, and responds to a
+// second call without computing it again.
 func responseLost(err error) bool {
 	return noResponse(err) && !errors.Is(err, context.DeadlineExceeded)
 }
 
-// patience returns how long a prefill's answer is waited for. A runner that loses
-// no answers is slow rather than silent: what it reads is not thrown away.
+// prefillTimeout returns how long to wait for the response of a prefill. A runner that loses no
+// responses gets longer: it is slow rather than unresponsive, and its work would be thrown away.
 func prefillTimeout(prefillRunner *runners.State, expected time.Duration) time.Duration {
 	late := prefillSlack
 	if prefillRunner.Failures(time.Now()) < trustedFailureRate {
@@ -84,9 +84,8 @@
 	return late + prefillFactor*expected
 }
 
-// mayPrefillAgain reports whether one more prefill is allowed. Where the last one was
-// turned away it has been charged for, and the next is the first that counts as
-// none.
+// mayPrefillAgain reports whether the retry budget allows one more prefill, and charges it. If the
+// last prefill was refused, it has been charged already, so the next one is free.
 func (s *generation) mayPrefillAgain() bool {
 	if s.charged {
 		s.charged = false
@@ -95,8 +94,8 @@
 	return s.budget.Spend(time.Now())
 }
 
-// recordFailedPrefill records a prefill that a runner did not do. One that the runner
-// turned away counts in the budget, also when it was the first.
+// recordFailedPrefill records a failed prefill. One that the runner refused is charged to the retry
+// budget, even if it was the first.
 func (s *generation) recordFailedPrefill(prefillRunner *runners.State, err error) {
 	s.failedPrefill[prefillRunner.ID] = true
 	s.recordFailure(prefillRunner, err)
@@ -115,7 +114,7 @@
 	return s.g.options.Engines.Prefill(ctx, prefillRunner, s.call, s.order())
 }
 
-// useless records a prompt whose KV cache could not be fetched.
+// recordLostCache records a prompt whose KV cache the decode runner could not fetch.
 func (s *generation) recordLostCache(prefillRunner *runners.State, source Source) {
 	if prefillRunner == nil {
 		return
@@ -125,13 +124,13 @@
 	s.failedPrefill[prefillRunner.ID] = true
 }
 
-// wasted records a prompt that was computed in vain, or must be computed again.
+// recordWasted records a prompt whose computation was wasted or has to be repeated.
 func (s *generation) recordWasted(reason string, runner *runners.State, tokens int) {
 	s.g.metrics.wasted.Add(tokens)
 	s.logFailedStep("prompt_wasted", runner.ID, nil, decisionlog.F("reason", reason), decisionlog.F("tokens", tokens))
 }
 
-// free gives a KV cache up that nobody will fetch.
+// releaseKV releases a KV cache that no runner will fetch. It does not wait for the call.
 func (s *generation) releaseKV(prefillRunner *runners.State, source Source, reason string) {
 	if prefillRunner == nil {
 		return
--- a/pkg/ingress/prefill_test.go
+++ b/pkg/ingress/prefill_test.go
@@ -9,7 +9,7 @@
 	"github.com/hopwell/hopwell/pkg/runners"
 )
 
-// A runner that loses answers is given up sooner than one that is only slow.
+// A runner that loses responses is given up sooner than one that is only slow.
 func TestPrefillTimeoutIsLongerForReliableRunner(t *testing.T) {
 	g := NewWithT(t)
 	d := runners.NewDirectory("a")
--- a/pkg/ingress/quota.go
+++ b/pkg/ingress/quota.go
@@ -8,8 +8,7 @@
 	"github.com/hopwell/hopwell/pkg/quota"
 )
 
-// charge takes what the request may use from its workspace's limit. It fails with
-// *quota.ErrQuota.
+// chargeQuota charges the request to its workspace's quota. It fails with *quota.ErrQuota.
 func (x *exchange) chargeQuota() error {
 	if x.workspace == nil || x.g.options.Quota == nil {
 		return nil
@@ -22,14 +21,14 @@
 	return nil
 }
 
-// refundQuota returns what was taken for a request that never ran.
+// refundQuota refunds the charge of a request that never ran.
 func (x *exchange) refundQuota() {
 	if x.cost > 0 && (x.life == nil || !x.life.MayHaveRun()) {
 		x.g.options.Quota.GiveBack(x.workspace, x.cost, time.Now())
 	}
 }
 
-// limit answers that a workspace has used up its limit, and when there is room again.
+// respondOverQuota responds with 429 and the time until the workspace's quota has room again.
 func (x *exchange) respondOverQuota(err *quota.ErrQuota) {
 	x.respond(http.StatusTooManyRequests, err, decisionlog.F("retry_after", x.setRetryAfter(max(err.After, shortRetryAfter))))
 }
--- a/pkg/ingress/relay.go
+++ b/pkg/ingress/relay.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// eventBuffer is the size of the buffer in which events are found, in bytes.
+	// eventBuffer is the size in bytes of the buffer by which a stream is read.
 	eventBuffer = 4096
-	// maxEvent bounds one event, in bytes.
+	// maxEvent limits the size of one event in bytes.
 	maxEvent = 1 << 20
 )
 
-// ErrEvent reports that a stream holds what is no event.
+// ErrEvent reports that a stream contains a malformed event.
 type ErrEvent struct {
 	Bytes int
 	Why   string
@@ -27,23 +27,22 @@
 // Error implements error.
 func (e *ErrEvent) Error() string { return "bad event: why=" + e.Why }
 
-// relay passes a stream's events on, one by one and each once, whichever runner
-// they come from.
+// relay forwards the events of a stream to the client, each exactly once, from one or several
+// runners.
 type relay struct {
 	s *generation
-	// begun is set once the client has the head.
+	// begun is set once the response header has been sent to the client.
 	begun bool
-	// last is the ID of the last event that the client has.
+	// last is the ID of the last event sent to the client.
 	last   string
 	runner string
 	events int
-	// written is when the last event was written, pause the longest time between
-	// two of them.
+	// written is when the last event was sent, longestGap the longest time between two events.
 	written    time.Time
 	longestGap time.Duration
 }
 
-// pass passes the events of an answer on until its end.
+// pass forwards the events of a response until its end.
 func (r *relay) pass(n int, runner *runners.State, a *Answer) (sendResult, error) {
 	r.runner = runner.ID
 	began, before := time.Now(), r.events
@@ -63,7 +62,7 @@
 	}
 }
 
-// whole ends the client's answer.
+// whole completes the client's response.
 func (r *relay) whole(n int, runner *runners.State, a *Answer, began time.Time) (sendResult, error) {
 	if !r.begun {
 		r.head(a)
@@ -76,8 +75,8 @@
 	return responded, nil
 }
 
-// broke records a stream that ended before its end, before its runner had made an event of it
-// if early.
+// streamBroken records a stream that ended early. If early is set, its runner had sent no event
+// yet.
 func (r *relay) streamBroken(runner *runners.State, early bool, err error) (sendResult, error) {
 	r.s.failedDecode[runner.ID] = true
 	if gone := r.s.endReason(); gone != nil {
@@ -90,7 +89,8 @@
 	return mayHaveRun, &ErrBroken{Runner: runner.ID, After: r.last, Err: err}
 }
 
-// head sends the head of the first answer, which stays that of the whole.
+// head sends the header of the first response. It applies to the whole stream, also if another
+// runner resumes it.
 func (r *relay) head(a *Answer) {
 	r.begun = true
 	r.s.g.metrics.firstEvent.UpdateDuration(r.s.arrived)
@@ -99,7 +99,7 @@
 	r.s.w.WriteHeader(a.Status)
 }
 
-// write passes one event on, unless the client has it already.
+// write sends one event to the client, unless the client has it already.
 func (r *relay) write(a *Answer, event []byte) error {
 	id := eventID(event)
 	if id != "" && !later(id, r.last) {
@@ -126,8 +126,8 @@
 	return nil
 }
 
-// readEvent returns the next event with the empty line that ends it. At the end
-// of the stream it returns what is left, with the cause.
+// readEvent returns the next event including the empty line that ends it. At the end of the stream
+// it returns the rest, with the cause.
 func readEvent(in *bufio.Reader) ([]byte, error) {
 	var event []byte
 	for {
@@ -155,7 +155,7 @@
 	return len(line) == 1 || len(line) == 2 && line[0] == '\r'
 }
 
-// eventID returns the ID of an event, empty for none.
+// eventID returns the ID of an event; empty if it has none.
 func eventID(event []byte) string {
 	for line := range bytes.Lines(event) {
 		if rest, ok := bytes.CutPrefix(line, []byte("id:")); ok {
@@ -165,7 +165,7 @@
 	return ""
 }
 
-// later reports whether an event's ID is above another; IDs are whole numbers.
+// later reports whether an event ID is above another. IDs are whole numbers.
 func later(id, last string) bool {
 	if last == "" {
 		return true
--- a/pkg/ingress/reserve.go
+++ b/pkg/ingress/reserve.go
@@ -11,13 +11,13 @@
 	"github.com/hopwell/hopwell/pkg/upstream"
 )
 
-// place is room on a decode runner.
+// reservation is room reserved on a decode runner, confirmed by a hold.
 type reservation struct {
 	runner *runners.State
 	hold   string
 }
 
-// reserve waits for room on a decode runner and has it reserved there.
+// reserve waits for room on a decode runner and takes a hold there.
 func (s *generation) reserve() (*reservation, error) {
 	began := time.Now()
 	latest, unanswered := s.roomDeadline(), 0
@@ -40,8 +40,8 @@
 		if err != nil {
 			return nil, firstError(s.endReason(), err)
 		}
-		// A hold that was asked for in time is waited for beyond it: one that is
-		// cut off says nothing about the runner.
+		// The call may end after the deadline if it began before it: cutting it off would show
+		// nothing about the runner.
 		hold, err := s.hold(runner)
 		if err == nil {
 			s.g.metrics.wait.UpdateDuration(began)
@@ -63,8 +63,9 @@
 	}
 }
 
-// unavailable returns *runners.ErrUnavailable if all decode runners leave or pause for longer than the
-// request may wait. What has begun waits for a runner that may start.
+// unavailable returns *runners.ErrUnavailable if all decode runners are leaving, or paused for
+// longer than the request may wait. A request that has begun keeps waiting, since a new runner may
+// start.
 func (s *generation) unavailable(latest time.Time) error {
 	now := time.Now()
 	err := s.g.Directory.Unavailable(s.service, runners.Decode, s.job.Allows, now)
@@ -75,7 +76,7 @@
 	return err
 }
 
-// waitForRoom waits for room on a decode runner until a time.
+// waitForRoom waits until the given time for room on a decode runner.
 func (s *generation) waitForRoom(w *enginepool.Waiter, latest time.Time) (*runners.State, error) {
 	ctx, cancel := context.WithDeadline(s.ctx, latest)
 	defer cancel()
@@ -83,20 +84,21 @@
 }
 
 const (
-	// maxUnansweredHolds is how many reservations may go unanswered without an end to the wait:
-	// connections to several runners may have fallen silent while there is room.
+	// maxUnansweredHolds is the number of holds without a response that don't end the wait.
+	// Connections to several runners may be dead while there is room.
 	maxUnansweredHolds = 2
-	// extraRoomWait is how long room elsewhere is waited for after that.
+	// extraRoomWait is the time for which another runner is waited for after such a hold.
 	extraRoomWait = 50 * time.Millisecond
 )
 
-// noResponse reports whether a call had no answer, which says nothing about room.
+// noResponse reports whether a call got no response, which doesn't show whether the runner has
+// room.
 func noResponse(err error) bool {
 	var exchange *upstream.ErrExchange
 	return errors.As(err, &exchange)
 }
 
-// recordFailure records a call that a runner failed.
+// recordFailure records a runner's failure of a call.
 func (s *generation) recordFailure(runner *runners.State, err error) {
 	if s.ctx.Err() != nil {
 		return
@@ -116,7 +118,7 @@
 	}
 }
 
-// latest returns until when the request may wait for room.
+// roomDeadline returns the time until which the request may wait for room.
 func (s *generation) roomDeadline() time.Time {
 	switch s.rank {
 	case enginepool.Fresh:
@@ -134,9 +136,9 @@
 	return s.g.options.Engines.Hold(ctx, runner, s.missingTokens(runner)+holdOutputTokens, s.holdTTL())
 }
 
-// holdFor returns how long a reservation lasts: it is used before the first event is
-// due, or that is late anyway. One whose answer was lost can't be given back, and
-// keeps the memory for that long.
+// holdTTL returns how long a hold lasts. It is used before the first event is due, or the event is
+// late anyway. A hold whose response was lost can't be released, and occupies memory until it
+// expires.
 func (s *generation) holdTTL() time.Duration {
 	if s.route.Latency > 0 {
 		return min(s.engine.HoldFor, s.route.Latency)
@@ -144,7 +146,7 @@
 	return s.engine.HoldFor
 }
 
-// missing returns how many tokens of the prompt a runner does not have in its KV cache.
+// missingTokens returns the number of tokens of the prompt that are not in a runner's KV cache.
 func (s *generation) missingTokens(runner *runners.State) int {
 	if s.cacheHolder != nil && s.cacheHolder.ID == runner.ID {
 		return max(0, s.job.Prompt-s.cachedTokens)
@@ -152,7 +154,7 @@
 	return s.job.Prompt
 }
 
-// drop gives a reservation back, after the request's end too.
+// dropHold releases a hold. It does not wait for the call, which continues after the request ends.
 func (s *generation) dropHold(p *reservation) {
 	p.runner.Called("", time.Now())
 	go func() {
--- a/pkg/ingress/returns.go
+++ b/pkg/ingress/returns.go
@@ -3,31 +3,32 @@
 import "time"
 
 const (
-	// returnMargin is how much less time than others a client has that has tried before:
-	// less than the shortest time after which clients come back.
+	// returnMargin is the smallest difference, in the time that clients wait, by which a retry is
+	// recognized. It is less than the shortest time after which clients retry.
 	returnMargin = 150 * time.Millisecond
-	// minLongestShare is the part of a route's requests that must have the longest time for the
-	// others to be taken for returning ones. Where clients' times differ by themselves few
-	// have the longest; where they are alike, even in an overload most are new.
+	// minLongestShare is the share of a route's requests that must have the longest timeout, before
+	// those with a shorter one are taken for retries. If timeouts differ for other reasons, few
+	// requests have the longest one. If all clients use the same one, most requests are new even in
+	// an overload.
 	minLongestShare = 0.5
-	// averagedRequests is over how many requests, about, a route's clients are looked at, and
-	// minObserved how many are needed to say anything: of 31 gateways each sees one request a
-	// second on a route.
+	// averagedRequests is the approximate number of requests of a route over which the share is
+	// averaged. minObserved is the number needed for a decision; each of 31 gateways receives one
+	// request per second on a route.
 	averagedRequests = 200
 	minObserved      = 8
 )
 
-// returns learns from the times that a route's clients are ready to wait whether a client with
-// less has been refused before.
+// returnDetector recognizes the clients of a route that were refused before and retry, by their
+// timeouts: a retry has less time left than a new request.
 type returnDetector struct {
 	longest time.Duration
-	// seen is how many requests there were, common the part of the latest with about the
-	// longest time.
+	// seen is the number of requests observed. longestShare is the share of the latest requests
+	// whose timeout is about the longest.
 	seen         int
 	longestShare float64
 }
 
-// observe learns of a request, and reports whether its client returns.
+// observe records the timeout of a request, and reports whether its client is retrying.
 func (r *returnDetector) observe(patience time.Duration) bool {
 	r.longest = max(r.longest, patience)
 	less := patience < r.longest-returnMargin
@@ -40,8 +41,8 @@
 	return less && r.seen >= minObserved && r.longestShare >= minLongestShare
 }
 
-// returning reports whether a client of a route, which is ready to wait for a time, has tried
-// before.
+// returning records the timeout of a request on a route, and reports whether its client is
+// retrying.
 func (g *Ingress) returning(route string, patience time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/pkg/ingress/returns_test.go
+++ b/pkg/ingress/returns_test.go
@@ -8,8 +8,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// Load pattern: all clients wait 14 s; in a burst 4 of 10 requests are those of refused clients
-// that come back.
+// Load: all clients have a timeout of 14 s; in a burst, 4 of 10 requests are retries of refused
+// clients.
 func TestReturningClientsAreDetectedWithEqualTimeouts(t *testing.T) {
 	g := NewWithT(t)
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -28,7 +28,7 @@
 	g.Expect(wrong).To(BeNumerically("<", 20))
 }
 
-// Load pattern: clients' own times differ by 15 in 100, and hardly any comes back.
+// Load: clients' timeouts differ by 15 % and hardly any request is a retry.
 func TestVaryingTimeoutsAreNotDetectedAsReturning(t *testing.T) {
 	g := NewWithT(t)
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -40,5 +40,5 @@
 			taken++
 		}
 	}
-	g.Expect(taken).To(BeNumerically("<=", 5), "at the first ones only")
+	g.Expect(taken).To(BeNumerically("<=", 5), "among the first requests only")
 }
--- a/pkg/ingress/share.go
+++ b/pkg/ingress/share.go
@@ -9,13 +9,14 @@
 	"github.com/hopwell/hopwell/pkg/runners"
 )
 
-// connectionsPerGateway is how many of a plain runner's connections are counted for each gateway that uses
-// it: two that it keeps, and as many for those that it opens while these are busy.
+// connectionsPerGateway is the number of a plain runner's connections counted for each gateway that
+// uses it: two that it keeps open, and as many for those that it opens while these are busy.
 const connectionsPerGateway = 4
 
-// share returns the plain runners of a list that this gateway uses: all, unless so many gateways
-// would open more connections than the runners take, which reset what is beyond. Then each uses
-// fewer, chosen by its name, so that all runners have about as many gateways.
+// subset returns the plain runners of a list that this gateway uses. These are all, unless the
+// gateways together would open more connections than the runners accept, which reset those beyond
+// their limit. In that case each gateway uses fewer runners, chosen by a hash of its name, so that
+// all runners are used by about the same number of gateways.
 func (g *Ingress) subset(service string, list []*runners.State) []*runners.State {
 	used := g.subsetSize(service, len(list))
 	if used >= len(list) {
@@ -27,7 +28,7 @@
 	return out[:used]
 }
 
-// used returns how many of a service's plain runners this gateway uses.
+// subsetSize returns how many of a service's n plain runners this gateway uses.
 func (g *Ingress) subsetSize(service string, n int) int {
 	table := g.table.Load()
 	if table == nil {
--- a/pkg/ingress/slow.go
+++ b/pkg/ingress/slow.go
@@ -8,36 +8,37 @@
 )
 
 const (
-	// clientStallTimeout is how long a client may read nothing of an answer before it is cut off: it
-	// holds the runner's place and the gateway's memory meanwhile. Clients give a stream up
-	// after a pause of 2 s, and a lost packet comes again within one.
+	// clientStallTimeout is the time without progress after which a client that does not read its
+	// response is disconnected. Until then it occupies a place on the runner and memory of the
+	// gateway. Clients give up a stream after a gap of 2 s, within which a lost packet is
+	// retransmitted.
 	clientStallTimeout = 3 * time.Second
-	// minBodyTime is how long a client may at least take to send a body.
+	// minBodyTime is the least time that a client gets for sending a body.
 	minBodyTime = time.Second
 )
 
-// limitBodyTime bounds the time in which a client sends a body, and returns what takes the bound back:
-// after the body the connection is watched for the client's leaving.
+// limitBodyTime sets a deadline for reading the body. It returns a function that removes the
+// deadline, since after the body the connection is read to detect that the client disconnects.
 func (x *exchange) limitBodyTime(d time.Duration) func() {
 	control := http.NewResponseController(x.w)
 	_ = control.SetReadDeadline(time.Now().Add(max(d, minBodyTime)))
 	return func() { _ = control.SetReadDeadline(time.Time{}) }
 }
 
-// copyBuffer returns the buffer by which the rest of an answer is passed on that was held in part.
-// The memory of what was held is given back.
+// copyBuffer returns the buffer for streaming the rest of a partly buffered response. It releases
+// the memory of the buffered part, apart from the new buffer.
 func (x *exchange) copyBuffer(held []byte) []byte {
 	x.reserveMemory(int64(initialBuffer - cap(held)))
 	return make([]byte, initialBuffer)
 }
 
-// initialBuffer is the memory that is taken at first for an answer that is held back, in bytes; it
-// doubles as the answer grows. Most answers of plain runners are shorter.
+// initialBuffer is the initial size in bytes of the buffer for a response, which doubles as the
+// response grows. Most responses of plain runners fit into it.
 const initialBuffer = 4 << 10
 
-// hold reads an answer whole, as far as maxBuffered and the memory for what is held for others reach. It
-// reports whether that is all of it. An answer is never given up for want of memory: what is not
-// held is passed on as it comes.
+// bufferBody reads a response into memory, up to maxBuffered and as far as the memory for buffers
+// allows, and reports whether it is complete. A response is never given up for lack of memory: the
+// rest is streamed.
 func (x *exchange) bufferBody(body io.Reader) (held []byte, whole bool, err error) {
 	for len(held) < maxBuffered {
 		if len(held) == cap(held) {
--- a/pkg/ingress/slow_test.go
+++ b/pkg/ingress/slow_test.go
@@ -22,7 +22,8 @@
 	"github.com/hopwell/hopwell/pkg/runners"
 )
 
-// pipeListener is a listener whose connections are pipeListener: they buffer nothing, and run in virtual time.
+// pipeListener is a listener whose connections are pipes. They have no buffers and run in virtual
+// time.
 type pipeListener chan net.Conn
 
 func (p pipeListener) Accept() (net.Conn, error) {
@@ -35,14 +36,14 @@
 func (p pipeListener) Close() error   { return nil }
 func (p pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// connect returns a client's end of a new connection.
+// connect returns the client's end of a new connection.
 func (p pipeListener) connect() net.Conn {
 	here, there := net.Pipe()
 	p <- there
 	return here
 }
 
-// endlessEngines answers all calls with a body that has no end.
+// endlessEngines responds to all calls with an endless body.
 type endlessEngines struct{ Engines }
 
 func (endlessEngines) Send(ctx context.Context, _ *runners.State, _ *Call, _ Order) (*Answer, error) {
@@ -53,14 +54,14 @@
 
 func (zeros) Read(p []byte) (int, error) { return len(p), nil }
 
-// plainReader reads calls to a route of plain runners.
+// plainReader parses requests to a route of plain runners.
 type plainReader struct{}
 
 func (plainReader) Read(r *http.Request) (*Call, error) {
 	return &Call{ID: r.Header.Get("X-Request-Id"), Patience: time.Minute, Method: r.Method, Host: r.Host, Path: r.URL.Path, Header: http.Header{}}, nil
 }
 
-// serving returns an ingress before one plain runner, and where its clients connect.
+// serveOnPipes starts an ingress with one plain runner, and returns it with its listener.
 func serveOnPipes(t *testing.T, maxBuffered int64) (*Ingress, pipeListener) {
 	log := decisionlog.New("g", io.Discard)
 	in := New(Options{Engines: endlessEngines{}, Reader: plainReader{}, Log: log, MaxOpen: 4000, MaxHeld: maxBuffered, Budget: retrybudget.Limits{Window: time.Second}})
@@ -84,8 +85,8 @@
 	return in, l
 }
 
-// Guards against clients that stop reading and hold memory, and their runner's place, for as long as a
-// request may take.
+// Guards against clients that stop reading and occupy memory, and a place on their runner, until
+// the request's time limit.
 func TestStalledClientsReleaseMemoryAndRunners(t *testing.T) {
 	const clients, maxBuffered = 2000, 32 << 20
 	synctest.Test(t, func(t *testing.T) {
@@ -105,7 +106,7 @@
 		runner := in.Directory.Find("a")
 		g.Expect(runner.Outstanding()).To(Equal(clients))
 		g.Expect(in.bufferedBytes.Load()).To(BeNumerically("<=", maxBuffered))
-		g.Expect(heapInUse()-before).To(BeNumerically("<", 112<<20), "the smallest gateway's memory")
+		g.Expect(heapInUse()-before).To(BeNumerically("<", 112<<20), "memory of the smallest gateway")
 		time.Sleep(clientStallTimeout)
 		synctest.Wait()
 		g.Expect(runner.Outstanding()).To(BeZero())
@@ -120,7 +121,7 @@
 	return m.HeapInuse
 }
 
-// A client that takes a little every two seconds is served as long as it has patience.
+// A client that reads a little every two seconds is served until its own timeout.
 func TestSlowReadingClientIsServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -137,7 +138,7 @@
 	})
 }
 
-// A deadline that an answer had does not end the next one on its connection.
+// The write deadline of a response does not end the next one on the same connection.
 func TestWriteDeadlineDoesNotAffectNextResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -156,7 +157,7 @@
 	})
 }
 
-// A client that sends its body a byte a second is not waited for longer than it waits itself.
+// A client that sends its body at one byte per second is disconnected at its own timeout.
 func TestSlowRequestBodyTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/pkg/ingress/suspicion.go
+++ b/pkg/ingress/suspicion.go
@@ -13,15 +13,16 @@
 	"github.com/hopwell/hopwell/pkg/runners"
 )
 
-// Suspicion is what gateways know together of requests that crash the runners that run them.
+// Suspicion holds what gateways share about requests that crash their runners.
 type Suspicion struct {
-	// Table is what this gateway knows; nil quarantines nothing.
+	// Table holds the suspected and quarantined requests; nil turns quarantine off.
 	Table *quarantine.Table
-	// Report tells other gateways of a request, all of them if it is quarantined.
+	// Report sends a report on a request to other gateways, to all of them if the request is
+	// quarantined.
 	Report func(r quarantine.Report)
 }
 
-// digest returns the digest of what the request asks. It is made when it is needed first.
+// digest returns the digest of the request's content. It is computed on first use.
 func (x *exchange) digest() quarantine.Digest {
 	if x.cachedDigest == nil {
 		a := quarantine.Asked{Method: x.call.Method, Host: x.call.Host, Path: x.call.Path, Body: x.call.Body}
@@ -34,7 +35,7 @@
 	return *x.cachedDigest
 }
 
-// quarantined returns *quarantine.ErrQuarantined if the request is kept from runners.
+// checkQuarantine returns *quarantine.ErrQuarantined if the request is quarantined.
 func (x *exchange) checkQuarantine() error {
 	table := x.g.options.Suspicion.Table
 	if table == nil || table.Empty() {
@@ -43,15 +44,15 @@
 	return table.Check(x.digest(), time.Now())
 }
 
-// aliveTimeout bounds the question whether a runner is still there: one that crashed refuses a
-// connection at once.
+// aliveTimeout limits the check whether a runner is still alive. A crashed one refuses a connection
+// at once.
 const aliveTimeout = 400 * time.Millisecond
 
-// broke records a run that broke off with its runner's connection, before anything of its answer
-// had come if early, if the runner crashed. It is asked, since runners that reset connections and
-// go on would have harmless requests quarantined. A connection that only timed out says nothing of a
-// crash. Prefills that break off are not counted: the decode engine that
-// reads the prompt in their place crashes in the same moment, or serves the request.
+// reportBrokenRun records a run that ended with its runner's connection, if the runner crashed. If
+// early is set, no part of the response had come. It asks the runner first whether it is alive,
+// since otherwise runners that reset connections and go on would get harmless requests quarantined.
+// A connection that only timed out doesn't indicate a crash. Broken prefills are not counted: the
+// decode engine that computes the prompt instead crashes at the same point, or serves the request.
 func (x *exchange) reportBrokenRun(runner *runners.State, early bool, err error) {
 	var timeout net.Error
 	if x.g.options.Suspicion.Table == nil || errors.As(err, &timeout) && timeout.Timeout() {
@@ -89,7 +90,7 @@
 	}
 }
 
-// ReceiveSuspicion takes what another gateway reported of a request.
+// ReceiveSuspicion applies a peer's report on a request.
 func (g *Ingress) ReceiveSuspicion(r quarantine.Report) {
 	table := g.options.Suspicion.Table
 	if table == nil || !table.Receive(r, time.Now()) {
@@ -97,26 +98,26 @@
 	}
 	g.quarantineBegins(r, "told")
 	if r.Left == 0 {
-		// Only here it was seen that what several gateways reported is enough.
+		// Only this gateway found that the reports of several gateways suffice together.
 		g.options.Suspicion.Report(quarantine.Report{Digest: r.Digest, Left: quarantine.Hold})
 	}
 }
 
-// ReadQuarantine takes a quarantine that the store shows.
+// ReadQuarantine applies a quarantine that was read from the store.
 func (g *Ingress) ReadQuarantine(d quarantine.Digest) {
 	if table := g.options.Suspicion.Table; table != nil && table.Published(d, time.Now()) {
 		g.quarantineBegins(quarantine.Report{Digest: d}, "read")
 	}
 }
 
-// EndQuarantine takes that the store no longer shows a quarantine.
+// EndQuarantine records that a quarantine was removed from the store.
 func (g *Ingress) EndQuarantine(d quarantine.Digest) {
 	if table := g.options.Suspicion.Table; table != nil {
 		table.Lapsed(d, time.Now())
 	}
 }
 
-// quarantineBegins records that a request is kept from runners from now on.
+// quarantineBegins logs and counts a new quarantine.
 func (g *Ingress) quarantineBegins(r quarantine.Report, how string) {
 	g.metrics.quarantines.Inc()
 	g.options.Log.Write(decisionlog.KindState, "quarantine", decisionlog.F("asked", r.Digest), decisionlog.F("how", how),
--- a/pkg/ingress/where.go
+++ b/pkg/ingress/where.go
@@ -9,15 +9,15 @@
 	"github.com/hopwell/hopwell/pkg/routetable"
 )
 
-// notServableRetryAfter is when a client may come back whose request no runner may serve now: operators
-// change where requests may run, and take an evacuation back, within minutes rather than seconds.
+// notServableRetryAfter is the Retry-After of a request that no runner may serve now. Operators
+// change the allowed regions, or end an evacuation, within minutes rather than seconds.
 const notServableRetryAfter = 3 * time.Second
 
-// ErrNoRegion reports that no runner is left in the regions that a request is bound to.
+// ErrNoRegion reports that the regions to which a request is bound contain no runner.
 type ErrNoRegion struct {
 	Service string
-	// Regions are those of the route, and of the workspace, each separated by a comma; both
-	// bind.
+	// Regions holds the allowed regions of the route and those of the workspace, each list
+	// separated by commas. A runner must be in all lists.
 	Regions []string
 }
 
@@ -37,8 +37,8 @@
 	return fmt.Sprintf("all runners are in evacuated domains: service=%s domains=%s", e.Service, strings.Join(e.Domains, ","))
 }
 
-// regionLists returns the lists of regions that bind the request: those of its route and of its
-// workspace, as they were when it came and as they are now.
+// regionLists returns the lists of regions that restrict the request: those of its route and its
+// workspace, from the table at its arrival and from the one in force now.
 func (x *exchange) regionLists() [][]string {
 	var out [][]string
 	add := func(regions []string) {
@@ -56,7 +56,7 @@
 	return out
 }
 
-// addNewest adds the regions that a newer table binds the request to.
+// addNewest adds the lists of regions by which a newer table restricts the request.
 func (x *exchange) addNewest(t *routetable.Table, add func([]string)) {
 	if r := t.Match(x.call.Host, x.call.Path); r != nil {
 		add(r.Regions)
@@ -69,8 +69,8 @@
 	}
 }
 
-// allows reports whether the request may be served in a failure domain. One whose region is not
-// known is in none that a request could be bound to.
+// allows reports whether the request may be served in a failure domain. A failure domain whose
+// region is not known is excluded if any list restricts the request.
 func (x *exchange) allows(domain string) bool {
 	region := x.g.options.Regions[domain]
 	for _, regions := range x.regionLists() {
@@ -81,7 +81,8 @@
 	return true
 }
 
-// domainFilter returns allows, nil for a request that nothing binds: its choice looks at no domain.
+// domainFilter returns allows, or nil if the request is not restricted, so that the choice of a
+// runner skips the check.
 func (x *exchange) domainFilter() func(domain string) bool {
 	if len(x.regionLists()) == 0 {
 		return nil
@@ -89,8 +90,8 @@
 	return x.allows
 }
 
-// checkServable fails with *ErrNoRegion or *ErrEvacuated if no runner may serve the request however
-// long it waits.
+// checkServable fails with *ErrNoRegion or *ErrEvacuated if no runner may serve the request,
+// however long it waits.
 func (x *exchange) checkServable() error {
 	all := x.g.Directory.All(x.service)
 	allowed, left := 0, 0
--- a/pkg/retrybudget/retrybudget.go
+++ b/pkg/retrybudget/retrybudget.go
@@ -1,6 +1,6 @@
-// Package retrybudget bounds the requests that go to a second runner, over all
-// gateways together: in each window, a share of the requests and a slack. Each
-// gateway spends what its own requests earn and its part of the slack.
+// Package retrybudget limits the extra sends of requests to a second runner, over all gateways
+// together. Each window allows a share of the requests plus a slack. A gateway uses the share of
+// its own requests and its part of the slack.
 package retrybudget
 
 import (
@@ -8,28 +8,29 @@
 	"time"
 )
 
-// Limits are the bounds that all gateways share.
+// Limits are the limits that all gateways share.
 type Limits struct {
-	// Share is how many extra sends each request allows.
+	// Share is the number of extra sends allowed per request.
 	Share float64
-	// Slack is how many more are allowed in a window, by all gateways.
+	// Slack is the number of further extra sends allowed per window, over all gateways.
 	Slack float64
 	// Window is the length of a window.
 	Window time.Duration
 }
 
-// safetyShare is the part of the limits that is used: windows of the gateways and of
-// the judge begin at different times.
+// safetyShare is the share of the limits that is used, since the windows of the gateways and those
+// by which compliance is judged begin at different times.
 const safetyShare = 0.8
 
-// startSlackShare is the part of the slack that a process uses in its first window: what an earlier one
-// spent in that window is not known, and with safetyShare both stay below the whole.
+// startSlackShare is the share of the slack that a process uses in its first window. What its
+// predecessor spent in that window is not known. With safetyShare, both together stay within the
+// slack.
 const startSlackShare = 0.25
 
-// buckets is how many parts a window is counted in.
+// buckets is the number of buckets into which a window is divided.
 const buckets = 10
 
-// Budget counts one service's requests and extra sends at one gateway.
+// Budget counts the requests and extra sends of one service at one gateway.
 type Budget struct {
 	mu       sync.Mutex
 	limits   Limits
@@ -38,27 +39,27 @@
 	extras   [buckets + 1]float64
 	at       int64
 	start    time.Time
-	// began is when the process did, aged is set a window later.
+	// created is when the budget was created. aged is set one window later.
 	created time.Time
 	aged    bool
 }
 
-// New returns a budget that is shared by a number of gateways.
+// New returns a budget whose slack is divided among the given number of gateways.
 func New(l Limits, gateways int) *Budget { return newAt(l, gateways, time.Now()) }
 
 func newAt(l Limits, gateways int, now time.Time) *Budget {
 	return &Budget{limits: l, gateways: max(1, gateways), start: now, created: now}
 }
 
-// Share sets by how many gateways the slack is shared.
+// SetGateways sets the number of gateways among which the slack is divided.
 func (b *Budget) SetGateways(gateways int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.gateways = max(1, gateways)
 }
 
-// Limit changes the limits. What was counted stays; with a window of another
-// length it is counted anew from now.
+// SetLimits changes the limits. The counts are kept, unless the length of the window changes, which
+// restarts them.
 func (b *Budget) SetLimits(l Limits) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -69,17 +70,18 @@
 	b.limits = l
 }
 
-// age notes that a whole window has passed since the process began. The caller holds the lock.
+// updateAged sets aged once a whole window has passed since the budget was created. The caller must
+// hold mu.
 func (b *Budget) updateAged(now time.Time) { b.aged = b.aged || now.Sub(b.created) > b.limits.Window }
 
-// Request records a new request.
+// Request counts a new request.
 func (b *Budget) Request(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.requests[b.bucket(now)]++
 }
 
-// Spend takes one extra send, or reports that none is left.
+// Spend takes one extra send from the budget. It returns false if none is left.
 func (b *Budget) Spend(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -91,14 +93,14 @@
 	return true
 }
 
-// Charge records an extra send that was made already, whether any is left or not.
+// Charge counts an extra send that was already made, even if none is left.
 func (b *Budget) Charge(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.extras[b.bucket(now)]++
 }
 
-// Left returns how many extra sends are left.
+// Left returns the number of extra sends left, which is negative after a charge beyond the limit.
 func (b *Budget) Left(now time.Time) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -114,7 +116,7 @@
 	return safetyShare * (b.limits.Share*sum(b.requests[:]) + slack)
 }
 
-// bucket returns the current bucket and empties those that time has passed.
+// bucket returns the index of the current bucket and clears the buckets that have expired.
 func (b *Budget) bucket(now time.Time) int {
 	b.updateAged(now)
 	width := b.limits.Window / buckets
--- a/pkg/retrybudget/retrybudget_test.go
+++ b/pkg/retrybudget/retrybudget_test.go
@@ -12,8 +12,8 @@
 
 var limits = Limits{Share: 0.2, Slack: 50, Window: 10 * time.Second}
 
-// However requests and retries fall, gateways that share a budget stay within it
-// in every window.
+// Gateways that share a budget stay within it in every window, whatever the times of requests and
+// retries.
 func TestGatewaysTogetherStayWithinBudget(t *testing.T) {
 	spectest.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
@@ -32,7 +32,7 @@
 		for range rapid.IntRange(1, 400).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "gap")) * time.Millisecond)
 			if !lost && rapid.IntRange(0, 99).Draw(t, "lost") == 0 {
-				// All gateways are lost, and begin again with nothing known.
+				// All gateways are lost and restart without state.
 				lost = true
 				for i := range budgets {
 					budgets[i] = newAt(limits, n, now)
@@ -91,7 +91,7 @@
 	g.Expect(spent).To(Equal(0))
 }
 
-// New limits count what was spent under the old ones.
+// New limits apply to the sends counted under the old ones.
 func TestSetLimitsKeepsSpentSends(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
