--- a/pkg/ingress/answers.go
+++ b/pkg/ingress/answers.go
@@ -71,7 +71,7 @@
 	var credential *workspace.ErrCredential
 	var unconfirmed *ErrUnconfirmed
 	var limited *quota.ErrQuota
-	var held *quarantine.ErrQuarantined
+	var quarantined *quarantine.ErrQuarantined
 	if x.life == nil && x.route != nil && x.route.Kind == routetable.Stream {
 		x.fields = append(x.fields, decisionlog.F("prompt", x.call.Prompt))
 	}
@@ -82,8 +82,8 @@
 		x.unauthorized(err)
 	case errors.As(err, &unconfirmed):
 		x.refuse(err, unconfirmedRetryAfter)
-	case errors.As(err, &held):
-		x.refuse(err, held.Left)
+	case errors.As(err, &quarantined):
+		x.refuse(err, quarantined.Left)
 	case errors.As(err, &notReady) && !x.g.drain.begun():
 		x.refuse(err, startupRetryAfter)
 	case errors.As(err, &noRoute):
--- a/pkg/ingress/exchange.go
+++ b/pkg/ingress/exchange.go
@@ -133,17 +133,17 @@
 // withDeadline returns a context that ends at the client's time limit, the route's or that of the
 // drain, whichever is first.
 func (x *exchange) withDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
-	limit, whose := x.route.Timeout, "route"
+	limit, setBy := x.route.Timeout, "route"
 	if x.call.Patience > 0 && (limit <= 0 || x.call.Patience < limit) {
-		limit, whose = x.call.Patience, "client"
+		limit, setBy = x.call.Patience, "client"
 	}
 	if left := x.g.drain.bound(x.arrived, limit); left != limit {
-		limit, whose = left, "drain"
+		limit, setBy = left, "drain"
 	}
 	if limit <= 0 {
 		return context.WithCancel(ctx)
 	}
-	return context.WithDeadlineCause(ctx, x.arrived.Add(limit), &ErrTimeout{After: limit, SetBy: whose})
+	return context.WithDeadlineCause(ctx, x.arrived.Add(limit), &ErrTimeout{After: limit, SetBy: setBy})
 }
 
 // timeLeft returns the time until the request's deadline; 0 without a deadline.
--- a/pkg/ingress/forward.go
+++ b/pkg/ingress/forward.go
@@ -116,30 +116,30 @@
 	runner.Sent(x.call.ID, time.Now())
 	ctx, cancel := context.WithCancel(x.ctx)
 	defer cancel()
-	answer, err := x.g.options.Engines.Send(ctx, runner, x.call, x.order())
+	response, err := x.g.options.Engines.Send(ctx, runner, x.call, x.order())
 	if err != nil {
 		return x.sendFailed(life, n, runner, err)
 	}
-	defer answer.Body.Close()
-	if answer.NotRun || answer.Elsewhere {
+	defer response.Body.Close()
+	if response.NotRun || response.Elsewhere {
 		life.Withdraw(n)
-		x.declined(runner, answer)
-		return notRun, &ErrDeclined{Runner: runner.ID, Status: answer.Status, Elsewhere: answer.Elsewhere}
+		x.declined(runner, response)
+		return notRun, &ErrDeclined{Runner: runner.ID, Status: response.Status, Elsewhere: response.Elsewhere}
 	}
-	if answer.Status >= http.StatusInternalServerError {
+	if response.Status >= http.StatusInternalServerError {
 		runner.Failed(time.Now())
 		if !final {
-			discard(answer)
-			x.logFailedStep("answer_failed", runner.ID, &ErrAnswer{Runner: runner.ID, Status: answer.Status, Why: "runner failed"})
-			return mayHaveRun, &ErrAnswer{Runner: runner.ID, Status: answer.Status, Why: "runner failed"}
+			discard(response)
+			x.logFailedStep("answer_failed", runner.ID, &ErrAnswer{Runner: runner.ID, Status: response.Status, Why: "runner failed"})
+			return mayHaveRun, &ErrAnswer{Runner: runner.ID, Status: response.Status, Why: "runner failed"}
 		}
 	}
-	if answer.OK() && !answer.Whole {
+	if response.OK() && !response.Whole {
 		runner.Failed(time.Now())
-		return mayHaveRun, &ErrAnswer{Runner: runner.ID, Status: answer.Status, Why: "not signed, or encoded"}
+		return mayHaveRun, &ErrAnswer{Runner: runner.ID, Status: response.Status, Why: "not signed, or encoded"}
 	}
-	v, err := x.forwardResponse(life, n, answer, runner)
-	if err == nil && answer.Status < http.StatusInternalServerError {
+	v, err := x.forwardResponse(life, n, response, runner)
+	if err == nil && response.Status < http.StatusInternalServerError {
 		runner.Answered(time.Since(began))
 	}
 	return v, err
@@ -163,8 +163,8 @@
 
 // sendFailed records a send that got no response.
 func (x *exchange) sendFailed(life *request.Life, n int, runner *runners.State, err error) (sendResult, error) {
-	if gone := x.endReason(); gone != nil {
-		return mayHaveRun, gone
+	if reason := x.endReason(); reason != nil {
+		return mayHaveRun, reason
 	}
 	if notAdmitted(err) {
 		life.Withdraw(n)
@@ -201,7 +201,7 @@
 // forwardResponse forwards a response to the client: buffered and in one piece if it is short,
 // streamed if it is long.
 func (x *exchange) forwardResponse(life *request.Life, n int, a *Answer, runner *runners.State) (sendResult, error) {
-	held, whole, err := x.bufferBody(a.Body)
+	buffered, whole, err := x.bufferBody(a.Body)
 	if err != nil {
 		runner.Failed(time.Now())
 		x.logFailedStep("answer_broken", runner.ID, err)
@@ -210,12 +210,12 @@
 	}
 	x.copyHeader(a)
 	if whole {
-		x.w.Header().Set("Content-Length", strconv.Itoa(len(held)))
+		x.w.Header().Set("Content-Length", strconv.Itoa(len(buffered)))
 	}
 	x.w.WriteHeader(a.Status)
-	_, err = x.w.Write(held)
+	_, err = x.w.Write(buffered)
 	if err == nil && !whole {
-		_, err = io.CopyBuffer(x.w, a.Body, x.copyBuffer(held))
+		_, err = io.CopyBuffer(x.w, a.Body, x.copyBuffer(buffered))
 	}
 	if err != nil {
 		x.finish(a.Status, &ErrBroken{Runner: runner.ID, Err: err})
--- a/pkg/ingress/generate.go
+++ b/pkg/ingress/generate.go
@@ -250,24 +250,24 @@
 	runner.Sent(s.job.ID, time.Now())
 	ctx, cancel := context.WithCancel(s.ctx)
 	defer cancel()
-	answer, err := s.g.options.Engines.Send(ctx, runner, s.call, order)
+	response, err := s.g.options.Engines.Send(ctx, runner, s.call, order)
 	if err != nil {
 		s.releaseKV(prefillRunner, source, "decode_failed")
 		s.failedDecode[runner.ID] = true
 		return s.sendFailed(s.life, n, runner, err)
 	}
-	defer answer.Body.Close()
-	if answer.NotRun || answer.Elsewhere {
+	defer response.Body.Close()
+	if response.NotRun || response.Elsewhere {
 		s.life.Withdraw(n)
-		s.declined(runner, answer)
+		s.declined(runner, response)
 		s.avoidDeclining(runner)
 		s.recordLostCache(prefillRunner, source)
-		return notRun, &ErrDeclined{Runner: runner.ID, Status: answer.Status, Elsewhere: answer.Elsewhere}
+		return notRun, &ErrDeclined{Runner: runner.ID, Status: response.Status, Elsewhere: response.Elsewhere}
 	}
 	if prefillRunner != nil {
 		prefillRunner.Succeeded(time.Now())
 	}
-	return s.handleResponse(n, runner, answer)
+	return s.handleResponse(n, runner, response)
 }
 
 // avoidDeclining excludes a runner that refused the request, as long as another runner is left.
@@ -293,22 +293,22 @@
 }
 
 // handleResponse forwards the response of a decode runner, or returns why it can't be forwarded.
-func (s *generation) handleResponse(n int, runner *runners.State, answer *Answer) (sendResult, error) {
-	bad := &ErrAnswer{Runner: runner.ID, Status: answer.Status, Why: "runner failed"}
-	if answer.OK() && answer.Whole {
-		return s.relay.pass(n, runner, answer)
+func (s *generation) handleResponse(n int, runner *runners.State, response *Answer) (sendResult, error) {
+	bad := &ErrAnswer{Runner: runner.ID, Status: response.Status, Why: "runner failed"}
+	if response.OK() && response.Whole {
+		return s.relay.forwardEvents(n, runner, response)
 	}
 	s.failedDecode[runner.ID] = true
-	if answer.OK() {
+	if response.OK() {
 		bad.Why = "not signed, or encoded"
 		runner.Failed(time.Now())
 		return mayHaveRun, bad
 	}
-	if answer.Status >= http.StatusInternalServerError {
+	if response.Status >= http.StatusInternalServerError {
 		runner.Failed(time.Now())
 	}
 	if s.relay.begun || s.route.Repeatable() && s.life.Attempts() < s.route.MaxAttempts {
 		return mayHaveRun, bad
 	}
-	return s.forwardResponse(s.life, n, answer, runner)
+	return s.forwardResponse(s.life, n, response, runner)
 }
--- a/pkg/ingress/identity.go
+++ b/pkg/ingress/identity.go
@@ -111,6 +111,6 @@
 func notAllowed(err error) bool {
 	var credential *workspace.ErrCredential
 	var unconfirmed *ErrUnconfirmed
-	var held *quarantine.ErrQuarantined
-	return errors.As(err, &credential) || errors.As(err, &unconfirmed) || errors.As(err, &held)
+	var quarantined *quarantine.ErrQuarantined
+	return errors.As(err, &credential) || errors.As(err, &unconfirmed) || errors.As(err, &quarantined)
 }
--- a/pkg/ingress/kept_test.go
+++ b/pkg/ingress/kept_test.go
@@ -19,7 +19,7 @@
 type cachingEngines struct {
 	Engines
 	mu     sync.Mutex
-	keeper string
+	holder string
 	calls  map[string]int
 }
 
@@ -27,7 +27,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.calls[r.ID]++
-	if r.ID == k.keeper {
+	if r.ID == k.holder {
 		return map[string]int{"p": 900}, nil
 	}
 	return map[string]int{"other": 100}, nil
@@ -46,13 +46,13 @@
 func TestResumedStreamsShareBoundedCacheCalls(t *testing.T) {
 	g := NewWithT(t)
 	engines := enginesOf(3 * maxPromptCacheCalls)
-	k := &cachingEngines{keeper: engines[5].ID, calls: map[string]int{}}
+	k := &cachingEngines{holder: engines[5].ID, calls: map[string]int{}}
 	log := decisionlog.New("p", io.Discard)
 	defer log.Close(time.Second)
 	kept := newPromptCaches(k, log)
 	for range 10 {
-		keeper, tokens := kept.find(t.Context(), engines, "p")
-		g.Expect(keeper).To(Equal(engines[5]))
+		holder, tokens := kept.find(t.Context(), engines, "p")
+		g.Expect(holder).To(Equal(engines[5]))
 		g.Expect(tokens).To(Equal(900))
 	}
 	g.Expect(k.calls).To(HaveLen(maxPromptCacheCalls))
--- a/pkg/ingress/metrics.go
+++ b/pkg/ingress/metrics.go
@@ -20,7 +20,7 @@
 	wasted     *metrics.Counter
 	resumed    *metrics.Counter
 	broken     *metrics.Counter
-	// quarantines counts the quarantines that began at this gateway.
+	// quarantines counts the quarantines that this gateway learned of.
 	quarantines *metrics.Counter
 	// notBuffered counts the responses that were streamed because the memory for buffers was used
 	// up.
@@ -83,8 +83,8 @@
 // shownLimits limits the runners whose rate limits are in the metrics.
 const shownLimits = 20
 
-// writeLimits writes the runners' rate limits and the number of requests that this gateway sent
-// within them.
+// writeLimits writes the runners' rate limits, and how many requests this gateway sent and
+// withheld.
 func (g *Ingress) writeLimits(w io.Writer) {
 	all := g.Directory.Limits.All(time.Now())
 	fmt.Fprintf(w, "hopwell_runner_limits %d\n", len(all))
--- a/pkg/ingress/prefill.go
+++ b/pkg/ingress/prefill.go
@@ -38,8 +38,8 @@
 			s.fields = append(s.fields, decisionlog.F("prefill", prefillRunner.ID), decisionlog.F("prefill_after", time.Since(s.arrived)))
 			return source, prefillRunner, nil
 		}
-		if gone := s.endReason(); gone != nil {
-			return Source{}, nil, gone
+		if reason := s.endReason(); reason != nil {
+			return Source{}, nil, reason
 		}
 		s.logFailedStep("prefill_failed", prefillRunner.ID, err)
 		if noResponse(err) {
@@ -85,7 +85,7 @@
 }
 
 // mayPrefillAgain reports whether the retry budget allows one more prefill, and charges it. If the
-// last prefill was refused, it has been charged already, so the next one is free.
+// last prefill was refused, it has been charged already; the next one is then not charged.
 func (s *generation) mayPrefillAgain() bool {
 	if s.charged {
 		s.charged = false
--- a/pkg/ingress/relay.go
+++ b/pkg/ingress/relay.go
@@ -42,15 +42,15 @@
 	longestGap time.Duration
 }
 
-// pass forwards the events of a response until its end.
-func (r *relay) pass(n int, runner *runners.State, a *Answer) (sendResult, error) {
+// forwardEvents forwards the events of a response until its end.
+func (r *relay) forwardEvents(n int, runner *runners.State, a *Answer) (sendResult, error) {
 	r.runner = runner.ID
 	began, before := time.Now(), r.events
 	in := bufio.NewReaderSize(a.Body, eventBuffer)
 	for {
 		event, err := readEvent(in)
 		if errors.Is(err, io.EOF) && len(event) == 0 {
-			return r.whole(n, runner, a, began)
+			return r.complete(n, runner, a, began)
 		}
 		if err != nil {
 			return r.streamBroken(runner, r.events == before, err)
@@ -62,10 +62,10 @@
 	}
 }
 
-// whole completes the client's response.
-func (r *relay) whole(n int, runner *runners.State, a *Answer, began time.Time) (sendResult, error) {
+// complete completes the client's response.
+func (r *relay) complete(n int, runner *runners.State, a *Answer, began time.Time) (sendResult, error) {
 	if !r.begun {
-		r.head(a)
+		r.writeHeader(a)
 	}
 	runner.Answered(time.Since(began))
 	r.s.pool.Lengths.Learn(r.s.lengthHint(), r.events*r.s.engine.TokensPerEvent)
@@ -79,8 +79,8 @@
 // yet.
 func (r *relay) streamBroken(runner *runners.State, early bool, err error) (sendResult, error) {
 	r.s.failedDecode[runner.ID] = true
-	if gone := r.s.endReason(); gone != nil {
-		return mayHaveRun, gone
+	if reason := r.s.endReason(); reason != nil {
+		return mayHaveRun, reason
 	}
 	runner.Failed(time.Now())
 	r.s.logFailedStep("stream_broken", runner.ID, err, decisionlog.F("events", r.events), decisionlog.F("last", r.last),
@@ -89,9 +89,9 @@
 	return mayHaveRun, &ErrBroken{Runner: runner.ID, After: r.last, Err: err}
 }
 
-// head sends the header of the first response. It applies to the whole stream, also if another
-// runner resumes it.
-func (r *relay) head(a *Answer) {
+// writeHeader sends the header of the first response. It applies to the whole stream, also if
+// another runner resumes it.
+func (r *relay) writeHeader(a *Answer) {
 	r.begun = true
 	r.s.g.metrics.firstEvent.UpdateDuration(r.s.arrived)
 	r.s.fields = append(r.s.fields, decisionlog.F("first_event", time.Since(r.s.arrived)))
@@ -106,7 +106,7 @@
 		return nil
 	}
 	if !r.begun {
-		r.head(a)
+		r.writeHeader(a)
 	}
 	if _, err := r.s.w.Write(event); err != nil {
 		return err
--- a/pkg/ingress/returns.go
+++ b/pkg/ingress/returns.go
@@ -12,8 +12,8 @@
 	// an overload.
 	minLongestShare = 0.5
 	// averagedRequests is the approximate number of requests of a route over which the share is
-	// averaged. minObserved is the number needed for a decision; each of 31 gateways receives one
-	// request per second on a route.
+	// averaged. minObserved is the number needed for a decision. It is small, since each of 31
+	// gateways receives only one request per second on a route.
 	averagedRequests = 200
 	minObserved      = 8
 )
--- a/pkg/ingress/slow.go
+++ b/pkg/ingress/slow.go
@@ -27,8 +27,8 @@
 
 // copyBuffer returns the buffer for streaming the rest of a partly buffered response. It releases
 // the memory of the buffered part, apart from the new buffer.
-func (x *exchange) copyBuffer(held []byte) []byte {
-	x.reserveMemory(int64(initialBuffer - cap(held)))
+func (x *exchange) copyBuffer(buffered []byte) []byte {
+	x.reserveMemory(int64(initialBuffer - cap(buffered)))
 	return make([]byte, initialBuffer)
 }
 
@@ -39,26 +39,26 @@
 // bufferBody reads a response into memory, up to maxBuffered and as far as the memory for buffers
 // allows, and reports whether it is complete. A response is never given up for lack of memory: the
 // rest is streamed.
-func (x *exchange) bufferBody(body io.Reader) (held []byte, whole bool, err error) {
-	for len(held) < maxBuffered {
-		if len(held) == cap(held) {
-			more := max(initialBuffer, cap(held))
+func (x *exchange) bufferBody(body io.Reader) (buffered []byte, whole bool, err error) {
+	for len(buffered) < maxBuffered {
+		if len(buffered) == cap(buffered) {
+			more := max(initialBuffer, cap(buffered))
 			if !x.reserveMemory(int64(more)) {
 				x.g.metrics.notBuffered.Inc()
-				return held, false, nil
+				return buffered, false, nil
 			}
-			grown := make([]byte, len(held), len(held)+more)
-			copy(grown, held)
-			held = grown
+			grown := make([]byte, len(buffered), len(buffered)+more)
+			copy(grown, buffered)
+			buffered = grown
 		}
-		n, err := body.Read(held[len(held):cap(held)])
-		held = held[:len(held)+n]
+		n, err := body.Read(buffered[len(buffered):cap(buffered)])
+		buffered = buffered[:len(buffered)+n]
 		if errors.Is(err, io.EOF) {
-			return held, true, nil
+			return buffered, true, nil
 		}
 		if err != nil {
-			return held, false, err
+			return buffered, false, err
 		}
 	}
-	return held, false, nil
+	return buffered, false, nil
 }
