--- a/pkg/ingress/drain_test.go
+++ b/pkg/ingress/drain_test.go
@@ -7,9 +7,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// While streams keep a stopping process up, short requests are served until shortly before
-// its end; new streams are not.
-func TestADrainTakesShortRequestsAsLongAsStreamsRun(t *testing.T) {
+// While streams keep a draining process alive, short requests are accepted until shortly before its
+// end; new streams are not.
+func TestDrainServesShortRequestsWhileStreamsRun(t *testing.T) {
 	g := NewWithT(t)
 	in := New(Options{})
 	in.StartDrain(2*time.Second, 8*time.Second)
@@ -23,22 +23,22 @@
 		g.Expect(d.refuses(now.Add(c.after), c.stream)).To(Equal(c.refused), "after %s, stream %t", c.after, c.stream)
 	}
 	d.streams.Store(0)
-	g.Expect(d.refuses(now.Add(3*time.Second), false)).To(BeTrue(), "nothing keeps the process up")
+	g.Expect(d.refuses(now.Add(3*time.Second), false)).To(BeTrue(), "no stream keeps the process alive")
 	g.Expect(d.bound(now.Add(7*time.Second), 4*time.Second)).To(BeNumerically("<", time.Second))
 	g.Expect(d.bound(now, 0)).To(BeNumerically(">", 7*time.Second))
 }
 
-// A refused client comes back at once where another gateway can take it, and when this one
-// is up again where there is none.
-func TestWhoADrainRefusesComesBackWhenSomebodyServes(t *testing.T) {
+// Retry-After is short if another gateway can serve the client, otherwise it lasts until this
+// gateway has restarted.
+func TestDrainRetryAfterDependsOnOtherGateways(t *testing.T) {
 	g := NewWithT(t)
 	others := 1
 	in := New(Options{Neighbours: func() int { return others }})
 	in.StartDrain(0, 3*time.Second)
 	x := &exchange{g: in, arrived: time.Now(), call: &Call{Patience: 14 * time.Second}}
-	g.Expect(x.drainWait()).To(Equal(shortWait))
+	g.Expect(x.drainRetryAfter()).To(Equal(shortRetryAfter))
 	others = 0
-	g.Expect(x.drainWait()).To(BeNumerically("~", 3*time.Second+restartTime, 100*time.Millisecond))
+	g.Expect(x.drainRetryAfter()).To(BeNumerically("~", 3*time.Second+restartTime, 100*time.Millisecond))
 	x.call.Patience = 3 * time.Second
-	g.Expect(x.drainWait()).To(BeNumerically("<=", time.Second))
+	g.Expect(x.drainRetryAfter()).To(BeNumerically("<=", time.Second))
 }
--- a/pkg/ingress/forward.go
+++ b/pkg/ingress/forward.go
@@ -15,28 +15,28 @@
 )
 
 const (
-	// maxHeld bounds the answers that are held back until they are whole, in
-	// bytes; longer ones are passed on as they come, and others while memory is short.
-	maxHeld = 256 << 10
-	// maxRefused bounds the sends of a request that runners turned away.
+	// maxBuffered is the size in bytes up to which a response is buffered until it is complete.
+	// Longer responses are streamed, and so are all while memory is short.
+	maxBuffered = 256 << 10
+	// maxRefused is the number of refusals by runners after which a request is still retried.
 	maxRefused = 3
-	// serviceWait is when a client may come back whom no plain runner took.
-	serviceWait = 300 * time.Millisecond
+	// minPlainRetryAfter is the shortest Retry-After of a request that no plain runner accepted.
+	minPlainRetryAfter = 300 * time.Millisecond
 )
 
-// verdict is what became of one send.
-type verdict int
+// sendResult is the result of one send to a runner.
+type sendResult int
 
 const (
-	// answered: the client has its answer, or has a part of one.
-	answered verdict = iota
-	// notRun: the runner has not run the request.
+	// responded means that the client has received at least a part of the response.
+	responded sendResult = iota
+	// notRun means that the runner has not run the request.
 	notRun
-	// mayHaveRun: it has, or it may have.
+	// mayHaveRun means that the runner has run the request or may have run it.
 	mayHaveRun
 )
 
-// forward serves a request by a plain service.
+// forward serves a request by the runners of a plain service.
 func (x *exchange) forward() {
 	life := request.NewLife(x.call.ID, x.route.Repeatable())
 	x.life = life
@@ -46,14 +46,14 @@
 	var last error
 	runs, refusals := 0, 0
 	for runs < max(1, x.route.MaxAttempts) && refusals <= maxRefused {
-		if last = firstOf(x.over(), last); x.over() != nil {
+		if last = firstError(x.endReason(), last); x.endReason() != nil {
 			break
 		}
 		n, err := life.Begin()
 		if err != nil {
 			break
 		}
-		runner, err := x.claim(avoid)
+		runner, err := x.claimPlain(avoid)
 		if err != nil {
 			if last == nil || roomAfter(err) > 0 {
 				last = err
@@ -62,13 +62,13 @@
 		}
 		if x.sends > 0 && !budget.Spend(time.Now()) {
 			runner.Release(x.call.ID)
-			last = &ErrBudget{Service: x.service}
+			last = &ErrRetryBudget{Service: x.service}
 			break
 		}
 		final := runs+1 >= x.route.MaxAttempts || !x.route.Repeatable()
-		var v verdict
+		var v sendResult
 		v, err = x.sendPlain(life, n, runner, final)
-		if v == answered {
+		if v == responded {
 			return
 		}
 		avoid[runner.ID] = true
@@ -82,14 +82,14 @@
 		}
 		runs++
 	}
-	x.giveUp(life, firstOf(x.over(), last), comeBackToService(last))
+	x.giveUp(life, firstError(x.endReason(), last), plainRetryAfter(last))
 }
 
-// comeBackToService returns the Retry-After for a request that no plain runner accepted.
-func comeBackToService(last error) time.Duration { return max(roomAfter(last), serviceWait) }
+// plainRetryAfter returns the Retry-After for a request that no plain runner accepted.
+func plainRetryAfter(last error) time.Duration { return max(roomAfter(last), minPlainRetryAfter) }
 
-// firstOf returns the first error that is one.
-func firstOf(errs ...error) error {
+// firstError returns the first non-nil error.
+func firstError(errs ...error) error {
 	for _, err := range errs {
 		if err != nil {
 			return err
@@ -98,9 +98,9 @@
 	return nil
 }
 
-// sendPlain makes one try. A failure that the runner itself answered goes back
-// if the try is the final one.
-func (x *exchange) sendPlain(life *request.Life, n int, runner *runners.State, final bool) (verdict, error) {
+// sendPlain sends the request to a runner once. A 5xx response of the runner is forwarded to the
+// client only in the final attempt.
+func (x *exchange) sendPlain(life *request.Life, n int, runner *runners.State, final bool) (sendResult, error) {
 	began := time.Now()
 	defer runner.Release(x.call.ID)
 	if err := x.reconfirm(); err != nil {
@@ -112,67 +112,67 @@
 	runner.Enter()
 	defer runner.Leave()
 	x.sends++
-	x.noteLimit(runner)
+	x.logRunnerLimit(runner)
 	runner.Sent(x.call.ID, time.Now())
 	ctx, cancel := context.WithCancel(x.ctx)
 	defer cancel()
-	answer, err := x.g.options.Engines.Send(ctx, runner, x.call, x.order())
+	response, err := x.g.options.Engines.Send(ctx, runner, x.call, x.order())
 	if err != nil {
 		return x.sendFailed(life, n, runner, err)
 	}
-	defer answer.Body.Close()
-	if answer.NotRun || answer.Elsewhere {
+	defer response.Body.Close()
+	if response.NotRun || response.Elsewhere {
 		life.Withdraw(n)
-		x.declined(runner, answer)
-		return notRun, &ErrDeclined{Runner: runner.ID, Status: answer.Status, Elsewhere: answer.Elsewhere}
+		x.declined(runner, response)
+		return notRun, &ErrDeclined{Runner: runner.ID, Status: response.Status, Elsewhere: response.Elsewhere}
 	}
-	if answer.Status >= http.StatusInternalServerError {
+	if response.Status >= http.StatusInternalServerError {
 		runner.Failed(time.Now())
 		if !final {
-			discard(answer)
-			x.trouble("answer_failed", runner.ID, &ErrAnswer{Runner: runner.ID, Status: answer.Status, Why: "runner failed"})
-			return mayHaveRun, &ErrAnswer{Runner: runner.ID, Status: answer.Status, Why: "runner failed"}
+			discard(response)
+			x.logFailedStep("answer_failed", runner.ID, &ErrAnswer{Runner: runner.ID, Status: response.Status, Why: "runner failed"})
+			return mayHaveRun, &ErrAnswer{Runner: runner.ID, Status: response.Status, Why: "runner failed"}
 		}
 	}
-	if answer.OK() && !answer.Whole {
+	if response.OK() && !response.Whole {
 		runner.Failed(time.Now())
-		return mayHaveRun, &ErrAnswer{Runner: runner.ID, Status: answer.Status, Why: "not signed, or encoded"}
+		return mayHaveRun, &ErrAnswer{Runner: runner.ID, Status: response.Status, Why: "not signed, or encoded"}
 	}
-	v, err := x.passOn(life, n, answer, runner)
-	if err == nil && answer.Status < http.StatusInternalServerError {
+	v, err := x.forwardResponse(life, n, response, runner)
+	if err == nil && response.Status < http.StatusInternalServerError {
 		runner.Answered(time.Since(began))
 	}
 	return v, err
 }
 
-// noteLimit records that the request is sent to a runner that names a limit.
-func (x *exchange) noteLimit(runner *runners.State) {
+// logRunnerLimit logs a send to a runner that announces a rate limit.
+func (x *exchange) logRunnerLimit(runner *runners.State) {
 	if limit, ok := runner.Limit(time.Now()); ok {
-		x.step("sent_within_limit", decisionlog.F("runner", runner.ID), decisionlog.F("limit", limit.PerSecond), decisionlog.F("named_ago", limit.NamedAgo),
+		x.logStep("sent_within_limit", decisionlog.F("runner", runner.ID), decisionlog.F("limit", limit.PerSecond), decisionlog.F("named_ago", limit.NamedAgo),
 			decisionlog.F("told_by", limit.From), decisionlog.F("left", limit.Level), decisionlog.F("users", limit.Users), decisionlog.F("heard", limit.Heard))
 	}
 }
 
-// maxDiscarded bounds what is read of an answer that nobody gets, in bytes, so that its
-// connection can be used again.
+// maxDiscarded is the number of bytes read of a response that is not forwarded, so that its
+// connection can be reused.
 const maxDiscarded = 16 << 10
 
-// discard reads an answer that nobody gets. What of it is not there yet ends with its
-// connection.
+// discard drains a response that is not forwarded, up to maxDiscarded. If the response is longer,
+// its connection is closed.
 func discard(a *Answer) { _, _ = io.CopyN(io.Discard, a.Body, maxDiscarded) }
 
-// sendFailed records a send without an answer.
-func (x *exchange) sendFailed(life *request.Life, n int, runner *runners.State, err error) (verdict, error) {
-	if gone := x.over(); gone != nil {
-		return mayHaveRun, gone
+// sendFailed records a send that got no response.
+func (x *exchange) sendFailed(life *request.Life, n int, runner *runners.State, err error) (sendResult, error) {
+	if reason := x.endReason(); reason != nil {
+		return mayHaveRun, reason
 	}
 	if notAdmitted(err) {
 		life.Withdraw(n)
 		x.sends--
-		x.step("not_sent", decisionlog.F("runner", runner.ID), decisionlog.F("error", err))
+		x.logStep("not_sent", decisionlog.F("runner", runner.ID), decisionlog.F("error", err))
 		return notRun, err
 	}
-	x.trouble("send_failed", runner.ID, err, decisionlog.F("address", runner.Address), decisionlog.F("asked", x.digest()))
+	x.logFailedStep("send_failed", runner.ID, err, decisionlog.F("address", runner.Address), decisionlog.F("asked", x.digest()))
 	var dial *upstream.ErrDial
 	if errors.As(err, &dial) {
 		life.Withdraw(n)
@@ -181,13 +181,13 @@
 		return notRun, err
 	}
 	runner.Failed(time.Now())
-	if answerMissing(err) {
-		x.broke(runner, true, err)
+	if noResponse(err) {
+		x.reportBrokenRun(runner, true, err)
 	}
 	return mayHaveRun, err
 }
 
-// declined records a runner's refusal.
+// declined records a refusal by a runner.
 func (x *exchange) declined(runner *runners.State, a *Answer) {
 	if a.Elsewhere {
 		runner.MarkUnusable(time.Now())
@@ -195,39 +195,39 @@
 		runner.Declined(time.Now())
 	}
 	x.g.metrics.declined(a.Status)
-	x.step("declined", decisionlog.F("runner", runner.ID), decisionlog.F("status", a.Status), decisionlog.F("elsewhere", a.Elsewhere))
+	x.logStep("declined", decisionlog.F("runner", runner.ID), decisionlog.F("status", a.Status), decisionlog.F("elsewhere", a.Elsewhere))
 }
 
-// passOn gives an answer to the client: whole if it is short, as it comes if it
-// is long.
-func (x *exchange) passOn(life *request.Life, n int, a *Answer, runner *runners.State) (verdict, error) {
-	held, whole, err := x.hold(a.Body)
+// forwardResponse forwards a response to the client: buffered and in one piece if it is short,
+// streamed if it is long.
+func (x *exchange) forwardResponse(life *request.Life, n int, a *Answer, runner *runners.State) (sendResult, error) {
+	buffered, whole, err := x.bufferBody(a.Body)
 	if err != nil {
 		runner.Failed(time.Now())
-		x.trouble("answer_broken", runner.ID, err)
-		x.broke(runner, false, err)
-		return mayHaveRun, firstOf(x.over(), &ErrAnswer{Runner: runner.ID, Status: a.Status, Why: "broken off: " + err.Error()})
+		x.logFailedStep("answer_broken", runner.ID, err)
+		x.reportBrokenRun(runner, false, err)
+		return mayHaveRun, firstError(x.endReason(), &ErrAnswer{Runner: runner.ID, Status: a.Status, Why: "broken off: " + err.Error()})
 	}
 	x.copyHeader(a)
 	if whole {
-		x.w.Header().Set("Content-Length", strconv.Itoa(len(held)))
+		x.w.Header().Set("Content-Length", strconv.Itoa(len(buffered)))
 	}
 	x.w.WriteHeader(a.Status)
-	_, err = x.w.Write(held)
+	_, err = x.w.Write(buffered)
 	if err == nil && !whole {
-		_, err = io.CopyBuffer(x.w, a.Body, x.copyBuffer(held))
+		_, err = io.CopyBuffer(x.w, a.Body, x.copyBuffer(buffered))
 	}
 	if err != nil {
 		x.finish(a.Status, &ErrBroken{Runner: runner.ID, Err: err})
 		panic(http.ErrAbortHandler)
 	}
-	x.end(life, n)
-	x.endedWell()
+	x.recordEnd(life, n)
+	x.recordCompleted()
 	x.finish(a.Status, nil, decisionlog.F("runner", runner.ID))
-	return answered, nil
+	return responded, nil
 }
 
-// end records the request's whole answer.
-func (x *exchange) end(life *request.Life, n int) {
+// recordEnd records that the response is complete.
+func (x *exchange) recordEnd(life *request.Life, n int) {
 	_ = life.End(n, 0)
 }
--- a/pkg/ingress/forward_test.go
+++ b/pkg/ingress/forward_test.go
@@ -11,9 +11,9 @@
 	"github.com/hopwell/hopwell/pkg/runners"
 )
 
-// plain returns an ingress that knows two plain runners, "a" healthy and "b" at
-// rest for its failures.
-func plain() *Ingress {
+// newPlainIngress returns an ingress with two plain runners: "a" is healthy, "b" is backed off
+// after a failed connection.
+func newPlainIngress() *Ingress {
 	g := New(Options{Domain: "d"})
 	for _, id := range []string{"a", "b"} {
 		g.Directory.Put(runners.Runner{ID: id, Service: "s", Domain: "d"}, time.Now())
@@ -26,34 +26,34 @@
 	return g
 }
 
-// chosen returns the runner that a request gets, nil for none.
-func chosen(g *Ingress, w plainWork) *runners.State {
-	runner, _ := g.choose(w)
+// chosen returns the runner chosen for a request, nil for none.
+func chosen(g *Ingress, w plainRequest) *runners.State {
+	runner, _ := g.choosePlain(w)
 	return runner
 }
 
-// A repeatable request whose only healthy runner failed is tried at one that
-// rests, rather than given up: its answer is lost either way.
-func TestARestingRunnerIsTheLastChoiceOfWhatMayBeRepeated(t *testing.T) {
+// A repeatable request whose only healthy runner failed is sent to one in backoff rather than given
+// up: without a retry it would be lost as well.
+func TestRepeatableRequestFallsBackToUnreachableRunner(t *testing.T) {
 	g := NewWithT(t)
-	in := plain()
-	g.Expect(chosen(in, plainWork{service: "s", repeatable: true}).ID).To(Equal("a"))
-	g.Expect(chosen(in, plainWork{service: "s", repeatable: true, avoid: map[string]bool{"a": true}}).ID).To(Equal("b"))
-	g.Expect(chosen(in, plainWork{service: "s", repeatable: true, avoid: map[string]bool{"a": true, "b": true}})).To(BeNil())
+	in := newPlainIngress()
+	g.Expect(chosen(in, plainRequest{service: "s", repeatable: true}).ID).To(Equal("a"))
+	g.Expect(chosen(in, plainRequest{service: "s", repeatable: true, avoid: map[string]bool{"a": true}}).ID).To(Equal("b"))
+	g.Expect(chosen(in, plainRequest{service: "s", repeatable: true, avoid: map[string]bool{"a": true, "b": true}})).To(BeNil())
 }
 
-// What must not be repeated is not risked there: it has not run yet, and its
-// client may come back.
-func TestARestingRunnerIsNoChoiceForWhatMustNotBeRepeated(t *testing.T) {
+// A request that must not be repeated is not risked on a runner in backoff: it has not run yet, and
+// its client may retry.
+func TestNonRepeatableRequestSkipsUnreachableRunner(t *testing.T) {
 	g := NewWithT(t)
-	in := plain()
-	g.Expect(chosen(in, plainWork{service: "s"}).ID).To(Equal("a"))
-	g.Expect(chosen(in, plainWork{service: "s", avoid: map[string]bool{"a": true}})).To(BeNil())
+	in := newPlainIngress()
+	g.Expect(chosen(in, plainRequest{service: "s"}).ID).To(Equal("a"))
+	g.Expect(chosen(in, plainRequest{service: "s", avoid: map[string]bool{"a": true}})).To(BeNil())
 }
 
-// A request that must not be repeated is lost where its answer is: a runner that fails
-// some answers gets it only when the others have far more work.
-func TestWhatMustNotBeRepeatedAvoidsRunnersThatFail(t *testing.T) {
+// A request that must not be repeated is lost if its response is lost. A runner that fails some
+// requests gets it only if the others have far more work.
+func TestNonRepeatableRequestAvoidsFailingRunner(t *testing.T) {
 	g := NewWithT(t)
 	in := New(Options{})
 	for _, id := range []string{"good", "bad"} {
@@ -69,16 +69,17 @@
 	for range 2 {
 		good.Enter()
 	}
-	g.Expect(chosen(in, plainWork{service: "s", repeatable: true}).ID).To(Equal("bad"))
-	g.Expect(chosen(in, plainWork{service: "s"}).ID).To(Equal("good"))
+	g.Expect(chosen(in, plainRequest{service: "s", repeatable: true}).ID).To(Equal("bad"))
+	g.Expect(chosen(in, plainRequest{service: "s"}).ID).To(Equal("good"))
 	for range 10 {
 		good.Enter()
 	}
-	g.Expect(chosen(in, plainWork{service: "s"}).ID).To(Equal("bad"), "the other can't carry it all")
+	g.Expect(chosen(in, plainRequest{service: "s"}).ID).To(Equal("bad"), "the other runner can't serve everything")
 }
 
-// Guards against gateways that together open more connections to plain runners than these take.
-func TestManyGatewaysShareOutTheRunnersConnections(t *testing.T) {
+// Guards against gateways that together open more connections to plain runners than the runners
+// accept.
+func TestGatewaySubsetsBoundConnectionsPerRunner(t *testing.T) {
 	g := NewWithT(t)
 	const most, gateways = 250, 300
 	users := map[string]int{}
@@ -90,15 +91,15 @@
 		for _, id := range []string{"a", "b", "c"} {
 			in.Directory.Put(runners.Runner{ID: id, Service: "s"}, time.Now())
 		}
-		first := chosen(in, plainWork{service: "s"})
-		g.Expect(chosen(in, plainWork{service: "s", repeatable: true})).To(Equal(first))
+		first := chosen(in, plainRequest{service: "s"})
+		g.Expect(chosen(in, plainRequest{service: "s", repeatable: true})).To(Equal(first))
 		users[first.ID]++
-		// What it uses has failed the request, or is gone: the others are there still.
-		g.Expect(chosen(in, plainWork{service: "s", avoid: map[string]bool{first.ID: true}})).NotTo(BeNil())
+		// Runners outside the subset are candidates if those inside failed the request or were removed.
+		g.Expect(chosen(in, plainRequest{service: "s", avoid: map[string]bool{first.ID: true}})).NotTo(BeNil())
 	}
 	for _, n := range users {
 		g.Expect(2*n).To(BeNumerically("<", most), "two connections of each gateway")
 	}
 	few := New(Options{Name: "g", Gateways: 30})
-	g.Expect(few.used("s", 3)).To(Equal(3))
+	g.Expect(few.subsetSize("s", 3)).To(Equal(3))
 }
--- a/pkg/ingress/generate.go
+++ b/pkg/ingress/generate.go
@@ -17,50 +17,51 @@
 )
 
 const (
-	// freshPart is the part of its latency target that a new request may wait
-	// for room before it is refused with a time to come back.
-	freshPart = 0.22
-	// leastPatience and the two factors give how long clients wait for a
-	// stream's first event: the longest of the three.
-	leastPatience = 2 * time.Second
-	latencyFactor = 4
-	gapFactor     = 8
-	// serveTime is what is left of that for the prefill and the first event.
-	serveTime = 500 * time.Millisecond
-	// holdCall bounds a call that reserves memory.
-	holdCall = 400 * time.Millisecond
-	// A prefill whose answer has not come after prefillLate and prefillFactor
-	// times the expected time is taken for lost; where the runner has failed
-	// next to nothing lately, after trustedLate instead.
-	prefillLate   = 300 * time.Millisecond
-	trustedLate   = 1000 * time.Millisecond
-	prefillFactor = 2
-	// trustBelow is the failure rate below which a runner is trusted.
-	trustBelow = 0.04
-	// holdAhead is how many tokens of the answer are reserved with the prompt:
-	// the rest is reserved in the pool's model alone.
-	holdAhead = 256
-	// overflowAfter is the expected time of a prefill above which the decode
-	// runner reads the prompt itself.
-	overflowAfter = 900 * time.Millisecond
-	// localAbove is the failure rate of the best prefill runner above which the decode
-	// runner reads the prompt itself: one answer then may be lost instead of two, and a
+	// newRequestWaitShare is the share of its latency target that a new request may wait for room
+	// before it is refused with Retry-After.
+	newRequestWaitShare = 0.22
+	// minClientTimeout and the two factors estimate how long clients wait for the first event of a
+	// stream: the longest of this time, latencyFactor times the latency target and gapFactor times
+	// the target gap between events.
+	minClientTimeout = 2 * time.Second
+	latencyFactor    = 4
+	gapFactor        = 8
+	// serveReserve is the part of that time kept for the prefill and the first event.
+	serveReserve = 500 * time.Millisecond
+	// holdTimeout limits the call that takes a hold.
+	holdTimeout = 400 * time.Millisecond
+	// A prefill is considered lost if no response has come after its slack plus prefillFactor times
+	// the expected time. The slack is prefillSlack, or trustedPrefillSlack if the runner has hardly
+	// failed lately.
+	prefillSlack        = 300 * time.Millisecond
+	trustedPrefillSlack = 1000 * time.Millisecond
+	prefillFactor       = 2
+	// trustedFailureRate is the failure rate below which a runner gets trustedPrefillSlack.
+	trustedFailureRate = 0.04
+	// holdOutputTokens is the number of output tokens held in addition to the prompt. The rest of
+	// the output is reserved only in the model of the pool.
+	holdOutputTokens = 256
+	// localPrefillAfter is the expected time of a prefill above which the decode runner computes
+	// the prompt itself.
+	localPrefillAfter = 900 * time.Millisecond
+	// localPrefillFailureRate is the failure rate of the best prefill runner above which the decode
+	// runner computes the prompt itself. Only one response can be lost then instead of two, and a
 	// lost prefill costs a second.
-	localAbove = 0.1
-	// freeCall bounds the giving back of what is not needed.
-	freeCall = time.Second
-	// defaultOut is expected of answers whose length nobody guesses, in tokens.
-	defaultOut = 512
-	// shortestReturn and longestReturn are when refused requests come back, and
-	// returnPart bounds it by the time that the client has left.
-	shortestReturn = 3000 * time.Millisecond
-	longestReturn  = 4600 * time.Millisecond
-	returnPart     = 0.33
-	// maxPrefills bounds the prefills of one try.
+	localPrefillFailureRate = 0.1
+	// releaseTimeout limits calls that release a hold or a KV cache.
+	releaseTimeout = time.Second
+	// defaultOutputTokens is the expected output, in tokens, of a request without a length hint.
+	defaultOutputTokens = 512
+	// minStreamRetryAfter and maxStreamRetryAfter are the range of Retry-After for refused streams.
+	// retryAfterShare limits it to a share of the time that the client has left.
+	minStreamRetryAfter = 3000 * time.Millisecond
+	maxStreamRetryAfter = 4600 * time.Millisecond
+	retryAfterShare     = 0.33
+	// maxPrefills limits the prefills of one attempt.
 	maxPrefills = 2
 )
 
-// generation is a request to model engines while it is served.
+// generation is the state of one request to model engines while it is served.
 type generation struct {
 	*exchange
 	pool   *enginepool.Pool
@@ -68,20 +69,21 @@
 	life   *request.Life
 	engine *routetable.Engine
 	job    enginepool.Job
-	// unread are the prefill runners whose work was of no use.
-	unread map[string]bool
-	// charged is set when the last prefill was turned away and charged for.
+	// failedPrefill holds the IDs of the prefill runners that failed or whose KV cache could not be
+	// fetched.
+	failedPrefill map[string]bool
+	// charged is set if the last prefill was refused and already charged to the retry budget.
 	charged bool
-	// keeper is the runner that keeps most of the prompt in its KV cache, and kept how
-	// many tokens, when a client resumes a stream; nil for none.
-	keeper *runners.State
-	kept   int
-	// unfit are the decode runners that failed the request.
-	unfit map[string]bool
-	relay relay
+	// cacheHolder is the runner that has the longest part of the prompt in its KV cache, and
+	// cachedTokens the length of that part, if a client resumes a stream; nil for none.
+	cacheHolder  *runners.State
+	cachedTokens int
+	// failedDecode holds the IDs of the decode runners that failed the request.
+	failedDecode map[string]bool
+	relay        relay
 }
 
-// generate serves a request by engines: room for the decode first, then the
+// generate serves a request by engines. It reserves room for the decode first, then runs the
 // prefill, then the decode.
 func (x *exchange) generate(engine *routetable.Engine) {
 	x.rank = enginepool.Fresh
@@ -91,47 +93,47 @@
 	s := &generation{
 		exchange: x, pool: x.g.pool(x.service), budget: x.g.budget(x.service),
 		life: request.NewLife(x.call.ID, x.route.Repeatable()), engine: engine,
-		unread: map[string]bool{}, unfit: map[string]bool{},
+		failedPrefill: map[string]bool{}, failedDecode: map[string]bool{},
 	}
 	x.life = s.life
 	s.relay = relay{s: s, last: x.call.After}
-	s.job = enginepool.Job{ID: x.call.ID, Prompt: x.call.Prompt, Length: s.pool.Lengths.Estimate(s.guess(), x.call.MaxOut), Priority: x.priority(), Allows: x.allowing()}
-	s.fields = append(s.fields, decisionlog.F("gap", s.route.Gap), decisionlog.F("prompt", s.job.Prompt), decisionlog.F("guess", s.guess()), decisionlog.F("expected", s.job.Length.Expected(0)))
+	s.job = enginepool.Job{ID: x.call.ID, Prompt: x.call.Prompt, Length: s.pool.Lengths.Estimate(s.lengthHint(), x.call.MaxOut), Priority: x.priority(), Allows: x.domainFilter()}
+	s.fields = append(s.fields, decisionlog.F("gap", s.route.Gap), decisionlog.F("prompt", s.job.Prompt), decisionlog.F("guess", s.lengthHint()), decisionlog.F("expected", s.job.Length.Expected(0)))
 	if x.call.After != "" {
 		s.fields = append(s.fields, decisionlog.F("resumed_by", "client"))
-		s.findKept()
+		s.findCachedPrompt()
 	}
 	s.budget.Request(x.arrived)
 	s.run()
 }
 
-// findKept asks the engines which of them keeps the prompt of a stream that the client
-// resumes, so that it need not be computed again.
-func (s *generation) findKept() {
+// findCachedPrompt asks the engines which of them has the prompt of a resumed stream in its KV
+// cache, so that it need not be computed again.
+func (s *generation) findCachedPrompt() {
 	present := slices.DeleteFunc(s.g.Directory.Present(s.service, time.Now()), func(r *runners.State) bool { return !s.allows(r.Domain) })
-	s.keeper, s.kept = s.g.kept.find(s.ctx, present, s.call.PromptID)
-	if s.keeper != nil {
-		s.fields = append(s.fields, decisionlog.F("kept_at", s.keeper.ID), decisionlog.F("kept", s.kept))
+	s.cacheHolder, s.cachedTokens = s.g.promptCaches.find(s.ctx, present, s.call.PromptID)
+	if s.cacheHolder != nil {
+		s.fields = append(s.fields, decisionlog.F("kept_at", s.cacheHolder.ID), decisionlog.F("kept", s.cachedTokens))
 	}
 }
 
-// guess returns the client's guess of the answer's length, in tokens.
-func (s *generation) guess() int {
+// lengthHint returns the client's estimate of the output in tokens, or a default.
+func (s *generation) lengthHint() int {
 	if s.call.Hint > 0 {
 		return s.call.Hint
 	}
 	if s.call.MaxOut > 0 {
-		return min(defaultOut, s.call.MaxOut)
+		return min(defaultOutputTokens, s.call.MaxOut)
 	}
-	return defaultOut
+	return defaultOutputTokens
 }
 
-// run makes tries until the request is answered or given up.
+// run makes attempts until the request has its response or is given up.
 func (s *generation) run() {
 	var last error
 	runs, refusals := 0, 0
 	for runs < max(1, s.route.MaxAttempts) && refusals <= maxRefused {
-		if s.over() != nil {
+		if s.endReason() != nil {
 			break
 		}
 		n, err := s.life.Begin()
@@ -139,11 +141,11 @@
 			break
 		}
 		if s.sends > 0 && !s.budget.Spend(time.Now()) {
-			last = &ErrBudget{Service: s.service}
+			last = &ErrRetryBudget{Service: s.service}
 			break
 		}
 		v, err := s.try(n)
-		if v == answered {
+		if v == responded {
 			return
 		}
 		last = err
@@ -159,12 +161,13 @@
 		}
 		s.rank = enginepool.Begun
 	}
-	s.end(firstOf(s.over(), last))
+	s.abandon(firstError(s.endReason(), last))
 }
 
-// end gives the request up.
-func (s *generation) end(last error) {
-	if gone, ok := last.(errGone); ok {
+// abandon ends the request without a complete response. If a part of the stream was sent, the
+// connection is aborted.
+func (s *generation) abandon(last error) {
+	if gone, ok := last.(errClientGone); ok {
 		s.finish(0, gone)
 		return
 	}
@@ -173,25 +176,26 @@
 		s.g.metrics.broken.Inc()
 		panic(http.ErrAbortHandler)
 	}
-	s.giveUp(s.life, last, s.comeBack(last))
+	s.giveUp(s.life, last, s.streamRetryAfter(last))
 }
 
-// comeBack returns when a refused client should ask again: after the first pause where all runners have
-// one, otherwise not all at once, and well before its time is over.
-func (s *generation) comeBack(last error) time.Duration {
+// streamRetryAfter returns the Retry-After of a refused stream: the end of the first pause if all
+// runners are paused, otherwise a random time, so that clients do not all retry at once, and well
+// before the client's timeout.
+func (s *generation) streamRetryAfter(last error) time.Duration {
 	if after := roomAfter(last); after > 0 {
-		return max(after, shortWait)
+		return max(after, shortRetryAfter)
 	}
-	longest := min(longestReturn, time.Duration(float64(s.left())*returnPart))
-	if longest <= shortestReturn {
-		return max(longest/2, shortWait)
+	longest := min(maxStreamRetryAfter, time.Duration(float64(s.timeLeft())*retryAfterShare))
+	if longest <= minStreamRetryAfter {
+		return max(longest/2, shortRetryAfter)
 	}
-	return shortestReturn + time.Duration(rand.Int64N(int64(longest-shortestReturn)))
+	return minStreamRetryAfter + time.Duration(rand.Int64N(int64(longest-minStreamRetryAfter)))
 }
 
-// try makes one try: room, prefill, decode.
-func (s *generation) try(n int) (verdict, error) {
-	if err := s.quarantined(); err != nil {
+// try makes one attempt: it reserves room, runs the prefill and then the decode.
+func (s *generation) try(n int) (sendResult, error) {
+	if err := s.checkQuarantine(); err != nil {
 		return notRun, err
 	}
 	room, err := s.reserve()
@@ -200,28 +204,28 @@
 	}
 	defer func() { s.pool.End(room.runner.ID, s.job.ID, time.Now()) }()
 	var source Source
-	var reader *runners.State
+	var prefillRunner *runners.State
 	if !s.relay.begun && s.call.After == "" {
-		source, reader, err = s.prefill(room)
+		source, prefillRunner, err = s.prefill(room)
 	}
 	if err != nil {
-		s.drop(room)
+		s.dropHold(room)
 		return notRun, err
 	}
-	return s.decode(n, room, source, reader)
+	return s.decode(n, room, source, prefillRunner)
 }
 
-// decode has the answer made and passes it on.
-func (s *generation) decode(n int, room *place, source Source, reader *runners.State) (verdict, error) {
+// decode runs the decode on the reserved runner and forwards its stream.
+func (s *generation) decode(n int, room *reservation, source Source, prefillRunner *runners.State) (sendResult, error) {
 	runner := room.runner
 	if !runner.Usable(time.Now()) {
-		s.free(reader, source, "runner_left")
-		s.unfit[runner.ID] = true
-		return notRun, &ErrLeft{Runner: runner.ID}
+		s.releaseKV(prefillRunner, source, "runner_left")
+		s.failedDecode[runner.ID] = true
+		return notRun, &ErrRunnerLeft{Runner: runner.ID}
 	}
 	if err := s.reconfirm(); err != nil {
-		s.free(reader, source, "key_not_confirmed")
-		s.drop(room)
+		s.releaseKV(prefillRunner, source, "key_not_confirmed")
+		s.dropHold(room)
 		return notRun, err
 	}
 	if err := s.life.Send(n); err != nil {
@@ -229,82 +233,82 @@
 	}
 	order := s.order()
 	order.Hold = room.hold
-	if reader != nil {
-		order.Source = s.g.options.Engines.Fetch(reader, source)
-	} else if s.keeper != nil && s.keeper.ID != runner.ID {
-		order.CacheFrom = s.keeper
+	if prefillRunner != nil {
+		order.Source = s.g.options.Engines.Fetch(prefillRunner, source)
+	} else if s.cacheHolder != nil && s.cacheHolder.ID != runner.ID {
+		order.CacheFrom = s.cacheHolder
 	}
 	if s.relay.begun {
 		order.After = s.relay.last
 		s.g.metrics.resumed.Inc()
 		s.fields = append(s.fields, decisionlog.F("resumed_by", "gateway"))
 	}
-	s.step("decode_begin", decisionlog.F("service", s.service), decisionlog.F("runner", runner.ID))
-	s.readAnew(runner)
+	s.logStep("decode_begin", decisionlog.F("service", s.service), decisionlog.F("runner", runner.ID))
+	s.recordRecomputed(runner)
 	s.sends++
-	s.noteLimit(runner)
+	s.logRunnerLimit(runner)
 	runner.Sent(s.job.ID, time.Now())
 	ctx, cancel := context.WithCancel(s.ctx)
 	defer cancel()
-	answer, err := s.g.options.Engines.Send(ctx, runner, s.call, order)
+	response, err := s.g.options.Engines.Send(ctx, runner, s.call, order)
 	if err != nil {
-		s.free(reader, source, "decode_failed")
-		s.unfit[runner.ID] = true
+		s.releaseKV(prefillRunner, source, "decode_failed")
+		s.failedDecode[runner.ID] = true
 		return s.sendFailed(s.life, n, runner, err)
 	}
-	defer answer.Body.Close()
-	if answer.NotRun || answer.Elsewhere {
+	defer response.Body.Close()
+	if response.NotRun || response.Elsewhere {
 		s.life.Withdraw(n)
-		s.declined(runner, answer)
-		s.avoidRefusing(runner)
-		s.useless(reader, source)
-		return notRun, &ErrDeclined{Runner: runner.ID, Status: answer.Status, Elsewhere: answer.Elsewhere}
+		s.declined(runner, response)
+		s.avoidDeclining(runner)
+		s.recordLostCache(prefillRunner, source)
+		return notRun, &ErrDeclined{Runner: runner.ID, Status: response.Status, Elsewhere: response.Elsewhere}
 	}
-	if reader != nil {
-		reader.Succeeded(time.Now())
+	if prefillRunner != nil {
+		prefillRunner.Succeeded(time.Now())
 	}
-	return s.take(n, runner, answer)
+	return s.handleResponse(n, runner, response)
 }
 
-// avoidRefusing keeps the request from a runner that turned it away, as long as another is left.
-func (s *generation) avoidRefusing(runner *runners.State) {
+// avoidDeclining excludes a runner that refused the request, as long as another runner is left.
+func (s *generation) avoidDeclining(runner *runners.State) {
 	now := time.Now()
 	for _, other := range s.g.Directory.Stage(s.service, runners.Decode) {
-		if other.ID != runner.ID && !s.unfit[other.ID] && s.allows(other.Domain) && other.Usable(now) {
-			s.unfit[runner.ID] = true
+		if other.ID != runner.ID && !s.failedDecode[other.ID] && s.allows(other.Domain) && other.Usable(now) {
+			s.failedDecode[runner.ID] = true
 			return
 		}
 	}
 }
 
-// readAnew records a prompt that the decode runner has to read although a runner read
-// it before: that of a resumed stream.
-func (s *generation) readAnew(runner *runners.State) {
+// recordRecomputed records a prompt that the decode runner has to compute although another runner
+// computed it before, which is the case for resumed streams.
+func (s *generation) recordRecomputed(runner *runners.State) {
 	switch {
 	case s.relay.begun:
-		s.wasted("resumed_by_gateway", runner, s.job.Prompt)
+		s.recordWasted("resumed_by_gateway", runner, s.job.Prompt)
 	case s.call.After != "":
-		s.wasted("resumed_by_client", runner, max(0, s.job.Prompt-s.kept))
+		s.recordWasted("resumed_by_client", runner, max(0, s.job.Prompt-s.cachedTokens))
 	}
 }
 
-// take passes a decode's answer on, or finds that it can't be.
-func (s *generation) take(n int, runner *runners.State, answer *Answer) (verdict, error) {
-	bad := &ErrAnswer{Runner: runner.ID, Status: answer.Status, Why: "runner failed"}
-	if answer.OK() && answer.Whole {
-		return s.relay.pass(n, runner, answer)
+// handleResponse forwards the response of a decode runner, or returns why it can't be forwarded.
+func (s *generation) handleResponse(n int, runner *runners.State, response *Answer) (sendResult, error) {
+	bad := &ErrAnswer{Runner: runner.ID, Status: response.Status, Why: "runner failed"}
+	if response.OK() && response.Whole {
+		return s.relay.forwardEvents(n, runner, response)
 	}
-	s.unfit[runner.ID] = true
-	if answer.OK() {
+	s.failedDecode[runner.ID] = true
+	if response.OK() {
 		bad.Why = "not signed, or encoded"
 		runner.Failed(time.Now())
 		return mayHaveRun, bad
 	}
-	if answer.Status >= http.StatusInternalServerError {
+	if response.Status >= http.StatusInternalServerError {
 		runner.Failed(time.Now())
 	}
 	if s.relay.begun || s.route.Repeatable() && s.life.Attempts() < s.route.MaxAttempts {
 		return mayHaveRun, bad
 	}
-	return s.passOn(s.life, n, answer, runner)
+	return s.forwardResponse(s.life, n, response, runner)
 }
--- a/pkg/ingress/kept.go
+++ b/pkg/ingress/kept.go
@@ -10,49 +10,48 @@
 )
 
 const (
-	// keptFor is how long an engine's list of kept prompts is used: parts that
-	// nobody uses give way within some hundred milliseconds under load.
-	keptFor = 300 * time.Millisecond
-	// keptCall bounds the call for a list. An engine answers in a few milliseconds;
-	// one that does not is of no use for the resumption either.
-	keptCall = 120 * time.Millisecond
-	// maxKeptAsked bounds the engines that are asked for one prompt, so that the cost of
-	// a resumption does not grow with the fleet. Of more, some are asked, and the prompt may
-	// be computed again.
-	maxKeptAsked = 64
+	// promptCacheTTL is the time for which an engine's list of cached prompts is used. Under load,
+	// engines evict unused prompts within some hundred milliseconds.
+	promptCacheTTL = 300 * time.Millisecond
+	// promptCacheTimeout limits the call that fetches a list. An engine normally responds in a few
+	// milliseconds; one that does not is of no use for the resumed stream either.
+	promptCacheTimeout = 120 * time.Millisecond
+	// maxPromptCacheCalls limits the engines asked for one prompt, so that the cost of a resumed
+	// stream does not grow with the number of engines. If there are more, only some are asked, and
+	// the prompt may be computed again.
+	maxPromptCacheCalls = 64
 )
 
-// keptPrompts knows which engines keep a prompt in their KV cache. It asks them when
-// a stream is resumed: the gateway that passed it on before may be gone, with all it
-// knew.
-type keptPrompts struct {
+// promptCaches finds the engines that have a prompt in their KV cache. It asks them when a stream
+// is resumed, since the gateway that relayed the stream before may have been lost with its state.
+type promptCaches struct {
 	engines Engines
 	log     *decisionlog.Log
 
 	mu    sync.Mutex
-	lists map[string]*keptList
+	lists map[string]*promptCacheList
 }
 
-// keptList is one engine's answer, or the call for it that is under way.
-type keptList struct {
+// promptCacheList is an engine's list of cached prompts, or the pending call for it.
+type promptCacheList struct {
 	asked time.Time
-	// done is closed with the call's end; tokens is by prompt ID.
+	// done is closed when the call ends. tokens holds the number of cached tokens by prompt ID.
 	done   chan struct{}
 	tokens map[string]int
 }
 
-func newKeptPrompts(e Engines, l *decisionlog.Log) *keptPrompts {
-	return &keptPrompts{engines: e, log: l, lists: map[string]*keptList{}}
+func newPromptCaches(e Engines, l *decisionlog.Log) *promptCaches {
+	return &promptCaches{engines: e, log: l, lists: map[string]*promptCacheList{}}
 }
 
-// find returns the engine of a list that keeps most of a prompt, and how many tokens;
-// nil if none does.
-func (k *keptPrompts) find(ctx context.Context, list []*runners.State, prompt string) (*runners.State, int) {
+// find returns the engine of a list that has most tokens of a prompt in its cache, and their
+// number; nil if none has any.
+func (k *promptCaches) find(ctx context.Context, list []*runners.State, prompt string) (*runners.State, int) {
 	if prompt == "" {
 		return nil, 0
 	}
-	list = list[:min(len(list), maxKeptAsked)]
-	calls := make([]*keptList, len(list))
+	list = list[:min(len(list), maxPromptCacheCalls)]
+	calls := make([]*promptCacheList, len(list))
 	for i, s := range list {
 		calls[i] = k.ask(ctx, s)
 	}
@@ -71,20 +70,20 @@
 	return best, most
 }
 
-// ask returns an engine's list that is new enough, or a call for it. Requests that
-// need it at the same time share the call.
-func (k *keptPrompts) ask(ctx context.Context, s *runners.State) *keptList {
+// ask returns an engine's list, from an earlier call if that is recent enough. Concurrent requests
+// share one call.
+func (k *promptCaches) ask(ctx context.Context, s *runners.State) *promptCacheList {
 	now := time.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if l := k.lists[s.ID]; l != nil && now.Sub(l.asked) < keptFor {
+	if l := k.lists[s.ID]; l != nil && now.Sub(l.asked) < promptCacheTTL {
 		return l
 	}
-	l := &keptList{asked: now, done: make(chan struct{})}
+	l := &promptCacheList{asked: now, done: make(chan struct{})}
 	k.lists[s.ID] = l
 	go func() {
 		defer close(l.done)
-		call, cancel := context.WithTimeout(context.WithoutCancel(ctx), keptCall)
+		call, cancel := context.WithTimeout(context.WithoutCancel(ctx), promptCacheTimeout)
 		defer cancel()
 		s.Called("", time.Now())
 		tokens, err := k.engines.Kept(call, s)
@@ -96,12 +95,12 @@
 	return l
 }
 
-// sweep drops lists that are too old to be used.
-func (k *keptPrompts) sweep(now time.Time) {
+// sweep removes lists that are too old to be used.
+func (k *promptCaches) sweep(now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for id, l := range k.lists {
-		if now.Sub(l.asked) > keptFor {
+		if now.Sub(l.asked) > promptCacheTTL {
 			delete(k.lists, id)
 		}
 	}
--- a/pkg/ingress/notices.go
+++ b/pkg/ingress/notices.go
@@ -8,14 +8,16 @@
 )
 
 const (
-	// passedOverFor is how long the steps of requests name a runner that said that it leaves.
+	// passedOverFor is the time after a runner announced its departure in which requests log it as
+	// passed over.
 	passedOverFor = 10 * time.Second
-	// maxPassedOver bounds the runners that the steps of one choice name.
+	// maxPassedOver limits the runners that are logged as passed over in one choice.
 	maxPassedOver = 3
 )
 
-// notePassedOver records the runners of a stage that can't be chosen for what they said of themselves.
-func (x *exchange) notePassedOver(stage runners.Stage) {
+// logPassedOver logs the runners of a stage that are no candidates because they are leaving or
+// paused.
+func (x *exchange) logPassedOver(stage runners.Stage) {
 	left := maxPassedOver
 	for _, n := range x.g.Directory.Notices.Withheld(passedOverFor, time.Now()) {
 		runner := x.g.Directory.Find(n.Runner)
@@ -26,7 +28,7 @@
 		if n.Leaving {
 			why = "leaving"
 		}
-		x.step("passed_over", decisionlog.F("runner", n.Runner), decisionlog.F("why", why), decisionlog.F("told_by", n.From),
+		x.logStep("passed_over", decisionlog.F("runner", n.Runner), decisionlog.F("why", why), decisionlog.F("told_by", n.From),
 			decisionlog.F("known_for", n.Known), decisionlog.F("left", n.Left))
 		if left--; left == 0 {
 			return
--- a/pkg/ingress/relay.go
+++ b/pkg/ingress/relay.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// eventBuffer is the size of the buffer in which events are found, in bytes.
+	// eventBuffer is the size in bytes of the buffer by which a stream is read.
 	eventBuffer = 4096
-	// maxEvent bounds one event, in bytes.
+	// maxEvent limits the size of one event in bytes.
 	maxEvent = 1 << 20
 )
 
-// ErrEvent reports that a stream holds what is no event.
+// ErrEvent reports that a stream contains a malformed event.
 type ErrEvent struct {
 	Bytes int
 	Why   string
@@ -27,71 +27,71 @@
 // Error implements error.
 func (e *ErrEvent) Error() string { return "bad event: why=" + e.Why }
 
-// relay passes a stream's events on, one by one and each once, whichever runner
-// they come from.
+// relay forwards the events of a stream to the client, each exactly once, from one or several
+// runners.
 type relay struct {
 	s *generation
-	// begun is set once the client has the head.
+	// begun is set once the response header has been sent to the client.
 	begun bool
-	// last is the ID of the last event that the client has.
+	// last is the ID of the last event sent to the client.
 	last   string
 	runner string
 	events int
-	// written is when the last event was written, pause the longest time between
-	// two of them.
-	written time.Time
-	pause   time.Duration
+	// written is when the last event was sent, longestGap the longest time between two events.
+	written    time.Time
+	longestGap time.Duration
 }
 
-// pass passes the events of an answer on until its end.
-func (r *relay) pass(n int, runner *runners.State, a *Answer) (verdict, error) {
+// forwardEvents forwards the events of a response until its end.
+func (r *relay) forwardEvents(n int, runner *runners.State, a *Answer) (sendResult, error) {
 	r.runner = runner.ID
 	began, before := time.Now(), r.events
 	in := bufio.NewReaderSize(a.Body, eventBuffer)
 	for {
 		event, err := readEvent(in)
 		if errors.Is(err, io.EOF) && len(event) == 0 {
-			return r.whole(n, runner, a, began)
+			return r.complete(n, runner, a, began)
 		}
 		if err != nil {
-			return r.broke(runner, r.events == before, err)
+			return r.streamBroken(runner, r.events == before, err)
 		}
 		r.s.pool.Made(runner.ID, r.s.job.ID, (r.events+1)*max(1, r.s.engine.TokensPerEvent), time.Now())
 		if err := r.write(a, event); err != nil {
-			return mayHaveRun, errGone{}
+			return mayHaveRun, errClientGone{}
 		}
 	}
 }
 
-// whole ends the client's answer.
-func (r *relay) whole(n int, runner *runners.State, a *Answer, began time.Time) (verdict, error) {
+// complete completes the client's response.
+func (r *relay) complete(n int, runner *runners.State, a *Answer, began time.Time) (sendResult, error) {
 	if !r.begun {
-		r.head(a)
+		r.writeHeader(a)
 	}
 	runner.Answered(time.Since(began))
-	r.s.pool.Lengths.Learn(r.s.guess(), r.events*r.s.engine.TokensPerEvent)
-	r.s.exchange.end(r.s.life, n)
-	r.s.endedWell()
-	r.s.finish(a.Status, nil, decisionlog.F("runner", runner.ID), decisionlog.F("events", r.events), decisionlog.F("pause", r.pause))
-	return answered, nil
+	r.s.pool.Lengths.Learn(r.s.lengthHint(), r.events*r.s.engine.TokensPerEvent)
+	r.s.exchange.recordEnd(r.s.life, n)
+	r.s.recordCompleted()
+	r.s.finish(a.Status, nil, decisionlog.F("runner", runner.ID), decisionlog.F("events", r.events), decisionlog.F("pause", r.longestGap))
+	return responded, nil
 }
 
-// broke records a stream that ended before its end, before its runner had made an event of it
-// if early.
-func (r *relay) broke(runner *runners.State, early bool, err error) (verdict, error) {
-	r.s.unfit[runner.ID] = true
-	if gone := r.s.over(); gone != nil {
-		return mayHaveRun, gone
+// streamBroken records a stream that ended early. If early is set, its runner had sent no event
+// yet.
+func (r *relay) streamBroken(runner *runners.State, early bool, err error) (sendResult, error) {
+	r.s.failedDecode[runner.ID] = true
+	if reason := r.s.endReason(); reason != nil {
+		return mayHaveRun, reason
 	}
 	runner.Failed(time.Now())
-	r.s.trouble("stream_broken", runner.ID, err, decisionlog.F("events", r.events), decisionlog.F("last", r.last),
+	r.s.logFailedStep("stream_broken", runner.ID, err, decisionlog.F("events", r.events), decisionlog.F("last", r.last),
 		decisionlog.F("asked", r.s.digest()))
-	r.s.exchange.broke(runner, early, err)
+	r.s.exchange.reportBrokenRun(runner, early, err)
 	return mayHaveRun, &ErrBroken{Runner: runner.ID, After: r.last, Err: err}
 }
 
-// head sends the head of the first answer, which stays that of the whole.
-func (r *relay) head(a *Answer) {
+// writeHeader sends the header of the first response. It applies to the whole stream, also if
+// another runner resumes it.
+func (r *relay) writeHeader(a *Answer) {
 	r.begun = true
 	r.s.g.metrics.firstEvent.UpdateDuration(r.s.arrived)
 	r.s.fields = append(r.s.fields, decisionlog.F("first_event", time.Since(r.s.arrived)))
@@ -99,14 +99,14 @@
 	r.s.w.WriteHeader(a.Status)
 }
 
-// write passes one event on, unless the client has it already.
+// write sends one event to the client, unless the client has it already.
 func (r *relay) write(a *Answer, event []byte) error {
 	id := eventID(event)
 	if id != "" && !later(id, r.last) {
 		return nil
 	}
 	if !r.begun {
-		r.head(a)
+		r.writeHeader(a)
 	}
 	if _, err := r.s.w.Write(event); err != nil {
 		return err
@@ -116,7 +116,7 @@
 	}
 	now := time.Now()
 	if r.events > 0 {
-		r.pause = max(r.pause, now.Sub(r.written))
+		r.longestGap = max(r.longestGap, now.Sub(r.written))
 	}
 	r.written = now
 	r.events++
@@ -126,8 +126,8 @@
 	return nil
 }
 
-// readEvent returns the next event with the empty line that ends it. At the end
-// of the stream it returns what is left, with the cause.
+// readEvent returns the next event including the empty line that ends it. At the end of the stream
+// it returns the rest, with the cause.
 func readEvent(in *bufio.Reader) ([]byte, error) {
 	var event []byte
 	for {
@@ -155,7 +155,7 @@
 	return len(line) == 1 || len(line) == 2 && line[0] == '\r'
 }
 
-// eventID returns the ID of an event, empty for none.
+// eventID returns the ID of an event; empty if it has none.
 func eventID(event []byte) string {
 	for line := range bytes.Lines(event) {
 		if rest, ok := bytes.CutPrefix(line, []byte("id:")); ok {
@@ -165,7 +165,7 @@
 	return ""
 }
 
-// later reports whether an event's ID is above another; IDs are whole numbers.
+// later reports whether an event ID is above another. IDs are whole numbers.
 func later(id, last string) bool {
 	if last == "" {
 		return true
--- a/pkg/ingress/reserve.go
+++ b/pkg/ingress/reserve.go
@@ -11,60 +11,61 @@
 	"github.com/hopwell/hopwell/pkg/upstream"
 )
 
-// place is room on a decode runner.
-type place struct {
+// reservation is room reserved on a decode runner, confirmed by a hold.
+type reservation struct {
 	runner *runners.State
 	hold   string
 }
 
-// reserve waits for room on a decode runner and has it reserved there.
-func (s *generation) reserve() (*place, error) {
+// reserve waits for room on a decode runner and takes a hold there.
+func (s *generation) reserve() (*reservation, error) {
 	began := time.Now()
-	latest, unanswered := s.latest(), 0
+	latest, unanswered := s.roomDeadline(), 0
 	w := s.pool.Join(s.job, s.rank)
-	for id := range s.unfit {
+	for id := range s.failedDecode {
 		w.Avoid(id)
 	}
-	if s.keeper != nil {
-		w.Prefer(s.keeper.ID)
+	if s.cacheHolder != nil {
+		w.Prefer(s.cacheHolder.ID)
 	}
 	if s.rank == enginepool.Returning {
-		w.LateFrom(s.arrived.Add(s.route.Latency - serveTime))
+		w.LateFrom(s.arrived.Add(s.route.Latency - serveReserve))
 	}
-	s.notePassedOver(runners.Decode)
+	s.logPassedOver(runners.Decode)
 	for {
 		if err := s.unavailable(latest); err != nil {
-			return nil, firstOf(s.over(), err)
+			return nil, firstError(s.endReason(), err)
 		}
 		runner, err := s.waitForRoom(w, latest)
 		if err != nil {
-			return nil, firstOf(s.over(), err)
+			return nil, firstError(s.endReason(), err)
 		}
-		// A hold that was asked for in time is waited for beyond it: one that is
-		// cut off says nothing about the runner.
+		// The call may end after the deadline if it began before it: cutting it off would show
+		// nothing about the runner.
 		hold, err := s.hold(runner)
 		if err == nil {
 			s.g.metrics.wait.UpdateDuration(began)
 			s.fields = append(s.fields, decisionlog.F("decode", runner.ID), decisionlog.F("room_after", time.Since(s.arrived)))
-			return &place{runner, hold}, nil
+			return &reservation{runner, hold}, nil
 		}
 		s.pool.Refused(runner.ID, s.job.ID, time.Now())
-		s.step("hold_refused", decisionlog.F("runner", runner.ID), decisionlog.F("error", err))
+		s.logStep("hold_refused", decisionlog.F("runner", runner.ID), decisionlog.F("error", err))
 		s.recordFailure(runner, err)
-		if answerMissing(err) && unanswered < maxUnanswered {
+		if noResponse(err) && unanswered < maxUnansweredHolds {
 			unanswered++
-			if next := time.Now().Add(nextRoom); next.After(latest) {
+			if next := time.Now().Add(extraRoomWait); next.After(latest) {
 				latest = next
 			}
 		}
 		if s.ctx.Err() != nil || !time.Now().Before(latest) {
-			return nil, firstOf(s.over(), &enginepool.ErrNoRoom{ID: s.job.ID, Waited: time.Since(began)})
+			return nil, firstError(s.endReason(), &enginepool.ErrNoRoom{ID: s.job.ID, Waited: time.Since(began)})
 		}
 	}
 }
 
-// unavailable returns *runners.ErrUnavailable if all decode runners leave or pause for longer than the
-// request may wait. What has begun waits for a runner that may start.
+// unavailable returns *runners.ErrUnavailable if all decode runners are leaving, or paused for
+// longer than the request may wait. A request that has begun keeps waiting, since a new runner may
+// start.
 func (s *generation) unavailable(latest time.Time) error {
 	now := time.Now()
 	err := s.g.Directory.Unavailable(s.service, runners.Decode, s.job.Allows, now)
@@ -75,7 +76,7 @@
 	return err
 }
 
-// waitForRoom waits for room on a decode runner until a time.
+// waitForRoom waits until the given time for room on a decode runner.
 func (s *generation) waitForRoom(w *enginepool.Waiter, latest time.Time) (*runners.State, error) {
 	ctx, cancel := context.WithDeadline(s.ctx, latest)
 	defer cancel()
@@ -83,20 +84,21 @@
 }
 
 const (
-	// maxUnanswered is how many reservations may go unanswered without an end to the wait:
-	// connections to several runners may have fallen silent while there is room.
-	maxUnanswered = 2
-	// nextRoom is how long room elsewhere is waited for after that.
-	nextRoom = 50 * time.Millisecond
+	// maxUnansweredHolds is the number of holds without a response that don't end the wait.
+	// Connections to several runners may be dead while there is room.
+	maxUnansweredHolds = 2
+	// extraRoomWait is the time for which another runner is waited for after such a hold.
+	extraRoomWait = 50 * time.Millisecond
 )
 
-// answerMissing reports whether a call had no answer, which says nothing about room.
-func answerMissing(err error) bool {
+// noResponse reports whether a call got no response, which doesn't show whether the runner has
+// room.
+func noResponse(err error) bool {
 	var exchange *upstream.ErrExchange
 	return errors.As(err, &exchange)
 }
 
-// recordFailure records a call that a runner failed.
+// recordFailure records a runner's failure of a call.
 func (s *generation) recordFailure(runner *runners.State, err error) {
 	if s.ctx.Err() != nil {
 		return
@@ -116,47 +118,47 @@
 	}
 }
 
-// latest returns until when the request may wait for room.
-func (s *generation) latest() time.Time {
+// roomDeadline returns the time until which the request may wait for room.
+func (s *generation) roomDeadline() time.Time {
 	switch s.rank {
 	case enginepool.Fresh:
-		return s.arrived.Add(time.Duration(freshPart * float64(s.route.Latency)))
+		return s.arrived.Add(time.Duration(newRequestWaitShare * float64(s.route.Latency)))
 	default:
-		patience := max(leastPatience, latencyFactor*s.route.Latency, gapFactor*s.route.Gap)
-		return s.arrived.Add(patience - serveTime)
+		patience := max(minClientTimeout, latencyFactor*s.route.Latency, gapFactor*s.route.Gap)
+		return s.arrived.Add(patience - serveReserve)
 	}
 }
 
 func (s *generation) hold(runner *runners.State) (string, error) {
-	ctx, cancel := context.WithTimeout(s.ctx, holdCall)
+	ctx, cancel := context.WithTimeout(s.ctx, holdTimeout)
 	defer cancel()
 	runner.Called(s.job.ID, time.Now())
-	return s.g.options.Engines.Hold(ctx, runner, s.missing(runner)+holdAhead, s.holdFor())
+	return s.g.options.Engines.Hold(ctx, runner, s.missingTokens(runner)+holdOutputTokens, s.holdTTL())
 }
 
-// holdFor returns how long a reservation lasts: it is used before the first event is
-// due, or that is late anyway. One whose answer was lost can't be given back, and
-// keeps the memory for that long.
-func (s *generation) holdFor() time.Duration {
+// holdTTL returns how long a hold lasts. It is used before the first event is due, or the event is
+// late anyway. A hold whose response was lost can't be released, and occupies memory until it
+// expires.
+func (s *generation) holdTTL() time.Duration {
 	if s.route.Latency > 0 {
 		return min(s.engine.HoldFor, s.route.Latency)
 	}
 	return s.engine.HoldFor
 }
 
-// missing returns how many tokens of the prompt a runner does not have in its KV cache.
-func (s *generation) missing(runner *runners.State) int {
-	if s.keeper != nil && s.keeper.ID == runner.ID {
-		return max(0, s.job.Prompt-s.kept)
+// missingTokens returns the number of tokens of the prompt that are not in a runner's KV cache.
+func (s *generation) missingTokens(runner *runners.State) int {
+	if s.cacheHolder != nil && s.cacheHolder.ID == runner.ID {
+		return max(0, s.job.Prompt-s.cachedTokens)
 	}
 	return s.job.Prompt
 }
 
-// drop gives a reservation back, after the request's end too.
-func (s *generation) drop(p *place) {
+// dropHold releases a hold. It does not wait for the call, which continues after the request ends.
+func (s *generation) dropHold(p *reservation) {
 	p.runner.Called("", time.Now())
 	go func() {
-		ctx, cancel := context.WithTimeout(context.WithoutCancel(s.ctx), freeCall)
+		ctx, cancel := context.WithTimeout(context.WithoutCancel(s.ctx), releaseTimeout)
 		defer cancel()
 		_ = s.g.options.Engines.Drop(ctx, p.runner, p.hold)
 	}()
--- a/pkg/ingress/returns.go
+++ b/pkg/ingress/returns.go
@@ -3,32 +3,33 @@
 import "time"
 
 const (
-	// returnMargin is how much less time than others a client has that has tried before:
-	// less than the shortest time after which clients come back.
+	// returnMargin is the smallest difference, in the time that clients wait, by which a retry is
+	// recognized. It is less than the shortest time after which clients retry.
 	returnMargin = 150 * time.Millisecond
-	// commonPart is the part of a route's requests that must have the longest time for the
-	// others to be taken for returning ones. Where clients' times differ by themselves few
-	// have the longest; where they are alike, even in an overload most are new.
-	commonPart = 0.5
-	// returnsMemory is over how many requests, about, a route's clients are looked at, and
-	// leastSeen how many are needed to say anything: of 31 gateways each sees one request a
-	// second on a route.
-	returnsMemory = 200
-	leastSeen     = 8
+	// minLongestShare is the share of a route's requests that must have the longest timeout, before
+	// those with a shorter one are taken for retries. If timeouts differ for other reasons, few
+	// requests have the longest one. If all clients use the same one, most requests are new even in
+	// an overload.
+	minLongestShare = 0.5
+	// averagedRequests is the approximate number of requests of a route over which the share is
+	// averaged. minObserved is the number needed for a decision. It is small, since each of 31
+	// gateways receives only one request per second on a route.
+	averagedRequests = 200
+	minObserved      = 8
 )
 
-// returns learns from the times that a route's clients are ready to wait whether a client with
-// less has been refused before.
-type returns struct {
+// returnDetector recognizes the clients of a route that were refused before and retry, by their
+// timeouts: a retry has less time left than a new request.
+type returnDetector struct {
 	longest time.Duration
-	// seen is how many requests there were, common the part of the latest with about the
-	// longest time.
-	seen   int
-	common float64
+	// seen is the number of requests observed. longestShare is the share of the latest requests
+	// whose timeout is about the longest.
+	seen         int
+	longestShare float64
 }
 
-// observe learns of a request, and reports whether its client returns.
-func (r *returns) observe(patience time.Duration) bool {
+// observe records the timeout of a request, and reports whether its client is retrying.
+func (r *returnDetector) observe(patience time.Duration) bool {
 	r.longest = max(r.longest, patience)
 	less := patience < r.longest-returnMargin
 	long := 1.0
@@ -36,19 +37,19 @@
 		long = 0
 	}
 	r.seen++
-	r.common += (long - r.common) / float64(min(r.seen, returnsMemory))
-	return less && r.seen >= leastSeen && r.common >= commonPart
+	r.longestShare += (long - r.longestShare) / float64(min(r.seen, averagedRequests))
+	return less && r.seen >= minObserved && r.longestShare >= minLongestShare
 }
 
-// returning reports whether a client of a route, which is ready to wait for a time, has tried
-// before.
+// returning records the timeout of a request on a route, and reports whether its client is
+// retrying.
 func (g *Ingress) returning(route string, patience time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	r := g.returns[route]
+	r := g.returnDetectors[route]
 	if r == nil {
-		r = &returns{}
-		g.returns[route] = r
+		r = &returnDetector{}
+		g.returnDetectors[route] = r
 	}
 	return r.observe(patience)
 }
--- a/pkg/ingress/returns_test.go
+++ b/pkg/ingress/returns_test.go
@@ -8,12 +8,12 @@
 	. "github.com/onsi/gomega"
 )
 
-// Load pattern: all clients wait 14 s; in a burst 4 of 10 requests are those of refused clients
-// that come back.
-func TestReturningClientsAreToldWhereAllWaitAlike(t *testing.T) {
+// Load: all clients have a timeout of 14 s; in a burst, 4 of 10 requests are retries of refused
+// clients.
+func TestReturningClientsAreDetectedWithEqualTimeouts(t *testing.T) {
 	g := NewWithT(t)
 	rng := rand.New(rand.NewPCG(1, 1))
-	var r returns
+	var r returnDetector
 	wrong := 0
 	for range 2000 {
 		back := rng.Float64() < 0.4
@@ -28,11 +28,11 @@
 	g.Expect(wrong).To(BeNumerically("<", 20))
 }
 
-// Load pattern: clients' own times differ by 15 in 100, and hardly any comes back.
-func TestClientsWhoseTimesDifferAreNotTakenForReturning(t *testing.T) {
+// Load: clients' timeouts differ by 15 % and hardly any request is a retry.
+func TestVaryingTimeoutsAreNotDetectedAsReturning(t *testing.T) {
 	g := NewWithT(t)
 	rng := rand.New(rand.NewPCG(1, 1))
-	var r returns
+	var r returnDetector
 	taken := 0
 	for range 2000 {
 		left := time.Duration(float64(14*time.Second) * (0.85 + 0.15*rng.Float64()))
@@ -40,5 +40,5 @@
 			taken++
 		}
 	}
-	g.Expect(taken).To(BeNumerically("<=", 5), "at the first ones only")
+	g.Expect(taken).To(BeNumerically("<=", 5), "among the first requests only")
 }
--- a/pkg/ingress/slow.go
+++ b/pkg/ingress/slow.go
@@ -8,56 +8,57 @@
 )
 
 const (
-	// clientStall is how long a client may read nothing of an answer before it is cut off: it
-	// holds the runner's place and the gateway's memory meanwhile. Clients give a stream up
-	// after a pause of 2 s, and a lost packet comes again within one.
-	clientStall = 3 * time.Second
-	// leastBodyTime is how long a client may at least take to send a body.
-	leastBodyTime = time.Second
+	// clientStallTimeout is the time without progress after which a client that does not read its
+	// response is disconnected. Until then it occupies a place on the runner and memory of the
+	// gateway. Clients give up a stream after a gap of 2 s, within which a lost packet is
+	// retransmitted.
+	clientStallTimeout = 3 * time.Second
+	// minBodyTime is the least time that a client gets for sending a body.
+	minBodyTime = time.Second
 )
 
-// readWithin bounds the time in which a client sends a body, and returns what takes the bound back:
-// after the body the connection is watched for the client's leaving.
-func (x *exchange) readWithin(d time.Duration) func() {
+// limitBodyTime sets a deadline for reading the body. It returns a function that removes the
+// deadline, since after the body the connection is read to detect that the client disconnects.
+func (x *exchange) limitBodyTime(d time.Duration) func() {
 	control := http.NewResponseController(x.w)
-	_ = control.SetReadDeadline(time.Now().Add(max(d, leastBodyTime)))
+	_ = control.SetReadDeadline(time.Now().Add(max(d, minBodyTime)))
 	return func() { _ = control.SetReadDeadline(time.Time{}) }
 }
 
-// copyBuffer returns the buffer by which the rest of an answer is passed on that was held in part.
-// The memory of what was held is given back.
-func (x *exchange) copyBuffer(held []byte) []byte {
-	x.takeMemory(int64(firstHeld - cap(held)))
-	return make([]byte, firstHeld)
+// copyBuffer returns the buffer for streaming the rest of a partly buffered response. It releases
+// the memory of the buffered part, apart from the new buffer.
+func (x *exchange) copyBuffer(buffered []byte) []byte {
+	x.reserveMemory(int64(initialBuffer - cap(buffered)))
+	return make([]byte, initialBuffer)
 }
 
-// firstHeld is the memory that is taken at first for an answer that is held back, in bytes; it
-// doubles as the answer grows. Most answers of plain runners are shorter.
-const firstHeld = 4 << 10
+// initialBuffer is the initial size in bytes of the buffer for a response, which doubles as the
+// response grows. Most responses of plain runners fit into it.
+const initialBuffer = 4 << 10
 
-// hold reads an answer whole, as far as maxHeld and the memory for what is held for others reach. It
-// reports whether that is all of it. An answer is never given up for want of memory: what is not
-// held is passed on as it comes.
-func (x *exchange) hold(body io.Reader) (held []byte, whole bool, err error) {
-	for len(held) < maxHeld {
-		if len(held) == cap(held) {
-			more := max(firstHeld, cap(held))
-			if !x.takeMemory(int64(more)) {
-				x.g.metrics.notHeld.Inc()
-				return held, false, nil
+// bufferBody reads a response into memory, up to maxBuffered and as far as the memory for buffers
+// allows, and reports whether it is complete. A response is never given up for lack of memory: the
+// rest is streamed.
+func (x *exchange) bufferBody(body io.Reader) (buffered []byte, whole bool, err error) {
+	for len(buffered) < maxBuffered {
+		if len(buffered) == cap(buffered) {
+			more := max(initialBuffer, cap(buffered))
+			if !x.reserveMemory(int64(more)) {
+				x.g.metrics.notBuffered.Inc()
+				return buffered, false, nil
 			}
-			grown := make([]byte, len(held), len(held)+more)
-			copy(grown, held)
-			held = grown
+			grown := make([]byte, len(buffered), len(buffered)+more)
+			copy(grown, buffered)
+			buffered = grown
 		}
-		n, err := body.Read(held[len(held):cap(held)])
-		held = held[:len(held)+n]
+		n, err := body.Read(buffered[len(buffered):cap(buffered)])
+		buffered = buffered[:len(buffered)+n]
 		if errors.Is(err, io.EOF) {
-			return held, true, nil
+			return buffered, true, nil
 		}
 		if err != nil {
-			return held, false, err
+			return buffered, false, err
 		}
 	}
-	return held, false, nil
+	return buffered, false, nil
 }
