--- a/pkg/relay/history.go
+++ b/pkg/relay/history.go
@@ -10,53 +10,55 @@
 )
 
 const (
-	// maxHistory bounds the values and keys of the changes that are kept, in bytes: some
-	// 700 entries of runners. A gateway that lacks more reads the store itself.
-	maxHistory = 256 << 10
-	// maxUpdate bounds the changes of one update, in bytes, so that it fits a datagram of
+	// maxHistoryBytes bounds the keys and values of the retained changes, in bytes: some 700 runner
+	// entries. A gateway that lacks more reads the store itself.
+	maxHistoryBytes = 256 << 10
+	// maxUpdateBytes bounds the changes of one update, in bytes, so that it fits a datagram of
 	// 16 KB.
-	maxUpdate = 14 << 10
+	maxUpdateBytes = 14 << 10
 )
 
-// History holds the latest changes of the store without a gap, of each key the last one: in a
-// storm of configurations only the newest is sent. It is safe for concurrent use.
+// History retains the latest changes of the store without gaps. It keeps only the last change of
+// each key: when configurations change rapidly, only the newest is sent. It is safe for concurrent
+// use.
 type History struct {
 	mu sync.Mutex
-	// All changes after base up to reached are kept, by revision.
+	// base and reached bound the history: changes holds the last change of each key after base up to
+	// reached, ordered by revision.
 	base, reached store.Revision
-	// confirmed is when the store had no change after reached.
+	// confirmed is the latest time at which the store reported no change after reached.
 	confirmed time.Time
-	// assured is a moment at which the store surely had none, see Assure. Moments before assureFrom are
-	// rejected: a restored store may lack acknowledged changes.
+	// assured is a time at which the store certainly had no change after reached, see Assure. Times
+	// before assureFrom are rejected: a restored store may lack acknowledged changes.
 	assured, assureFrom time.Time
-	// restored is Update.Restored.
+	// restored is the value of Update.Restored.
 	restored store.Revision
 	changes  []store.Event
 	bytes    int
-	// newest is the revision of each key's change among them: thousands of runners write
-	// their entries, most for the first time in a while.
+	// newest maps each key to the revision of its retained change, so that changes need not be
+	// scanned: thousands of runners write their entries, most for the first time in a while.
 	newest map[string]store.Revision
-	// large are the newest large values, by key.
-	large map[string]*large
+	// large holds the newest large values by key.
+	large map[string]*largeItem
 }
 
-// Restart begins anew at a revision, after a whole reading of the store.
+// Restart discards the history and starts at a revision, after a full reading of the store.
 func (h *History) Restart(at store.Revision, confirmed time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.base, h.reached, h.restored, h.confirmed, h.changes, h.bytes = at, at, 0, confirmed, nil, 0
-	h.newest, h.large = map[string]store.Revision{}, map[string]*large{}
+	h.newest, h.large = map[string]store.Revision{}, map[string]*largeItem{}
 }
 
-// Advance adds the changes after the revision reached up to another, in their order.
-// Confirmed is when the store had no later change, zero if it may have had.
+// Advance adds the changes after the revision reached, in their order, up to the revision to.
+// confirmed is when the store had no change after to, zero if it may have had one.
 func (h *History) Advance(to store.Revision, changes []store.Event, confirmed time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.advance(to, changes, confirmed)
 }
 
-// advance is Advance for a caller that holds the lock.
+// advance implements Advance. The caller holds the lock.
 func (h *History) advance(to store.Revision, changes []store.Event, confirmed time.Time) {
 	if to < h.reached {
 		return
@@ -71,8 +73,9 @@
 	h.trim()
 }
 
-// Restore adds an update that leads to a later era. Subscribers at the revision reached before can resume from
-// here, all others need a reading. No moment before assureFrom is assured from now on.
+// Restore adds an update that leads to a later era. Subscribers at the revision reached before it
+// can resume from here, all others need a full reading of the store. Times before assureFrom are no longer
+// accepted by Assure.
 func (h *History) Restore(u Update, confirmed, assureFrom time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -81,9 +84,9 @@
 	h.advance(u.To, u.Changes, confirmed)
 }
 
-// Assure notes that all changes that the store had at a moment are known: that at which it,
-// or a relay, was asked for the answer that said so. Unlike the time of the answer's arrival
-// it holds however long the answer or this process stood still meanwhile.
+// Assure records that all changes that the store had at the time asked are known. That is when the
+// request was sent to the store or a relay, not when the response arrived, so it holds however long
+// the response or this process was delayed.
 func (h *History) Assure(asked time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -92,25 +95,26 @@
 	}
 }
 
-// AssurePending reports whether no moment has been assured since a restore, and how long none can be.
+// AssurePending reports whether no time has been assured since a restore, and how long it takes until
+// one can be.
 func (h *History) AssurePending(now time.Time) (pending bool, left time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.assured.Before(h.assureFrom), max(0, h.assureFrom.Sub(now))
 }
 
-// Assured returns the latest such moment, zero for none.
+// Assured returns the latest assured time, zero for none.
 func (h *History) Assured() time.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.assured
 }
 
-// replace adds a change in place of an earlier one of the same key.
+// replace adds a change and removes an earlier change of the same key.
 func (h *History) replace(c store.Event) {
-	h.keepLarge(c)
+	h.updateLarge(c)
 	if at, known := h.newest[c.Key]; known {
-		i := h.after(at - 1)
+		i := h.firstAfter(at - 1)
 		for h.changes[i].Key != c.Key {
 			i++
 		}
@@ -124,10 +128,10 @@
 	h.bytes += size(c)
 }
 
-// trim drops the oldest changes beyond the limit, all of one revision together.
+// trim drops the oldest changes beyond maxHistoryBytes, all of one revision together.
 func (h *History) trim() {
 	drop := 0
-	for drop < len(h.changes) && h.bytes > maxHistory {
+	for drop < len(h.changes) && h.bytes > maxHistoryBytes {
 		h.base = h.changes[drop].Revision
 		for drop < len(h.changes) && h.changes[drop].Revision == h.base {
 			h.bytes -= size(h.changes[drop])
@@ -138,16 +142,16 @@
 	h.changes = slices.Delete(h.changes, 0, drop)
 }
 
-// Reached returns the revision up to which all changes are known, 0 for none, and when
-// the store had no later one.
+// Reached returns the revision up to which all changes are known, 0 for none, and the latest time
+// at which the store reported no later one.
 func (h *History) Reached() (store.Revision, time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.reached, h.confirmed
 }
 
-// Since returns the updates that bring a gateway from a revision to the one reached, one
-// at least. Each fits a datagram. Large values are described by the ones before if deltas is set.
+// Since returns the updates, at least one, that bring a gateway from a revision to the one reached.
+// Each fits a datagram. Large values are sent as deltas if reads.Deltas is set.
 func (h *History) Since(at store.Revision, reads Reads, now time.Time) []Update {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -157,16 +161,16 @@
 	}
 	out := []Update{{From: min(at, h.reached), Age: age, Restored: h.restoredAfter(at)}}
 	bytes := 0
-	for i := h.after(at); i < len(h.changes); {
-		next := h.revision(i)
-		part := h.told(h.changes[i:next], at, reads.Deltas)
+	for i := h.firstAfter(at); i < len(h.changes); {
+		next := h.revisionEnd(i)
+		part := h.encodeFor(h.changes[i:next], at, reads.Deltas)
 		n := part.Bytes()
-		if n > maxUpdate {
+		if n > maxUpdateBytes {
 			last := &out[len(out)-1]
-			last.To, last.More = before(h.changes[i].Revision, at), true
+			last.To, last.More = previousRevision(h.changes[i].Revision, at), true
 			return out
 		}
-		if bytes += n; bytes > maxUpdate {
+		if bytes += n; bytes > maxUpdateBytes {
 			end := h.changes[i-1].Revision
 			out[len(out)-1].To, out[len(out)-1].Age = end, Unconfirmed
 			out = append(out, Update{From: end, Age: age, Restored: h.restoredAfter(end)})
@@ -180,8 +184,9 @@
 	return out
 }
 
-// canResume reports whether the history holds all changes after a revision. In an earlier era this is only so
-// for the last revision reached. The caller holds the lock.
+// canResume reports whether the history holds all changes after a revision. A revision of an
+// earlier era qualifies only if it is the last one reached before the restore. The caller holds the
+// lock.
 func (h *History) canResume(at store.Revision, reads Reads) bool {
 	if h.reached.Era() > 0 && !reads.Eras {
 		return false
@@ -197,13 +202,13 @@
 	return h.restored
 }
 
-// told returns the changes of one revision as they are told to a gateway that knows all up to
-// another. The caller holds the lock.
-func (h *History) told(changes []store.Event, at store.Revision, deltas bool) Update {
+// encodeFor encodes the changes of one revision for a gateway that has all changes up to at. The
+// caller holds the lock.
+func (h *History) encodeFor(changes []store.Event, at store.Revision, deltas bool) Update {
 	var out Update
 	for _, c := range changes {
-		if deltas && len(c.Value) >= largeValue {
-			if d, ok := h.described(c, at); ok {
+		if deltas && len(c.Value) >= largeValueBytes {
+			if d, ok := h.deltaFor(c, at); ok {
 				out.Deltas = append(out.Deltas, d)
 				continue
 			}
@@ -213,14 +218,14 @@
 	return out
 }
 
-// after returns the place of the first change after a revision.
-func (h *History) after(at store.Revision) int {
+// firstAfter returns the index of the first change after a revision.
+func (h *History) firstAfter(at store.Revision) int {
 	return sort.Search(len(h.changes), func(i int) bool { return h.changes[i].Revision > at })
 }
 
-// revision returns where the changes of the revision at a place end: one transaction may change
-// several keys.
-func (h *History) revision(i int) int {
+// revisionEnd returns the index after the last change that has the revision of change i: one
+// transaction may change several keys.
+func (h *History) revisionEnd(i int) int {
 	next := i
 	for next < len(h.changes) && h.changes[next].Revision == h.changes[i].Revision {
 		next++
@@ -228,8 +233,8 @@
 	return next
 }
 
-// before returns the revision before r, or at if r starts an era.
-func before(r, at store.Revision) store.Revision {
+// previousRevision returns the revision before r, or at if r starts an era.
+func previousRevision(r, at store.Revision) store.Revision {
 	if r.Number() == 0 {
 		return at
 	}
@@ -238,7 +243,7 @@
 
 func size(e store.Event) int { return len(e.Key) + len(e.Value) }
 
-// Bytes returns about how many bytes the changes of an update take.
+// Bytes returns the approximate size of the changes of an update, in bytes.
 func (u *Update) Bytes() int {
 	n := 0
 	for _, c := range u.Changes {
--- a/pkg/relay/history_test.go
+++ b/pkg/relay/history_test.go
@@ -16,43 +16,43 @@
 	"github.com/hopwell/hopwell/pkg/store"
 )
 
-// all is what a gateway of this build reads.
-var all = Reads{Deltas: true, Eras: true}
+// allEncodings are those that a gateway of this build decodes.
+var allEncodings = Reads{Deltas: true, Eras: true}
 
 func change(key string, revision store.Revision, size int) store.Event {
 	return store.Event{Item: store.Item{Key: key, Revision: revision, Value: make([]byte, size)}}
 }
 
-func TestAHistoryTellsWhatCameAfterARevision(t *testing.T) {
+func TestSinceReturnsChangesAfterRevision(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	var h History
 	h.Restart(10, now.Add(-time.Second))
 	h.Advance(14, []store.Event{change("a", 12, 3), change("b", 14, 3)}, now.Add(-300*time.Millisecond))
-	g.Expect(h.Since(10, all, now)).To(Equal([]Update{{From: 10, To: 14, Age: 300 * time.Millisecond, Changes: h.changes}}))
-	g.Expect(h.Since(12, all, now)).To(Equal([]Update{{From: 12, To: 14, Age: 300 * time.Millisecond, Changes: h.changes[1:]}}))
-	g.Expect(h.Since(14, all, now)).To(Equal([]Update{{From: 14, To: 14, Age: 300 * time.Millisecond}}))
-	g.Expect(h.Since(20, all, now)).To(Equal([]Update{{From: 14, To: 14, Age: 300 * time.Millisecond}}), "one that knows more")
-	g.Expect(h.Since(9, all, now)[0].More).To(BeTrue(), "what came before the reading is not known")
+	g.Expect(h.Since(10, allEncodings, now)).To(Equal([]Update{{From: 10, To: 14, Age: 300 * time.Millisecond, Changes: h.changes}}))
+	g.Expect(h.Since(12, allEncodings, now)).To(Equal([]Update{{From: 12, To: 14, Age: 300 * time.Millisecond, Changes: h.changes[1:]}}))
+	g.Expect(h.Since(14, allEncodings, now)).To(Equal([]Update{{From: 14, To: 14, Age: 300 * time.Millisecond}}))
+	g.Expect(h.Since(20, allEncodings, now)).To(Equal([]Update{{From: 14, To: 14, Age: 300 * time.Millisecond}}), "a gateway ahead of the history")
+	g.Expect(h.Since(9, allEncodings, now)[0].More).To(BeTrue(), "changes before the full reading are not known")
 }
 
-func TestAHistoryDoesNotSendWhatFitsNoDatagram(t *testing.T) {
+func TestSinceOmitsChangesLargerThanDatagram(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	var h History
 	h.Restart(10, now)
-	h.Advance(14, []store.Event{change("a", 12, 3), change("large", 13, maxUpdate), change("b", 14, 3)}, now)
-	got := h.Since(10, all, now)
+	h.Advance(14, []store.Event{change("a", 12, 3), change("large", 13, maxUpdateBytes), change("b", 14, 3)}, now)
+	got := h.Since(10, allEncodings, now)
 	g.Expect(got).To(HaveLen(1))
 	g.Expect(got[0].To).To(Equal(store.Revision(12)))
 	g.Expect(got[0].More).To(BeTrue())
 	g.Expect(got[0].Changes).To(HaveLen(1))
 }
 
-// A gateway that takes any updates, in any order, some twice, some never, and asks again
-// behind a gap, ends with the last change of each key, unless it is told to read the store;
-// none takes it back, and only the last update confirms anything.
-func TestUpdatesAddUpToEverything(t *testing.T) {
+// Guards against lost, repeated or reordered updates that leave a gateway without the last change
+// of a key, although it was not told to read the store. Only the last update may confirm a
+// revision.
+func TestLossyUpdatesConverge(t *testing.T) {
 	spectest.Check(t, func(t *rapid.T) {
 		now := time.Now()
 		var relay History
@@ -62,7 +62,7 @@
 			revision += store.Revision(rapid.IntRange(1, 3).Draw(t, "step"))
 			var changes []store.Event
 			for i := range rapid.IntRange(0, 3).Draw(t, "keys") {
-				changes = append(changes, change(fmt.Sprintf("k%d", i), revision, rapid.IntRange(0, maxUpdate/2).Draw(t, "size")))
+				changes = append(changes, change(fmt.Sprintf("k%d", i), revision, rapid.IntRange(0, maxUpdateBytes/2).Draw(t, "size")))
 			}
 			relay.Advance(revision, changes, now)
 			for _, c := range changes {
@@ -71,7 +71,7 @@
 		}
 		at, got := store.Revision(1), map[string]store.Revision{}
 		for range 200 {
-			for _, u := range relay.Since(at, all, now) {
+			for _, u := range relay.Since(at, allEncodings, now) {
 				if rapid.IntRange(0, 2).Draw(t, "lost") == 0 || u.From > at {
 					continue
 				}
@@ -98,18 +98,18 @@
 	})
 }
 
-// In a storm of large configurations a gateway that lags gets the newest only, and is not
-// told that it is up to date before it has it.
-func TestAStormOfConfigurationsIsOneChange(t *testing.T) {
+// Guards against sending each of many rapid large configurations to a gateway that lags, and
+// against confirming a revision before the gateway has the newest one.
+func TestSinceSendsOnlyLatestChangeOfKey(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	var h History
 	h.Restart(1, now)
 	for revision := store.Revision(2); revision < 30; revision++ {
-		h.Advance(revision, []store.Event{change("op/config", revision, maxUpdate-100)}, now)
+		h.Advance(revision, []store.Event{change("op/config", revision, maxUpdateBytes-100)}, now)
 	}
 	h.Advance(30, []store.Event{change("servers/a", 30, 200)}, now)
-	got := h.Since(1, all, now)
+	got := h.Since(1, allEncodings, now)
 	g.Expect(got).To(HaveLen(2))
 	g.Expect(got[0].Changes).To(HaveLen(1))
 	g.Expect(got[0].Changes[0].Revision).To(Equal(store.Revision(29)))
@@ -117,7 +117,7 @@
 	g.Expect(got[1].Age).To(BeZero())
 }
 
-func TestAHistoryIsBounded(t *testing.T) {
+func TestHistorySizeIsBounded(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	var h History
@@ -125,12 +125,12 @@
 	for revision := store.Revision(2); revision < 1000; revision++ {
 		h.Advance(revision, []store.Event{change(fmt.Sprintf("k%d", revision), revision, 1000)}, now)
 	}
-	g.Expect(h.bytes).To(BeNumerically("<=", maxHistory))
-	g.Expect(h.Since(2, all, now)[0].More).To(BeTrue())
-	g.Expect(h.Since(998, all, now)[0].Changes).To(HaveLen(1))
+	g.Expect(h.bytes).To(BeNumerically("<=", maxHistoryBytes))
+	g.Expect(h.Since(2, allEncodings, now)[0].More).To(BeTrue())
+	g.Expect(h.Since(998, allEncodings, now)[0].Changes).To(HaveLen(1))
 }
 
-// document is a large value that differs little from version to version.
+// document returns a large value that differs little from version to version.
 func document(version int) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "version=%d;", version)
@@ -140,8 +140,9 @@
 	return b.Bytes()
 }
 
-// Guards against a configuration that is larger than a datagram and is read from the store by each gateway.
-func TestAChangeOfALargeValueFitsADatagram(t *testing.T) {
+// Guards against a configuration that every gateway reads from the store because it is larger than
+// a datagram.
+func TestLargeValueIsSentAsDelta(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	var h History
@@ -151,8 +152,8 @@
 		h.Advance(revision, []store.Event{{Item: store.Item{Key: "op/config", Value: document(version), Revision: revision}}}, now)
 	}
 	put(2, 12)
-	g.Expect(len(document(2))).To(BeNumerically(">", maxUpdate))
-	got := h.Since(10, all, now)
+	g.Expect(len(document(2))).To(BeNumerically(">", maxUpdateBytes))
+	got := h.Since(10, allEncodings, now)
 	g.Expect(got).To(HaveLen(1))
 	g.Expect(got[0].More).To(BeFalse())
 	g.Expect(got[0].To).To(Equal(store.Revision(12)))
@@ -162,16 +163,16 @@
 	g.Expect(got[0].Bytes()).To(BeNumerically("<", 1000))
 	g.Expect(delta.Apply(document(1), got[0].Deltas[0].Bytes)).To(Equal(document(2)))
 
-	g.Expect(h.Since(10, Reads{}, now)[0].More).To(BeTrue(), "a gateway that reads no deltas reads the store")
+	g.Expect(h.Since(10, Reads{}, now)[0].More).To(BeTrue(), "a gateway that decodes no deltas reads the store")
 	put(3, 15)
-	g.Expect(h.Since(12, all, now)[0].Deltas[0].Base).To(Equal(store.Revision(12)))
-	g.Expect(h.Since(10, all, now)[0].More).To(BeTrue(), "one that lacks the value before reads the store")
+	g.Expect(h.Since(12, allEncodings, now)[0].Deltas[0].Base).To(Equal(store.Revision(12)))
+	g.Expect(h.Since(10, allEncodings, now)[0].More).To(BeTrue(), "a gateway that lacks the previous value reads the store")
 	h.Advance(16, []store.Event{{Item: store.Item{Key: "op/config", Revision: 16}, Gone: true}}, now)
 	put(4, 17)
-	g.Expect(h.Since(16, all, now)[0].More).To(BeTrue(), "there is no value before")
+	g.Expect(h.Since(16, allEncodings, now)[0].More).To(BeTrue(), "there is no previous value")
 }
 
-// inEra returns a revision of an era.
+// inEra returns the revision of a number in an era.
 func inEra(era, number uint64) store.Revision {
 	r, err := store.RevisionOf(era, number)
 	if err != nil {
@@ -180,8 +181,9 @@
 	return r
 }
 
-// Guards against gateways that are told of what follows a revision that the store has lost.
-func TestAfterARestoreOnlyThoseThatKnewTheSameGoOn(t *testing.T) {
+// Guards against sending the changes after a restore to a gateway at a revision that the store has
+// lost.
+func TestOnlyLastRevisionResumesAfterRestore(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	var h History
@@ -190,44 +192,44 @@
 	gone := store.Event{Item: store.Item{Key: "lost", Revision: inEra(1, 0)}, Gone: true}
 	h.Restore(Update{To: inEra(1, 32), Restored: inEra(1, 32), Changes: []store.Event{gone, change("a", inEra(1, 31), 4)}}, now, now)
 
-	same := h.Since(36, all, now)
+	same := h.Since(36, allEncodings, now)
 	g.Expect(same).To(HaveLen(1))
 	g.Expect(same[0].To).To(Equal(inEra(1, 32)))
 	g.Expect(same[0].Restored).To(Equal(inEra(1, 32)))
 	g.Expect(same[0].Changes).To(HaveLen(2))
 	for _, other := range []store.Revision{34, 35, 37, 39} {
-		g.Expect(h.Since(other, all, now)).To(Equal([]Update{{From: other, To: other, Age: 0, More: true}}), "at %s", other)
+		g.Expect(h.Since(other, allEncodings, now)).To(Equal([]Update{{From: other, To: other, Age: 0, More: true}}), "at %s", other)
 	}
-	g.Expect(h.Since(36, Reads{Deltas: true}, now)[0].More).To(BeTrue(), "a build that knows no eras")
-	g.Expect(h.Since(inEra(1, 31), all, now)[0].Changes).To(BeEmpty(), "one that has read the store itself")
+	g.Expect(h.Since(36, Reads{Deltas: true}, now)[0].More).To(BeTrue(), "a build that decodes no eras")
+	g.Expect(h.Since(inEra(1, 31), allEncodings, now)[0].Changes).To(BeEmpty(), "a gateway that has read the restored store itself")
 
 	h.Advance(inEra(1, 34), []store.Event{change("b", inEra(1, 34), 1)}, now)
-	g.Expect(h.Since(36, all, now)[0].Changes).To(HaveLen(3))
-	later := h.Since(inEra(1, 32), all, now)[0]
+	g.Expect(h.Since(36, allEncodings, now)[0].Changes).To(HaveLen(3))
+	later := h.Since(inEra(1, 32), allEncodings, now)[0]
 	g.Expect(later.Changes).To(HaveLen(1))
-	g.Expect(later.Restored).To(BeZero(), "it is no part of the reading")
+	g.Expect(later.Restored).To(BeZero(), "the change is not part of the restored reading")
 
 	h.Restore(Update{To: inEra(2, 33), Restored: inEra(2, 33)}, now, now)
-	g.Expect(h.Since(36, all, now)[0].More).To(BeTrue(), "two eras before")
-	g.Expect(h.Since(inEra(1, 34), all, now)[0].To).To(Equal(inEra(2, 33)))
+	g.Expect(h.Since(36, allEncodings, now)[0].More).To(BeTrue(), "two eras before")
+	g.Expect(h.Since(inEra(1, 34), allEncodings, now)[0].To).To(Equal(inEra(2, 33)))
 }
 
 // Guards against an update that ends before the first revision of an era.
-func TestARestoreWhoseLostKeysFitNoDatagramIsReadFromTheStore(t *testing.T) {
+func TestOversizedRestoreIsReadFromStore(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	var h History
 	h.Restart(30, now)
 	var lost []store.Event
-	for i := range 2 * maxUpdate / 20 {
+	for i := range 2 * maxUpdateBytes / 20 {
 		lost = append(lost, store.Event{Item: store.Item{Key: fmt.Sprintf("key-%016d", i), Revision: inEra(1, 0)}, Gone: true})
 	}
 	h.Restore(Update{To: inEra(1, 9), Restored: inEra(1, 9), Changes: lost}, now, now)
-	g.Expect(h.Since(30, all, now)).To(Equal([]Update{{From: 30, To: 30, More: true, Restored: inEra(1, 9)}}))
+	g.Expect(h.Since(30, allEncodings, now)).To(Equal([]Update{{From: 30, To: 30, More: true, Restored: inEra(1, 9)}}))
 }
 
-// Guards against keys that are relied on although the store may lack that they were taken away.
-func TestNothingIsAssuredBeforeTheLostWritesAreThereAgain(t *testing.T) {
+// Guards against relying on keys whose removal the restored store may have lost.
+func TestRestoreDelaysAssurance(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	var h History
--- a/pkg/relay/large.go
+++ b/pkg/relay/large.go
@@ -5,67 +5,67 @@
 	"github.com/hopwell/hopwell/pkg/store"
 )
 
-// largeValue is the size from which on a changed value is described by the one before, in bytes. A
+// largeValueBytes is the size from which on a changed value is sent as a delta, in bytes. A
 // configuration of 259 routes has 60 KB, an entry of a runner 300 bytes.
-const largeValue = 4 << 10
+const largeValueBytes = 4 << 10
 
-// Delta is a change of a large value, described by the value before.
+// Delta is a change of a large value, encoded as the difference from the previous value.
 type Delta struct {
 	Key string
-	// Revision is that of the change, Base that of the value before.
+	// Revision is that of the change, Base that of the previous value.
 	Revision, Base store.Revision
-	// Bytes say how the value differs; see package delta.
+	// Bytes encode the difference; see package delta.
 	Bytes []byte
 }
 
-// large is the newest value of a key whose values are large, and the one before. Delta is made when
-// it is first sent: most gateways are no relays.
-type large struct {
-	now, before store.Item
-	delta       []byte
+// largeItem holds the current and the previous value of a key whose values are large. The delta is
+// encoded when it is first sent: most gateways are not relays.
+type largeItem struct {
+	current, previous store.Item
+	delta             []byte
 }
 
-// Known notes what a reading of the store showed, so that the next change of a large value can be
-// described by it.
+// Known records the items of a reading of the store, so that the next change of a large value can
+// be sent as a delta.
 func (h *History) Known(items []store.Item) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, i := range items {
-		if have := h.large[i.Key]; len(i.Value) >= largeValue && (have == nil || have.now.Revision < i.Revision) {
-			h.large[i.Key] = &large{now: i}
+		if have := h.large[i.Key]; len(i.Value) >= largeValueBytes && (have == nil || have.current.Revision < i.Revision) {
+			h.large[i.Key] = &largeItem{current: i}
 		}
 	}
 }
 
-// keepLarge notes a change of a key. The caller holds the lock.
-func (h *History) keepLarge(c store.Event) {
-	before := h.large[c.Key]
-	if c.Gone || len(c.Value) < largeValue {
+// updateLarge records a change of a key. The caller holds the lock.
+func (h *History) updateLarge(c store.Event) {
+	old := h.large[c.Key]
+	if c.Gone || len(c.Value) < largeValueBytes {
 		delete(h.large, c.Key)
 		return
 	}
-	next := &large{now: c.Item}
-	if before != nil && before.now.Revision < c.Revision {
-		next.before = before.now
+	next := &largeItem{current: c.Item}
+	if old != nil && old.current.Revision < c.Revision {
+		next.previous = old.current
 	}
 	if h.large == nil {
-		h.large = map[string]*large{}
+		h.large = map[string]*largeItem{}
 	}
 	h.large[c.Key] = next
 }
 
-// described returns a change of a large value as it is told to a gateway that knows all changes up to
-// a revision; false if the value before is not the one that it has. The caller holds the lock.
-func (h *History) described(c store.Event, at store.Revision) (Delta, bool) {
+// deltaFor returns the delta of a changed large value for a gateway that has all changes up to a
+// revision; false if the gateway lacks the previous value. The caller holds the lock.
+func (h *History) deltaFor(c store.Event, at store.Revision) (Delta, bool) {
 	l := h.large[c.Key]
-	if l == nil || l.now.Revision != c.Revision || l.before.Value == nil || l.before.Revision > at {
+	if l == nil || l.current.Revision != c.Revision || l.previous.Value == nil || l.previous.Revision > at {
 		return Delta{}, false
 	}
 	if l.delta == nil {
-		l.delta = delta.Encode(l.before.Value, l.now.Value)
+		l.delta = delta.Encode(l.previous.Value, l.current.Value)
 	}
-	return Delta{Key: c.Key, Revision: c.Revision, Base: l.before.Revision, Bytes: l.delta}, true
+	return Delta{Key: c.Key, Revision: c.Revision, Base: l.previous.Revision, Bytes: l.delta}, true
 }
 
-// bytes returns about how many bytes the description takes.
+// bytes returns the approximate size of the delta, in bytes.
 func (d Delta) bytes() int { return len(d.Key) + len(d.Bytes) }
--- a/pkg/relay/sources.go
+++ b/pkg/relay/sources.go
@@ -12,43 +12,43 @@
 type Sources struct {
 	self string
 	pace Pace
-	// began is when it first looked for relays.
-	began  time.Time
-	relays map[string]*source
-	// suspects are relays that are not chosen until a time.
+	// started is when Choose was first called.
+	started time.Time
+	relays  map[string]*source
+	// suspects maps relays that are not chosen to the end of their suspicion.
 	suspects map[string]time.Time
-	// confirmed is up to when all changes of the store are known from relays.
+	// confirmed is the time up to which all changes of the store are known from relays.
 	confirmed time.Time
 }
 
 type source struct {
-	// since is when it was chosen, asked when the last subscription was sent, heard
-	// when the last update came.
-	since, asked, heard time.Time
-	// confirmed is up to when it knew the store.
+	// chosenAt is when the relay was chosen, subscribedAt when the last subscription was sent to it,
+	// updatedAt when its last update arrived.
+	chosenAt, subscribedAt, updatedAt time.Time
+	// confirmed is the time up to which the relay knew all changes of the store.
 	confirmed time.Time
-	// lacking is set when it should be asked for changes that were lost.
-	lacking bool
+	// resubscribe is set when the relay should be asked again for changes that were lost.
+	resubscribe bool
 }
 
-// NewSources returns the sources of a gateway, none yet.
+// NewSources returns the sources of a gateway, without relays.
 func NewSources(self string, p Pace) *Sources {
 	return &Sources{self: self, pace: p, relays: map[string]*source{}, suspects: map[string]time.Time{}}
 }
 
-// Choose chooses relays among the living gateways, and drops those that were silent. All
-// gateways that see the same ones living, and suspect none, choose among the same few.
-func (s *Sources) Choose(living []string, now time.Time) {
-	if s.began.IsZero() {
-		s.began = now
+// Choose chooses relays among the alive gateways and drops those that fell silent. All gateways
+// that see the same ones alive, and suspect none, choose among the same few.
+func (s *Sources) Choose(alive []string, now time.Time) {
+	if s.started.IsZero() {
+		s.started = now
 	}
-	if now.Sub(s.began) < settleFor {
+	if now.Sub(s.started) < startupWait {
 		return
 	}
 	s.suspectSilent(now)
-	candidates := s.candidates(living, now)
+	candidates := s.candidates(alive, now)
 	slices.SortFunc(candidates, func(a, b string) int { return cmp.Compare(pairHash(s.self, a), pairHash(s.self, b)) })
-	chosen := candidates[:min(sourcesEach, len(candidates))]
+	chosen := candidates[:min(relaysPerGateway, len(candidates))]
 	for name := range s.relays {
 		if !slices.Contains(chosen, name) {
 			delete(s.relays, name)
@@ -56,7 +56,7 @@
 	}
 	for _, name := range chosen {
 		if s.relays[name] == nil {
-			s.relays[name] = &source{since: now}
+			s.relays[name] = &source{chosenAt: now}
 		}
 	}
 }
@@ -64,11 +64,12 @@
 // Any reports whether any relay is chosen.
 func (s *Sources) Any() bool { return len(s.relays) > 0 }
 
-// suspectSilent leaves relays alone that said nothing for long.
+// suspectSilent suspects the relays that sent no update within the silence timeout, and removes
+// expired suspicions.
 func (s *Sources) suspectSilent(now time.Time) {
 	for name, r := range s.relays {
-		if now.Sub(later(r.since, r.heard)) > s.pace.silentAfter() {
-			s.suspects[name] = now.Add(suspectFor)
+		if now.Sub(later(r.chosenAt, r.updatedAt)) > s.pace.silenceTimeout() {
+			s.suspects[name] = now.Add(suspicionTime)
 		}
 	}
 	for name, until := range s.suspects {
@@ -78,79 +79,78 @@
 	}
 }
 
-// candidates returns the first living gateways that are not suspected. The own one, if it
-// is among them, is left out: relays choose each other.
-func (s *Sources) candidates(living []string, now time.Time) []string {
-	ordered := slices.DeleteFunc(slices.Clone(living), func(name string) bool { return now.Before(s.suspects[name]) })
-	slices.SortFunc(ordered, inOrder)
-	first := ordered[:min(s.pace.Relays(len(living)), len(ordered))]
+// candidates returns the first alive gateways that are not suspected. It leaves out this gateway:
+// relays choose each other.
+func (s *Sources) candidates(alive []string, now time.Time) []string {
+	ordered := slices.DeleteFunc(slices.Clone(alive), func(name string) bool { return now.Before(s.suspects[name]) })
+	slices.SortFunc(ordered, compareGateways)
+	first := ordered[:min(s.pace.Relays(len(alive)), len(ordered))]
 	return slices.DeleteFunc(first, func(name string) bool { return name == s.self })
 }
 
-// First reports whether a gateway is among the first of the living ones, which watch the
-// store in any case.
-func (p Pace) First(self string, living []string) bool {
+// First reports whether a gateway is among the first alive ones, which always watch the store.
+func (p Pace) First(self string, alive []string) bool {
 	before := 0
-	for _, name := range living {
-		if name != self && inOrder(name, self) < 0 {
+	for _, name := range alive {
+		if name != self && compareGateways(name, self) < 0 {
 			before++
 		}
 	}
-	return before < p.Relays(len(living))
+	return before < p.Relays(len(alive))
 }
 
-// inOrder orders gateways in a way that spreads them over the failure domains, whose
-// names tell them apart.
-func inOrder(a, b string) int {
+// compareGateways orders gateways by the hashes of their names. This spreads the first ones over
+// the failure domains, which the names tell apart.
+func compareGateways(a, b string) int {
 	return cmp.Or(cmp.Compare(xxhash.Sum64String(a), xxhash.Sum64String(b)), cmp.Compare(a, b))
 }
 
 func pairHash(a, b string) uint64 { return xxhash.Sum64String(a + "\x00" + b) }
 
-// Due returns the relays that a subscription should be sent to now.
+// Due returns the relays to which a subscription should be sent now.
 func (s *Sources) Due(now time.Time) []string {
 	var out []string
 	for name, r := range s.relays {
-		since := now.Sub(r.asked)
-		if since >= s.pace.RenewEvery || r.lacking && since >= askAgain {
-			r.asked, r.lacking = now, false
+		since := now.Sub(r.subscribedAt)
+		if since >= s.pace.RenewEvery || r.resubscribe && since >= rerequestAfter {
+			r.subscribedAt, r.resubscribe = now, false
 			out = append(out, name)
 		}
 	}
 	return out
 }
 
-// Heard notes an update of a relay. Applied says that all changes up to its end are known
-// now; if not, the relay is asked for what was lost.
+// Heard records an update of a relay. applied reports whether all changes up to its end are known
+// now; if not, the relay is asked again for the lost ones.
 func (s *Sources) Heard(name string, u *Update, applied bool, now time.Time) {
 	confirmed := now.Add(-u.Age)
 	if applied && !u.More {
 		s.confirmed = later(s.confirmed, confirmed)
 	}
 	if r := s.relays[name]; r != nil {
-		r.heard, r.confirmed, r.lacking = now, later(r.confirmed, confirmed), !applied
+		r.updatedAt, r.confirmed, r.resubscribe = now, later(r.confirmed, confirmed), !applied
 	}
 }
 
-// FreshUntil returns until when what relays told can be relied on.
+// FreshUntil returns the time until which the data from relays can be relied on.
 func (s *Sources) FreshUntil() time.Time { return s.confirmed.Add(s.pace.StaleAfter) }
 
-// Answering reports whether a relay answers at all, also one that has lost the store.
+// Answering reports whether any relay sends updates, including one that has lost the store.
 func (s *Sources) Answering(now time.Time) bool {
 	for _, r := range s.relays {
-		if now.Sub(r.heard) <= s.pace.silentAfter() {
+		if now.Sub(r.updatedAt) <= s.pace.silenceTimeout() {
 			return true
 		}
 	}
 	return false
 }
 
-// StoreAnswers notes that the store answered this gateway: relays that have lost it give
-// way to others.
+// StoreAnswers records that the store responds to this gateway. Relays that have lost the store are
+// suspected and thus replaced.
 func (s *Sources) StoreAnswers(now time.Time) {
 	for name, r := range s.relays {
-		if !r.heard.IsZero() && now.Sub(r.confirmed) > 2*s.pace.StaleAfter {
-			s.suspects[name] = now.Add(suspectFor)
+		if !r.updatedAt.IsZero() && now.Sub(r.confirmed) > 2*s.pace.StaleAfter {
+			s.suspects[name] = now.Add(suspicionTime)
 		}
 	}
 }
--- a/pkg/relay/sources_test.go
+++ b/pkg/relay/sources_test.go
@@ -10,10 +10,10 @@
 	"github.com/hopwell/hopwell/pkg/store"
 )
 
-// pace is the one for the shortest bound, at which most is asked of relays.
+// pace is that of the shortest bound, which puts the highest load on relays.
 var pace = PaceFor(ShortestBound)
 
-func fleet(n int) []string {
+func gatewayNames(n int) []string {
 	var names []string
 	for i := range n {
 		names = append(names, fmt.Sprintf("front-%d", i))
@@ -21,14 +21,14 @@
 	return names
 }
 
-// settled returns the sources of a gateway that knows the others.
-func settled(self string, now time.Time) *Sources {
+// settledSources returns the sources of a gateway whose startup wait is over.
+func settledSources(self string, now time.Time) *Sources {
 	s := NewSources(self, pace)
-	s.Choose(nil, now.Add(-settleFor))
+	s.Choose(nil, now.Add(-startupWait))
 	return s
 }
 
-func names(s *Sources) []string {
+func chosenRelays(s *Sources) []string {
 	var out []string
 	for name := range s.relays {
 		out = append(out, name)
@@ -36,114 +36,115 @@
 	return out
 }
 
-// However many gateways there are, all choose among the same few, and each relay gets its
+// Guards against more relays than needed, and against a relay with far more subscribers than its
 // share.
-func TestGatewaysChooseAmongTheSameFew(t *testing.T) {
+func TestGatewaysShareFewRelays(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
-	all := fleet(420)
+	all := gatewayNames(420)
 	subscribed := map[string]int{}
 	for _, self := range all {
-		s := settled(self, now)
+		s := settledSources(self, now)
 		s.Choose(all, now)
-		g.Expect(s.relays).To(HaveLen(sourcesEach))
+		g.Expect(s.relays).To(HaveLen(relaysPerGateway))
 		for name := range s.relays {
 			subscribed[name]++
 			g.Expect(name).NotTo(Equal(self))
-			g.Expect(pace.First(name, all)).To(BeTrue(), "also the relays choose among the first")
+			g.Expect(pace.First(name, all)).To(BeTrue(), "relays choose among the first gateways, too")
 		}
 	}
 	g.Expect(subscribed).To(HaveLen(pace.Relays(len(all))))
 	for name, n := range subscribed {
-		g.Expect(n).To(BeNumerically("<", 2*sourcesEach*gatewaysEach), name)
+		g.Expect(n).To(BeNumerically("<", 2*relaysPerGateway*gatewaysPerRelay), name)
 	}
 }
 
-func TestASilentRelayIsReplacedWithinASecond(t *testing.T) {
+func TestSilentRelayIsReplacedWithinOneSecond(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
-	all := fleet(20)
-	s := settled("self", now)
+	all := gatewayNames(20)
+	s := settledSources("self", now)
 	s.Choose(all, now)
-	lost := names(s)
-	for tick := now; tick.Before(now.Add(pace.silentAfter() + 2*time.Millisecond)); tick = tick.Add(time.Millisecond) {
+	lost := chosenRelays(s)
+	for tick := now; tick.Before(now.Add(pace.silenceTimeout() + 2*time.Millisecond)); tick = tick.Add(time.Millisecond) {
 		s.Choose(all, tick)
 	}
 	for _, name := range lost {
-		g.Expect(names(s)).NotTo(ContainElement(name))
+		g.Expect(chosenRelays(s)).NotTo(ContainElement(name))
 	}
-	g.Expect(s.relays).To(HaveLen(sourcesEach))
-	later := now.Add(pace.silentAfter() + suspectFor + 10*time.Millisecond)
+	g.Expect(s.relays).To(HaveLen(relaysPerGateway))
+	later := now.Add(pace.silenceTimeout() + suspicionTime + 10*time.Millisecond)
 	for _, r := range s.relays {
-		r.heard = later
+		r.updatedAt = later
 	}
 	s.Choose(all, later)
-	g.Expect(names(s)).To(ConsistOf(lost), "they are tried again after a while")
+	g.Expect(chosenRelays(s)).To(ConsistOf(lost), "suspected relays are tried again later")
 }
 
-func TestFreshIsWhatARelayConfirmedLately(t *testing.T) {
+func TestFreshUntilFollowsConfirmedUpdates(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
-	s := settled("self", now)
-	s.Choose(fleet(3), now)
-	from := names(s)[0]
+	s := settledSources("self", now)
+	s.Choose(gatewayNames(3), now)
+	from := chosenRelays(s)[0]
 	s.Heard(from, &Update{Age: time.Second}, true, now)
 	g.Expect(s.FreshUntil()).To(Equal(now.Add(pace.StaleAfter - time.Second)))
 	s.Heard(from, &Update{Age: 0}, false, now)
-	g.Expect(s.FreshUntil()).To(Equal(now.Add(pace.StaleAfter-time.Second)), "an update behind a gap confirms nothing")
+	g.Expect(s.FreshUntil()).To(Equal(now.Add(pace.StaleAfter-time.Second)), "an update after a gap confirms nothing")
 	s.Heard(from, &Update{Age: 0, More: true}, true, now)
-	g.Expect(s.FreshUntil()).To(Equal(now.Add(pace.StaleAfter-time.Second)), "nor one that lacks changes")
+	g.Expect(s.FreshUntil()).To(Equal(now.Add(pace.StaleAfter-time.Second)), "an update that lacks changes confirms nothing")
 	g.Expect(s.Answering(now)).To(BeTrue())
 }
 
-func TestARelayIsAskedAgainForWhatWasLost(t *testing.T) {
+func TestLostChangesAreRequestedAgain(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
-	s := settled("self", now)
-	s.Choose(fleet(3), now)
-	g.Expect(s.Due(now)).To(HaveLen(sourcesEach))
-	now = now.Add(askAgain)
+	s := settledSources("self", now)
+	s.Choose(gatewayNames(3), now)
+	g.Expect(s.Due(now)).To(HaveLen(relaysPerGateway))
+	now = now.Add(rerequestAfter)
 	g.Expect(s.Due(now)).To(BeEmpty())
-	from := names(s)[0]
+	from := chosenRelays(s)[0]
 	s.Heard(from, &Update{}, false, now)
 	g.Expect(s.Due(now)).To(Equal([]string{from}))
 	g.Expect(s.Due(now)).To(BeEmpty(), "once")
-	g.Expect(s.Due(now.Add(pace.RenewEvery))).To(HaveLen(sourcesEach))
+	g.Expect(s.Due(now.Add(pace.RenewEvery))).To(HaveLen(relaysPerGateway))
 }
 
-// Relays that have lost the store give way once it is seen to answer.
-func TestRelaysThatLostTheStoreGiveWay(t *testing.T) {
+// Guards against keeping relays that have lost the store although the store responds to this
+// gateway.
+func TestRelaysWithoutStoreAreReplaced(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
-	all := fleet(20)
-	s := settled("self", now)
+	all := gatewayNames(20)
+	s := settledSources("self", now)
 	s.Choose(all, now)
-	lost := names(s)
+	lost := chosenRelays(s)
 	for _, name := range lost {
 		s.Heard(name, &Update{}, true, now.Add(-3*pace.StaleAfter))
 		s.Heard(name, &Update{Age: Unconfirmed}, true, now)
 	}
 	s.Choose(all, now)
-	g.Expect(names(s)).To(ConsistOf(lost), "nobody may have it")
+	g.Expect(chosenRelays(s)).To(ConsistOf(lost), "the store may be lost to all gateways")
 	s.StoreAnswers(now)
 	s.Choose(all, now)
 	for _, name := range lost {
-		g.Expect(names(s)).NotTo(ContainElement(name))
+		g.Expect(chosenRelays(s)).NotTo(ContainElement(name))
 	}
 }
 
-func TestASubscriptionEnds(t *testing.T) {
+func TestSubscriptionDueAndExpiry(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	s := NewSubscribers(pace)
 	g.Expect(s.Any(now)).To(BeFalse())
-	s.Subscribe("a", 5, all, now)
-	g.Expect(s.Due(5, now)).To(Equal(map[string]store.Revision{"a": 5}), "the first answer")
+	s.Subscribe("a", 5, allEncodings, now)
+	g.Expect(s.Due(5, now)).To(Equal(map[string]store.Revision{"a": 5}), "the first update")
 	s.Sent("a", 5, now)
 	g.Expect(s.Due(5, now)).To(BeEmpty())
 	g.Expect(s.Due(6, now)).To(Equal(map[string]store.Revision{"a": 5}), "a change")
-	g.Expect(s.Due(5, now.Add(pace.Beat))).To(HaveLen(1), "a beat")
-	s.Subscribe("a", 3, all, now)
-	g.Expect(s.Due(5, now)).To(Equal(map[string]store.Revision{"a": 3}), "what was lost")
-	g.Expect(s.Any(now.Add(pace.subscribedFor() + 1))).To(BeFalse())
+	g.Expect(s.Due(5, now.Add(pace.Beat))).To(HaveLen(1), "a heartbeat")
+	s.Subscribe("a", 3, allEncodings, now)
+	g.Expect(s.Due(5, now)).To(Equal(map[string]store.Revision{"a": 3}), "lost changes")
+	g.Expect(s.Any(now.Add(pace.subscriptionTTL() + 1))).To(BeFalse())
 }
--- a/pkg/relay/subscribers.go
+++ b/pkg/relay/subscribers.go
@@ -6,70 +6,69 @@
 	"github.com/hopwell/hopwell/pkg/store"
 )
 
-// Subscribers are the gateways that a relay sends updates to.
+// Subscribers are the gateways to which a relay sends updates.
 type Subscribers struct {
 	pace Pace
 	all  map[string]*subscriber
 }
 
-// NewSubscribers returns no subscribers yet.
+// NewSubscribers returns an empty set of subscribers.
 func NewSubscribers(p Pace) *Subscribers { return &Subscribers{pace: p, all: map[string]*subscriber{}} }
 
 type subscriber struct {
-	until time.Time
-	// sent is the revision up to which changes were sent, told when the last update was.
-	sent  store.Revision
-	told  time.Time
-	reads Reads
-	// stamp is what came with the newest subscription, stamped when that was.
-	stamp   uint64
-	stamped time.Time
+	expires time.Time
+	// sent is the revision up to which changes were sent, sentAt when the last update was.
+	sent   store.Revision
+	sentAt time.Time
+	reads  Reads
+	// stamp is that of the newest subscription, stampedAt the time of the subscription's arrival.
+	stamp     uint64
+	stampedAt time.Time
 }
 
-// Subscribe notes that a gateway knows all changes up to a revision and wants the later
-// ones, and which encodings it decodes.
+// Subscribe records that a gateway has all changes up to a revision and requests the later ones,
+// and which encodings it decodes.
 func (s *Subscribers) Subscribe(name string, at store.Revision, reads Reads, now time.Time) {
 	if s.all[name] == nil {
 		s.all[name] = &subscriber{}
 	}
 	g := s.all[name]
-	g.until, g.sent, g.reads = now.Add(s.pace.subscribedFor()), at, reads
+	g.expires, g.sent, g.reads = now.Add(s.pace.subscriptionTTL()), at, reads
 }
 
-// Stamp notes the stamp of a gateway's newest subscription.
+// Stamp records the stamp of a gateway's newest subscription.
 func (s *Subscribers) Stamp(name string, stamp uint64, now time.Time) {
 	if g := s.all[name]; g != nil {
-		g.stamp, g.stamped = stamp, now
+		g.stamp, g.stampedAt = stamp, now
 	}
 }
 
-// Echo returns the stamp of a gateway's newest subscription, 0 for none, and how long ago
-// that came.
+// Echo returns the stamp of a gateway's newest subscription, 0 for none, and the time since its
+// arrival.
 func (s *Subscribers) Echo(name string, now time.Time) (uint64, time.Duration) {
 	g := s.all[name]
 	if g == nil || g.stamp == 0 {
 		return 0, 0
 	}
-	return g.stamp, now.Sub(g.stamped)
+	return g.stamp, now.Sub(g.stampedAt)
 }
 
-// Any reports whether a gateway is subscribed. Those whose subscriptions ran out are
-// forgotten.
+// Any reports whether a gateway is subscribed. It removes expired subscriptions.
 func (s *Subscribers) Any(now time.Time) bool {
 	for name, g := range s.all {
-		if now.After(g.until) {
+		if now.After(g.expires) {
 			delete(s.all, name)
 		}
 	}
 	return len(s.all) > 0
 }
 
-// Due returns the gateways that lack changes up to the revision reached, or that were
-// told nothing for a beat, with the revision after which each gets them.
+// Due returns the gateways that lack changes up to the revision reached, or that were sent no
+// update for a heartbeat interval, each with the revision after which it needs changes.
 func (s *Subscribers) Due(reached store.Revision, now time.Time) map[string]store.Revision {
 	out := map[string]store.Revision{}
 	for name, g := range s.all {
-		if !now.After(g.until) && (g.sent < reached || now.Sub(g.told) >= s.pace.Beat) {
+		if !now.After(g.expires) && (g.sent < reached || now.Sub(g.sentAt) >= s.pace.Beat) {
 			out[name] = g.sent
 		}
 	}
@@ -84,10 +83,10 @@
 	return Reads{}
 }
 
-// Sent notes that changes up to a revision were sent to a gateway. If they are lost, its
-// next subscription says so.
+// Sent records that changes up to a revision were sent to a gateway. If they are lost, its next
+// subscription carries the earlier revision.
 func (s *Subscribers) Sent(name string, to store.Revision, now time.Time) {
 	if g := s.all[name]; g != nil {
-		g.sent, g.told = max(g.sent, to), now
+		g.sent, g.sentAt = max(g.sent, to), now
 	}
 }
