--- a/pkg/store/follow.go
+++ b/pkg/store/follow.go
@@ -12,139 +12,140 @@
 )
 
 const (
-	// watchWait is how long a watch waits for a change. It is short, since a
-	// connection that was cut off silently shows only by its end.
+	// watchWait is how long a watch waits for a change. It is short, since a connection that was cut
+	// off silently is detected only when the watch ends.
 	watchWait = 3 * time.Second
-	// callMargin is how much longer than asked a call may take.
+	// callMargin is the time that a call may take beyond the wait that it requests.
 	callMargin = 700 * time.Millisecond
-	// probeTime bounds the first call after a failed one, and the first of all;
-	// each that fails gives the next one more, up to longestProbe. It is short,
-	// since a call to a store that is silent is never answered, also when the
-	// store is back. Of a whole reading it bounds the silence between two parts.
-	probeTime    = 400 * time.Millisecond
-	longestProbe = 2500 * time.Millisecond
-	// longestReading bounds a whole reading: what it shows is older than that.
-	longestReading = 30 * time.Second
-	// probeWait is how long a watch waits that is to find out whether the store
-	// answers.
+	// probeTimeout bounds the first call, and the first after a failed one. Each failure raises the
+	// bound of the next call, up to maxProbeTimeout. It is short, since a call to a silent store
+	// never gets a response, even when the store is back. In a full reading it bounds the silence
+	// between two parts.
+	probeTimeout    = 400 * time.Millisecond
+	maxProbeTimeout = 2500 * time.Millisecond
+	// maxRangeTime bounds a full reading: the state that it returns is as old as the reading took.
+	maxRangeTime = 30 * time.Second
+	// probeWait is how long a watch waits that only checks whether the store responds.
 	probeWait = time.Millisecond
-	// firstPause and longestPause are the times between failed calls.
-	firstPause   = 100 * time.Millisecond
-	longestPause = 400 * time.Millisecond
+	// minRetryDelay and maxRetryDelay are the shortest and the longest delay after a failed call,
+	// before jitter.
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 400 * time.Millisecond
 )
 
-// Follower keeps up with a prefix of a store.
+// Follower follows the changes below a key prefix of a store.
 type Follower struct {
 	Store  Store
 	Prefix string
-	// Gather returns how long changes are let come together after some have come,
-	// before the next watch; nil for not at all. The first change after a calm time
-	// comes at once.
+	// Gather returns how long to batch changes after some have arrived, before the next watch; nil
+	// disables batching. The first change after a quiet time is delivered at once.
 	Gather func() time.Duration
-	// Relayed, if set, waits for as long as others bring the changes. It returns the
-	// revision that they reached, 0 for none, and how long the next watch may wait for a
-	// change, 0 for the usual time.
+	// Relayed, if set, blocks for as long as relays deliver the changes. It returns the revision
+	// that they reached, 0 for none, and how long the next watch may wait for a change, 0 for the
+	// default.
 	Relayed func(ctx context.Context) (at Revision, wait time.Duration)
-	// Forgotten, if set, waits for others to bring what the store's history no longer shows after
-	// a revision. It returns the revision that they reached, 0 if all must be read anew.
+	// Forgotten, if set, waits for relays to deliver the changes after a revision that are missing
+	// from the store's history. It returns the revision that they reached, 0 if a full reading is
+	// needed.
 	Forgotten func(ctx context.Context, after Revision) Revision
-	// Reset takes a whole reading. Apply takes what every watch brings, also none. Both
-	// get what the store holds now or held later than what they got before; Reset
-	// refuses a reading that others have overtaken.
+	// Reset receives a full reading. Apply receives the result of each watch, also an empty one.
+	// Each call gets a state of the store that is as new as the call before or newer. Reset rejects
+	// a reading that is older than what relays have delivered.
 	Reset func(items []Item, at Revision) error
 	Apply func(events []Event, at Revision)
-	// Assured, if set, is called after each reading or watch with the time, by boottime, at which
-	// it was asked for: what is known now was whole then, however late the answer was read.
+	// Assured, if set, is called after each reading or watch with the time, by boottime, at which it
+	// was requested. All changes up to that time are known, however late the response was read.
 	Assured func(asked time.Time)
-	// Refused, if set, is called with a reading that is not taken since it is older than what is known.
+	// Refused, if set, is called with the error of a reading that is rejected because it is older
+	// than the known state.
 	Refused func(err *ErrOld)
-	// Lost and Regained are called when the store stops and starts to answer.
+	// Lost is called when the store stops responding, Regained when it responds again.
 	Lost     func(err error)
 	Regained func(after time.Duration)
 }
 
-// position is how far a follower has come.
+// position is the progress of a follower.
 type position struct {
 	at    Revision
 	known bool
-	// gone says that the history after at is gone, so that all must be read anew.
-	gone bool
-	// lost is when the store stopped to answer; zero while it does.
-	lost time.Time
-	// limit bounds the next call, pause is the time before it.
-	limit, pause time.Duration
+	// compacted is set when the history after at is gone, so that a full reading is needed.
+	compacted bool
+	// lostAt is when the store stopped responding; zero while it responds.
+	lostAt time.Time
+	// timeout bounds the next call, retryDelay is the delay before it.
+	timeout, retryDelay time.Duration
 }
 
-// Run follows until the context ends.
+// Run follows the prefix until the context ends.
 func (f *Follower) Run(ctx context.Context) {
-	p := position{limit: probeTime, pause: firstPause}
-	sure := false
+	p := position{timeout: probeTimeout, retryDelay: minRetryDelay}
+	reachable := false
 	for ctx.Err() == nil {
-		next, changed, err := f.step(ctx, &p, sure)
+		next, changed, err := f.step(ctx, &p, reachable)
 		if ctx.Err() != nil {
 			return
 		}
-		if sure = err == nil; sure {
-			f.answered(&p, next)
+		if reachable = err == nil; reachable {
+			f.recordSuccess(&p, next)
 			if changed && f.Gather != nil {
-				rest(ctx, f.Gather())
+				sleep(ctx, f.Gather())
 			}
 			continue
 		}
-		f.failed(ctx, &p, err)
+		f.recordFailure(ctx, &p, err)
 	}
 }
 
-// answered records an answer of the store.
-func (f *Follower) answered(p *position, next Revision) {
-	p.at, p.known, p.gone, p.limit, p.pause = next, true, false, probeTime, firstPause
-	if !p.lost.IsZero() {
-		f.Regained(time.Since(p.lost))
-		p.lost = time.Time{}
+// recordSuccess records a successful call.
+func (f *Follower) recordSuccess(p *position, next Revision) {
+	p.at, p.known, p.compacted, p.timeout, p.retryDelay = next, true, false, probeTimeout, minRetryDelay
+	if !p.lostAt.IsZero() {
+		f.Regained(time.Since(p.lostAt))
+		p.lostAt = time.Time{}
 	}
 }
 
-// failed records a call without an answer, and pauses.
-func (f *Follower) failed(ctx context.Context, p *position, err error) {
+// recordFailure records a failed call and waits before the next one, except after a compaction.
+func (f *Follower) recordFailure(ctx context.Context, p *position, err error) {
 	var compacted *ErrCompacted
 	if errors.As(err, &compacted) {
-		p.known, p.gone = false, true
+		p.known, p.compacted = false, true
 		return
 	}
-	if p.lost.IsZero() {
-		p.lost = time.Now()
+	if p.lostAt.IsZero() {
+		p.lostAt = time.Now()
 		f.Lost(err)
 	}
-	rest(ctx, p.pause/2+time.Duration(rand.Int64N(int64(p.pause))))
-	p.pause = min(2*p.pause, longestPause)
-	p.limit = min(3*p.limit/2, longestProbe)
+	sleep(ctx, p.retryDelay/2+time.Duration(rand.Int64N(int64(p.retryDelay))))
+	p.retryDelay = min(2*p.retryDelay, maxRetryDelay)
+	p.timeout = min(3*p.timeout/2, maxProbeTimeout)
 }
 
-// step reads the whole prefix, or waits for its next changes. When the store is
-// not sure to answer, it only asks for those that are there. It returns how far it has
-// come, and whether there was something new.
-func (f *Follower) step(ctx context.Context, p *position, sure bool) (next Revision, changed bool, err error) {
-	if p.gone && f.Forgotten != nil {
+// step reads the full prefix, or waits for its next changes. If reachable is not set, it requests
+// only the changes that exist already. It returns the revision reached, and whether there were
+// changes.
+func (f *Follower) step(ctx context.Context, p *position, reachable bool) (next Revision, changed bool, err error) {
+	if p.compacted && f.Forgotten != nil {
 		if at := f.Forgotten(ctx, p.at); at > 0 {
-			p.at, p.known, p.gone = at, true, false
+			p.at, p.known, p.compacted = at, true, false
 		}
 	}
 	var wait time.Duration
-	if f.Relayed != nil && !p.gone {
+	if f.Relayed != nil && !p.compacted {
 		var at Revision
 		at, wait = f.Relayed(ctx)
 		p.at, p.known = max(p.at, at), p.known || at > 0
 	}
 	if !p.known {
-		next, err = f.read(ctx, p)
+		next, err = f.readAll(ctx, p)
 		return next, false, err
 	}
 	if wait == 0 {
 		wait = watchWait
 	}
 	limit := wait + callMargin
-	if !sure {
-		wait, limit = probeWait, p.limit
+	if !reachable {
+		wait, limit = probeWait, p.timeout
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
@@ -158,11 +159,11 @@
 	return max(p.at, next), len(events) > 0, nil
 }
 
-// read reads the whole prefix.
-func (f *Follower) read(ctx context.Context, p *position) (Revision, error) {
-	ctx, end := context.WithTimeout(ctx, longestReading)
+// readAll reads the full prefix.
+func (f *Follower) readAll(ctx context.Context, p *position) (Revision, error) {
+	ctx, end := context.WithTimeout(ctx, maxRangeTime)
 	defer end()
-	ctx, cancel := progress.Bound(ctx, p.limit)
+	ctx, cancel := progress.Bound(ctx, p.timeout)
 	defer cancel()
 	asked := boottime.Now()
 	items, next, err := f.Store.Range(ctx, f.Prefix)
@@ -191,18 +192,18 @@
 	}
 }
 
-// ErrOld reports that an answer is older than what is known.
+// ErrOld reports that a reading is older than the known state.
 type ErrOld struct {
 	Have, Got Revision
 }
 
 // Error implements error.
 func (e *ErrOld) Error() string {
-	return fmt.Sprintf("older than what is known: have=%s got=%s", e.Have, e.Got)
+	return fmt.Sprintf("reading is older than the known state: have=%s got=%s", e.Have, e.Got)
 }
 
-// rest waits, less if the context ends.
-func rest(ctx context.Context, d time.Duration) {
+// sleep waits for d, or less if the context ends.
+func sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
 	}
--- a/pkg/store/lease.go
+++ b/pkg/store/lease.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// LeaseID identifies a lease; the zero value is none. It holds the era of the grant, since a restored store
-// reuses lease numbers.
+// LeaseID identifies a lease; the zero value is none. It includes the era of the grant, since a
+// restored store reuses lease numbers.
 type LeaseID struct {
 	Era, Number uint64
 }
 
-// None reports whether it is the zero value.
+// None reports whether l is the zero value.
 func (l LeaseID) None() bool { return l == LeaseID{} }
 
 // String returns ERA.NUMBER.
--- a/pkg/store/lock.go
+++ b/pkg/store/lock.go
@@ -9,48 +9,48 @@
 	"github.com/hopwell/hopwell/pkg/boottime"
 )
 
-// Lock is the right of one process at a time to do something, kept in the store
-// as a key under a lease. The revision at which the key was made is the fence:
-// it is higher than that of every earlier holder, also of those before a restore of the store.
+// Lock is a lock that one process at a time holds, stored as a key under a lease. The revision at
+// which the key was created is the fence: it is higher than that of every earlier holder, including
+// those before a restore of the store.
 type Lock struct {
 	Store Store
 	Key   string
-	// Holder names the process in the key.
+	// Holder identifies the process in the value of the key.
 	Holder string
-	// TTL is how long the right outlives its last renewal.
+	// TTL is how long the lock outlives its last renewal.
 	TTL time.Duration
 
 	mu    sync.Mutex
 	lease LeaseID
 	fence Revision
-	// since is when the right was won, until when it is surely still held: both
-	// reckoned from before the call that gave it.
+	// since is when the lock was acquired, until is up to when it is certainly held. Both count
+	// from before the call that acquired or renewed the lock.
 	since, until time.Time
 }
 
-// ErrHeld reports that another process has the right.
+// ErrHeld reports that another process holds the lock.
 type ErrHeld struct {
 	Key, Holder string
 }
 
 // Error implements error.
-func (e *ErrHeld) Error() string { return "held by another: key=" + e.Key + " holder=" + e.Holder }
+func (e *ErrHeld) Error() string { return "lock is held: key=" + e.Key + " holder=" + e.Holder }
 
-// lockMargin is the part of the time of a lease that is not relied on.
-const lockMargin = 5
+// lockMarginDivisor sets the safety margin of a lease: its last TTL/lockMarginDivisor is not relied on.
+const lockMarginDivisor = 5
 
-// Held returns the fence and since when the right has been held; false if it is
-// not surely held now. Times are by boottime: a lease runs out while the machine is suspended.
+// Held returns the fence and since when the lock has been held; false if it is not certainly held
+// now. Times are by boottime: a lease expires while the machine is suspended.
 func (l *Lock) Held(now time.Time) (fence Revision, since time.Time, held bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.fence, l.since, !l.lease.None() && now.Before(l.until)
 }
 
-// Win tries to get the right. It fails with *ErrHeld when another has it.
+// Win tries to acquire the lock. It fails with *ErrHeld if another process holds it.
 func (l *Lock) Win(ctx context.Context) error {
 	began := boottime.Now()
-	won, err := PutLeased(ctx, l.Store, l.TTL, Change{If: []Condition{{Key: l.Key}}, Put: []Put{{Key: l.Key, Value: []byte(l.Holder)}}})
+	leased, err := PutLeased(ctx, l.Store, l.TTL, Change{If: []Condition{{Key: l.Key}}, Put: []Put{{Key: l.Key, Value: []byte(l.Holder)}}})
 	if err != nil {
 		var conflict *ErrConflict
 		if errors.As(err, &conflict) && len(conflict.Items) > 0 {
@@ -60,11 +60,11 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lease, l.fence, l.since, l.until = won.Lease, won.Revision, began, began.Add(won.TTL-won.TTL/lockMargin)
+	l.lease, l.fence, l.since, l.until = leased.Lease, leased.Revision, began, began.Add(leased.TTL-leased.TTL/lockMarginDivisor)
 	return nil
 }
 
-// Renew keeps the right. When the lease is over the right is lost at once.
+// Renew extends the lease of the lock. If the lease is over, the lock is lost at once.
 func (l *Lock) Renew(ctx context.Context) error {
 	l.mu.Lock()
 	lease := l.lease
@@ -81,12 +81,12 @@
 		l.lease = LeaseID{}
 	}
 	if err == nil && l.lease == lease {
-		l.until = began.Add(l.TTL - l.TTL/lockMargin)
+		l.until = began.Add(l.TTL - l.TTL/lockMarginDivisor)
 	}
 	return err
 }
 
-// Yield gives the right up.
+// Yield releases the lock.
 func (l *Lock) Yield(ctx context.Context) {
 	l.mu.Lock()
 	lease := l.lease
--- a/pkg/store/revision_test.go
+++ b/pkg/store/revision_test.go
@@ -12,8 +12,8 @@
 	"github.com/hopwell/hopwell/pkg/spectest"
 )
 
-// Guards against revisions that are compared by their numbers alone: after a restore these go back.
-func TestRevisionsOfALaterEraAreGreater(t *testing.T) {
+// Guards against comparing revisions by their numbers alone: after a restore the numbers go back.
+func TestLaterEraRevisionsAreGreater(t *testing.T) {
 	spectest.Check(t, func(t *rapid.T) {
 		era, number := rapid.Uint64Range(0, maxEra), rapid.Uint64Range(0, maxNumber)
 		a, b := [2]uint64{era.Draw(t, "era"), number.Draw(t, "number")}, [2]uint64{era.Draw(t, "other era"), number.Draw(t, "other number")}
@@ -31,7 +31,7 @@
 	})
 }
 
-func TestARevisionThatDoesNotFitIsRefused(t *testing.T) {
+func TestRevisionOfRejectsOverflow(t *testing.T) {
 	g := NewWithT(t)
 	for _, r := range [][2]uint64{{maxEra + 1, 0}, {0, maxNumber + 1}} {
 		_, err := RevisionOf(r[0], r[1])
@@ -40,29 +40,29 @@
 	}
 	first, err := RevisionOf(0, 41)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(uint64(first)).To(Equal(uint64(41)), "builds that know no eras read the same")
+	g.Expect(uint64(first)).To(Equal(uint64(41)), "builds that decode no eras read the same number")
 	g.Expect(first.String()).To(Equal("41"))
 	later, err := RevisionOf(2, 7)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(later.String()).To(Equal("2.7"))
 }
 
-// restoring is a store that is restored between the grant of a lease and the commit that uses it.
-type restoring struct {
-	*script
+// restoringStore is a store that is restored between the grant of a lease and the commit that uses it.
+type restoringStore struct {
+	*fakeStore
 	changes []Change
 }
 
-func (s *restoring) Commit(_ context.Context, c Change) (Revision, error) {
+func (s *restoringStore) Commit(_ context.Context, c Change) (Revision, error) {
 	s.changes = append(s.changes, c)
 	return RevisionOf(1, uint64(len(s.changes)))
 }
 
-// Guards against a key that is bound to the lease of another process, which got the same number after a
+// Guards against a key bound to the lease of another process that got the same lease number after a
 // restore: the key would stay for as long as that process lives.
-func TestAKeyUnderALeaseOfAnEarlierEraIsTakenBack(t *testing.T) {
+func TestKeyBoundToLeaseOfEarlierEraIsRemoved(t *testing.T) {
 	g := NewWithT(t)
-	s := &restoring{script: &script{}}
+	s := &restoringStore{fakeStore: &fakeStore{}}
 	l := newLock(s)
 	var over *ErrNoLease
 	g.Expect(errors.As(l.Win(t.Context()), &over)).To(BeTrue())
--- a/pkg/store/store.go
+++ b/pkg/store/store.go
@@ -1,6 +1,6 @@
-// Package store says what hopwell needs of a platform's key-value store that has
-// revisions, transactions, leases and watches over prefixes, and follows a
-// prefix through all of the store's troubles.
+// Package store defines what hopwell needs of a platform's key-value store with revisions,
+// transactions, leases and watches over prefixes. Its Follower follows a prefix through outages,
+// compactions and restores of the store.
 package store
 
 import (
@@ -13,7 +13,7 @@
 type Item struct {
 	Key   string
 	Value []byte
-	// Revision is that of its last change, Made that of its creation.
+	// Revision is that of the last change, Made that of the creation.
 	Revision, Made Revision
 }
 
@@ -31,18 +31,18 @@
 	Lease LeaseID
 }
 
-// Condition is one that must hold for a change: the key's last change has this revision, or it does not
-// exist if that is 0.
+// Condition must hold for a change to be committed: the last change of the key has this revision,
+// or the key does not exist if Revision is 0.
 type Condition struct {
 	Key      string
 	Revision Revision
 }
 
-// MaxEntries is how many conditions, keys to write and keys to remove a change may have together:
-// the platform's store refuses more.
+// MaxEntries is the maximum number of conditions, keys to write and keys to remove in one change,
+// counted together: the platform's store rejects more.
 const MaxEntries = 32
 
-// Change is all done or not at all.
+// Change is applied atomically, if all conditions hold.
 type Change struct {
 	If     []Condition
 	Put    []Put
@@ -51,29 +51,27 @@
 
 // Store is the platform's key-value store.
 //
-// Calls fail with *ErrUnavailable, after which a change may or may not have been
-// made, or may still be made; with *ErrConflict when a condition does not hold;
-// with *ErrCompacted when a watch asks for history that is gone, also by a restore
-// of the store from an older copy; and with *ErrNoLease when a lease is over. All
-// leases are over with the era in which they were granted.
+// Calls fail with *ErrUnavailable, after which a change may or may not have been made, or may still
+// be made; with *ErrConflict when a condition does not hold; with *ErrCompacted when a watch
+// requests history that is gone, also because the store was restored from an older copy; and with
+// *ErrNoLease when a lease is over. All leases end with the era in which they were granted.
 type Store interface {
-	// Range returns all items below a prefix and a revision from which a watch
-	// misses nothing.
+	// Range returns all items below a prefix and a revision after which a watch misses no change.
 	Range(ctx context.Context, prefix string) ([]Item, Revision, error)
-	// Watch waits for changes below a prefix after a revision and returns them
-	// with the revision to go on from. Without any it returns after wait.
+	// Watch waits for changes below a prefix after a revision and returns them with the revision to
+	// resume from. Without any change it returns after wait.
 	Watch(ctx context.Context, prefix string, after Revision, wait time.Duration) ([]Event, Revision, error)
-	// Commit makes a change and returns its revision.
+	// Commit applies a change and returns its revision.
 	Commit(ctx context.Context, c Change) (Revision, error)
-	// Grant makes a lease that lasts ttl from when the store took the call.
+	// Grant creates a lease that lasts ttl from when the store received the call.
 	Grant(ctx context.Context, ttl time.Duration) (LeaseID, time.Duration, error)
-	// Renew makes a lease last its time once more.
+	// Renew restarts the time to live of a lease.
 	Renew(ctx context.Context, id LeaseID) error
-	// End ends a lease; its keys go with it.
+	// End ends a lease and removes its keys.
 	End(ctx context.Context, id LeaseID) error
 }
 
-// ErrUnavailable reports that the store gave no answer, or that it can't serve.
+// ErrUnavailable reports that the store did not respond, or that it cannot serve.
 type ErrUnavailable struct {
 	Call   string
 	Status int
@@ -90,20 +88,20 @@
 
 // ErrConflict reports that a condition of a change does not hold.
 type ErrConflict struct {
-	// Items are the keys of the conditions as they are.
+	// Items are the current items of the keys in the conditions.
 	Items []Item
 }
 
 // Error implements error.
 func (e *ErrConflict) Error() string { return fmt.Sprintf("conflict: keys=%d", len(e.Items)) }
 
-// ErrCompacted reports that the history that was asked for is gone.
+// ErrCompacted reports that the requested history is gone.
 type ErrCompacted struct {
 	After Revision
 }
 
 // Error implements error.
-func (e *ErrCompacted) Error() string { return fmt.Sprintf("history gone: after=%s", e.After) }
+func (e *ErrCompacted) Error() string { return fmt.Sprintf("history compacted: after=%s", e.After) }
 
 // ErrNoLease reports that a lease is over.
 type ErrNoLease struct {
--- a/pkg/store/store_test.go
+++ b/pkg/store/store_test.go
@@ -12,8 +12,8 @@
 	"github.com/hopwell/hopwell/pkg/boottime"
 )
 
-// script is a store whose answers are given one by one.
-type script struct {
+// fakeStore is a store whose responses the test sets.
+type fakeStore struct {
 	ranges  func() ([]Item, Revision, error)
 	watches func(after Revision, wait time.Duration) ([]Event, Revision, error)
 	commit  func(Change) (Revision, error)
@@ -22,7 +22,7 @@
 	ended   []LeaseID
 }
 
-func (s *script) Range(ctx context.Context, _ string) ([]Item, Revision, error) {
+func (s *fakeStore) Range(ctx context.Context, _ string) ([]Item, Revision, error) {
 	if s.ranges == nil {
 		<-ctx.Done()
 		return nil, 0, &ErrUnavailable{Err: ctx.Err()}
@@ -30,7 +30,7 @@
 	return s.ranges()
 }
 
-func (s *script) Watch(ctx context.Context, _ string, after Revision, wait time.Duration) ([]Event, Revision, error) {
+func (s *fakeStore) Watch(ctx context.Context, _ string, after Revision, wait time.Duration) ([]Event, Revision, error) {
 	if s.watches == nil {
 		<-ctx.Done()
 		return nil, 0, &ErrUnavailable{Err: ctx.Err()}
@@ -38,27 +38,27 @@
 	return s.watches(after, wait)
 }
 
-func (s *script) Commit(_ context.Context, c Change) (Revision, error) { return s.commit(c) }
+func (s *fakeStore) Commit(_ context.Context, c Change) (Revision, error) { return s.commit(c) }
 
-func (s *script) Grant(context.Context, time.Duration) (LeaseID, time.Duration, error) {
+func (s *fakeStore) Grant(context.Context, time.Duration) (LeaseID, time.Duration, error) {
 	s.granted++
 	return LeaseID{Number: uint64(s.granted)}, 3 * time.Second, nil
 }
 
-func (s *script) Renew(context.Context, LeaseID) error { return s.renew() }
+func (s *fakeStore) Renew(context.Context, LeaseID) error { return s.renew() }
 
-func (s *script) End(_ context.Context, id LeaseID) error {
+func (s *fakeStore) End(_ context.Context, id LeaseID) error {
 	s.ended = append(s.ended, id)
 	return nil
 }
 
-// seen is what a follower told.
-type seen struct {
+// recorder records the callbacks of a follower.
+type recorder struct {
 	resets, applies []Revision
 	lost, regained  int
 }
 
-func (s *seen) follower(store Store) *Follower {
+func (s *recorder) follower(store Store) *Follower {
 	return &Follower{
 		Store: store, Prefix: "p/",
 		Reset:    func(_ []Item, at Revision) error { s.resets = append(s.resets, at); return nil },
@@ -74,17 +74,17 @@
 	f.Run(ctx)
 }
 
-func TestFollowerGoesOnFromWhereItWas(t *testing.T) {
+func TestFollowerResumesWatchAtLastRevision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		var asked []Revision
-		s := &script{ranges: func() ([]Item, Revision, error) { return nil, 7, nil }}
+		s := &fakeStore{ranges: func() ([]Item, Revision, error) { return nil, 7, nil }}
 		s.watches = func(after Revision, wait time.Duration) ([]Event, Revision, error) {
 			asked = append(asked, after)
 			time.Sleep(wait)
 			return []Event{{}}, after + 1, nil
 		}
-		var got seen
+		var got recorder
 		run(t, got.follower(s), 3*watchWait+watchWait/2)
 		g.Expect(got.resets).To(Equal([]Revision{7}))
 		g.Expect(asked).To(Equal([]Revision{7, 8, 9, 10}))
@@ -92,26 +92,26 @@
 	})
 }
 
-func TestFollowerReadsAnewWhenHistoryIsGone(t *testing.T) {
+func TestFollowerRereadsAfterCompaction(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		at := Revision(5)
-		s := &script{ranges: func() ([]Item, Revision, error) { at += 10; return nil, at, nil }}
+		s := &fakeStore{ranges: func() ([]Item, Revision, error) { at += 10; return nil, at, nil }}
 		s.watches = func(after Revision, _ time.Duration) ([]Event, Revision, error) {
 			time.Sleep(time.Second)
 			return nil, 0, &ErrCompacted{After: after}
 		}
-		var got seen
+		var got recorder
 		run(t, got.follower(s), 2500*time.Millisecond)
 		g.Expect(got.resets).To(Equal([]Revision{15, 25, 35}))
 	})
 }
 
-func TestFollowerNeverTakesAnOlderReading(t *testing.T) {
+func TestFollowerRejectsOlderReading(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		at := []Revision{50, 20, 60}
-		s := &script{ranges: func() ([]Item, Revision, error) { next := at[0]; at = at[1:]; return nil, next, nil }}
+		s := &fakeStore{ranges: func() ([]Item, Revision, error) { next := at[0]; at = at[1:]; return nil, next, nil }}
 		s.watches = func(after Revision, wait time.Duration) ([]Event, Revision, error) {
 			if after == 50 {
 				return nil, 0, &ErrCompacted{After: after}
@@ -119,49 +119,49 @@
 			time.Sleep(wait)
 			return nil, after, nil
 		}
-		var got seen
+		var got recorder
 		run(t, got.follower(s), 5*time.Second)
 		g.Expect(got.resets).To(Equal([]Revision{50, 60}))
 	})
 }
 
-// A follower goes on from the revision that others brought it to, and waits as long as
-// they bring the changes.
-func TestFollowerGoesOnFromWhereOthersBroughtIt(t *testing.T) {
+// Guards against a follower that watches from an older revision than relays reached, or that
+// watches while relays deliver the changes.
+func TestFollowerResumesAtRelayedRevision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		var asked []Revision
 		var waits []time.Duration
-		s := &script{ranges: func() ([]Item, Revision, error) { return nil, 7, nil }}
+		s := &fakeStore{ranges: func() ([]Item, Revision, error) { return nil, 7, nil }}
 		s.watches = func(after Revision, wait time.Duration) ([]Event, Revision, error) {
 			asked, waits = append(asked, after), append(waits, wait)
 			time.Sleep(wait)
 			return nil, after, nil
 		}
-		var got seen
+		var got recorder
 		f := got.follower(s)
-		brought := Revision(0)
+		relayed := Revision(0)
 		f.Relayed = func(context.Context) (Revision, time.Duration) {
 			if len(got.resets) == 0 {
 				return 0, 0
 			}
 			time.Sleep(10 * time.Second)
-			brought += 20
-			return brought, time.Second
+			relayed += 20
+			return relayed, time.Second
 		}
 		run(t, f, 21500*time.Millisecond)
-		g.Expect(got.resets).To(Equal([]Revision{7}), "nobody had brought anything")
+		g.Expect(got.resets).To(Equal([]Revision{7}), "relays had not delivered anything")
 		g.Expect(asked).To(Equal([]Revision{20, 40}))
 		g.Expect(waits).To(Equal([]time.Duration{time.Second, time.Second}))
 	})
 }
 
-// A follower that learned everything from others needs no reading of its own, until the
-// history after that is gone.
-func TestFollowerGoesOnFromWhatOthersKnow(t *testing.T) {
+// Guards against a full reading by a follower that got all changes from relays. It needs one only
+// when the history after its revision is gone.
+func TestFollowerStartsFromRelayedRevision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		s := &script{ranges: func() ([]Item, Revision, error) { return nil, 60, nil }}
+		s := &fakeStore{ranges: func() ([]Item, Revision, error) { return nil, 60, nil }}
 		s.watches = func(after Revision, wait time.Duration) ([]Event, Revision, error) {
 			time.Sleep(wait)
 			if after == 21 {
@@ -169,7 +169,7 @@
 			}
 			return nil, after + 1, nil
 		}
-		var got seen
+		var got recorder
 		f := got.follower(s)
 		f.Relayed = func(context.Context) (Revision, time.Duration) { return 20, time.Second }
 		run(t, f, 2500*time.Millisecond)
@@ -178,17 +178,18 @@
 	})
 }
 
-// A reading that others have overtaken meanwhile is refused, and made again.
-func TestFollowerReadsAgainWhatWasOvertaken(t *testing.T) {
+// Guards against accepting a reading that is older than what relays delivered meanwhile. It must be
+// repeated.
+func TestFollowerRetriesOvertakenReading(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		at := Revision(3)
-		s := &script{ranges: func() ([]Item, Revision, error) { at += 2; return nil, at, nil }}
+		s := &fakeStore{ranges: func() ([]Item, Revision, error) { at += 2; return nil, at, nil }}
 		s.watches = func(after Revision, wait time.Duration) ([]Event, Revision, error) {
 			time.Sleep(wait)
 			return nil, after, nil
 		}
-		var got seen
+		var got recorder
 		f := got.follower(s)
 		take := f.Reset
 		f.Reset = func(items []Item, at Revision) error {
@@ -202,52 +203,52 @@
 	})
 }
 
-// A store that is silent and then back is learned from within the time of one
-// probe, not of a whole watch.
-func TestFollowerAsksASilentStoreAgainSoon(t *testing.T) {
+// Guards against detecting only after a full watch that a silent store is back. One probe must be
+// enough.
+func TestFollowerProbesSilentStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		began := time.Now()
 		back := began.Add(4 * time.Second)
-		s := &script{}
+		s := &fakeStore{}
 		silent := func(ctx context.Context) error { <-ctx.Done(); return &ErrUnavailable{Err: ctx.Err()} }
-		store := &hanging{script: s, silent: func() bool { return time.Now().Before(back) }, hang: silent}
+		store := &silentStore{fakeStore: s, silent: func() bool { return time.Now().Before(back) }, hang: silent}
 		s.ranges = func() ([]Item, Revision, error) { return nil, 1, nil }
 		s.watches = func(after Revision, wait time.Duration) ([]Event, Revision, error) {
 			time.Sleep(wait)
 			return nil, after, nil
 		}
-		var got seen
+		var got recorder
 		f := got.follower(store)
 		var at time.Time
 		f.Reset = func([]Item, Revision) error { at = time.Now(); return nil }
 		run(t, f, 10*time.Second)
-		g.Expect(at.Sub(back)).To(BeNumerically("<=", longestProbe+longestPause))
+		g.Expect(at.Sub(back)).To(BeNumerically("<=", maxProbeTimeout+maxRetryDelay))
 		g.Expect(got.lost).To(Equal(1))
 		g.Expect(got.regained).To(Equal(1))
 	})
 }
 
-// hanging is a store that does not answer at times.
-type hanging struct {
-	*script
+// silentStore is a store that at times does not respond.
+type silentStore struct {
+	*fakeStore
 	silent func() bool
 	hang   func(ctx context.Context) error
 }
 
-func (h *hanging) Range(ctx context.Context, prefix string) ([]Item, Revision, error) {
+func (h *silentStore) Range(ctx context.Context, prefix string) ([]Item, Revision, error) {
 	if h.silent() {
 		return nil, 0, h.hang(ctx)
 	}
-	return h.script.Range(ctx, prefix)
+	return h.fakeStore.Range(ctx, prefix)
 }
 
 func newLock(s Store) *Lock { return &Lock{Store: s, Key: "k", Holder: "me", TTL: 3 * time.Second} }
 
-func TestLockIsNotHeldLongerThanItsLeaseSurelyIs(t *testing.T) {
+func TestLockExpiresBeforeLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		s := &script{commit: func(Change) (Revision, error) { time.Sleep(time.Second); return 9, nil }}
+		s := &fakeStore{commit: func(Change) (Revision, error) { time.Sleep(time.Second); return 9, nil }}
 		l := newLock(s)
 		g.Expect(l.Win(t.Context())).To(Succeed())
 		fence, _, held := l.Held(time.Now())
@@ -255,14 +256,14 @@
 		g.Expect(fence).To(Equal(Revision(9)))
 		time.Sleep(1500 * time.Millisecond)
 		_, _, held = l.Held(time.Now())
-		g.Expect(held).To(BeFalse(), "2.5 s after the grant was asked for")
+		g.Expect(held).To(BeFalse(), "2.5 s after the grant was requested")
 	})
 }
 
-// Guards against a lease that is believed after a suspension, in which the steady clock stood still.
-func TestLockIsNotHeldOverASuspension(t *testing.T) {
+// Guards against relying on a lease after a suspension, in which the steady clock stood still.
+func TestLockExpiresDuringSuspension(t *testing.T) {
 	g := NewWithT(t)
-	l := newLock(&script{commit: func(Change) (Revision, error) { return 9, nil }})
+	l := newLock(&fakeStore{commit: func(Change) (Revision, error) { return 9, nil }})
 	g.Expect(l.Win(t.Context())).To(Succeed())
 	_, _, held := l.Held(boottime.Now())
 	g.Expect(held).To(BeTrue())
@@ -271,9 +272,9 @@
 	g.Expect(held).To(BeFalse())
 }
 
-func TestLockThatAnotherHoldsIsNotWon(t *testing.T) {
+func TestWinFailsWhenLockIsHeld(t *testing.T) {
 	g := NewWithT(t)
-	s := &script{commit: func(c Change) (Revision, error) {
+	s := &fakeStore{commit: func(c Change) (Revision, error) {
 		g.Expect(c.If).To(Equal([]Condition{{Key: "k"}}))
 		return 0, &ErrConflict{Items: []Item{{Key: "k", Value: []byte("other")}}}
 	}}
@@ -287,11 +288,11 @@
 	g.Expect(mine).To(BeFalse())
 }
 
-// A commit without an answer may be done all the same; its lease is ended, so
-// that the key does not stay, and the right does not count as won.
-func TestLockWhoseAnswerIsLostIsGivenBack(t *testing.T) {
+// Guards against a key that stays after a commit without a response, which may have been applied.
+// The lease is ended, and the lock does not count as held.
+func TestWinEndsLeaseAfterLostResponse(t *testing.T) {
 	g := NewWithT(t)
-	s := &script{commit: func(Change) (Revision, error) { return 0, &ErrUnavailable{Call: "commit"} }}
+	s := &fakeStore{commit: func(Change) (Revision, error) { return 0, &ErrUnavailable{Call: "commit"} }}
 	l := newLock(s)
 	g.Expect(l.Win(t.Context())).NotTo(Succeed())
 	g.Expect(s.ended).To(Equal([]LeaseID{{Number: 1}}))
@@ -299,10 +300,10 @@
 	g.Expect(held).To(BeFalse())
 }
 
-func TestLockIsLostWithItsLease(t *testing.T) {
+func TestLockIsLostWithLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		s := &script{commit: func(Change) (Revision, error) { return 9, nil }, renew: func() error { return nil }}
+		s := &fakeStore{commit: func(Change) (Revision, error) { return 9, nil }, renew: func() error { return nil }}
 		l := newLock(s)
 		g.Expect(l.Win(t.Context())).To(Succeed())
 		time.Sleep(2 * time.Second)
