--- a/pkg/coldstart/coldstart.go
+++ b/pkg/coldstart/coldstart.go
@@ -1,10 +1,11 @@
-// Package coldstart shares out among gateways what a runner bears that has just started. Such a
-// runner falls over when all gateways together send it more requests in one second than its service
-// says; no gateway learns of the others' sends in time, so each keeps to a part that is its own.
+// Package coldstart divides the load limit of a runner that has just started among the gateways.
+// Such a runner fails when all gateways together send it more requests in one second than its
+// service states. No gateway learns of the others' requests in time, so each keeps to its own
+// share.
 //
-// The parts need no message and no store: they follow from the names of the gateways that are
-// known, which stay known for as long as a minute after they fell silent. docs/design/cold-runners.md
-// has the ways that were weighed.
+// The shares need no message and no store: they follow from the names of the known gateways, which
+// stay known for up to a minute after they fell silent. docs/design/cold-runners.md compares the
+// alternatives.
 package coldstart
 
 import (
@@ -15,51 +16,54 @@
 )
 
 const (
-	// Window is the time over which a gateway's sends to a cold runner are counted: the second
-	// that the limit speaks of, and the difference of two requests' ways to the runner, which
-	// is up to a fifth of a second where links are well.
+	// Window is the time over which a gateway's requests to a cold runner are counted: the one
+	// second of the limit, plus the difference between the transit times of two requests to the
+	// runner, which is up to 200 ms on healthy links.
 	Window = 1200 * time.Millisecond
-	// usedPart is the part of the limit that is shared out. The rest is for gateways that know
-	// of each other late: it holds while each knows half of the others. A limit of less than two
-	// requests holds only while all know each other.
-	usedPart = 0.5
+	// sharedFraction is the fraction of the limit that is divided among the gateways. The rest is
+	// for gateways that learn of each other late: the limit holds while each gateway knows half of
+	// the others. A limit of less than two requests holds only while all gateways know each other.
+	sharedFraction = 0.5
 )
 
-// Limit says how many requests in one second a cold runner gets from all gateways together.
+// Limit is how many requests a cold runner gets in one second from all gateways together.
 type Limit struct {
-	// PerSecond is what the runner's service says, 0 for no limit.
+	// PerSecond is the rate that the runner's service states, in requests per second; 0 is no
+	// limit.
 	PerSecond float64
-	// Overshoot is a multiple of that, Slack a number of requests beside it.
+	// Overshoot is a factor that PerSecond is multiplied by, Slack a number of requests that is
+	// added to the product.
 	Overshoot, Slack float64
 }
 
 // Bounded reports whether there is a limit.
 func (l Limit) Bounded() bool { return l.PerSecond > 0 }
 
-// requests returns the limit as a number of requests.
+// requests returns the limit as a number of requests in one second.
 func (l Limit) requests() float64 { return l.PerSecond*l.Overshoot + l.Slack }
 
-// Share returns how many requests one gateway may send to a cold runner in any Window, of a limit
-// that all have in common. Where there is less than one for each gateway, some get one and the rest
-// none; which ones differs from runner to runner, so that each gateway has some to use.
+// Share returns how many requests the gateway self may send to a cold runner in any Window. All
+// gateways use the same limit. If it is less than one request for each gateway, some gateways get
+// one and the rest none. Which ones get one differs from runner to runner, so that each gateway has
+// some runners to use.
 func Share(l Limit, self string, others []string, runner string) int {
-	shared := l.requests() * usedPart
-	if each := math.Floor(shared / float64(len(others)+1)); each >= 1 {
-		return int(each)
+	shared := l.requests() * sharedFraction
+	if perGateway := math.Floor(shared / float64(len(others)+1)); perGateway >= 1 {
+		return int(perGateway)
 	}
-	users := max(1, int(shared))
+	remaining := max(1, int(shared))
 	own := weight(self, runner)
 	for _, name := range others {
 		if weight(name, runner) > own {
-			users--
+			remaining--
 		}
-		if users == 0 {
+		if remaining == 0 {
 			return 0
 		}
 	}
 	return 1
 }
 
-// weight orders gateways for a runner (rendezvous hashing): a gateway that comes or goes moves
-// nobody else's share but the last one's.
+// weight ranks the gateways for a runner by rendezvous hashing: when a gateway joins or leaves, no
+// other share changes but that of the gateway ranked last.
 func weight(gateway, runner string) uint64 { return xxhash.Sum64String(gateway + "/" + runner) }
--- a/pkg/coldstart/coldstart_test.go
+++ b/pkg/coldstart/coldstart_test.go
@@ -17,8 +17,8 @@
 	return out
 }
 
-// without returns all names but one, of the others each with a probability.
-func without(all []string, self string, known float64, r *rand.Rand) []string {
+// knownPeers returns all names but self, each with the probability known.
+func knownPeers(all []string, self string, known float64, r *rand.Rand) []string {
 	var out []string
 	for _, name := range all {
 		if name != self && r.Float64() < known {
@@ -28,9 +28,9 @@
 	return out
 }
 
-// Guards against gateways that each send a cold runner what one of them could send alone. The limits are
-// those of a deployment with 27 gateways and 49 runners.
-func TestAllGatewaysTogetherStayWithinWhatAColdRunnerBears(t *testing.T) {
+// Guards against gateways that each send a cold runner what one gateway alone may send. The limits
+// are those of a deployment with 27 gateways and 49 runners.
+func TestSharesOfAllGatewaysStayWithinLimit(t *testing.T) {
 	g := NewWithT(t)
 	r := rand.New(rand.NewPCG(1, 2))
 	for _, limit := range []Limit{{22, 1.5, 5}, {4, 1, 0}, {1, 1, 0}, {1, 1.5, 5}, {300, 1.2, 0}} {
@@ -40,20 +40,21 @@
 				sum := 0
 				known := 0.9
 				if limit.requests() < 2 {
-					known = 1 // Two that don't know each other both send their one.
+					known = 1 // Two gateways that don't know each other would each send one request.
 				}
 				for _, self := range all {
-					sum += Share(limit, self, without(all, self, known, r), fmt.Sprint("runner-", runner))
+					sum += Share(limit, self, knownPeers(all, self, known, r), fmt.Sprint("runner-", runner))
 				}
 				g.Expect(float64(sum)).To(BeNumerically("<=", max(1, limit.requests())), "%v, %d gateways", limit, gateways)
-				g.Expect(sum).To(BeNumerically(">", 0), "%v, %d gateways: a cold runner that nobody uses", limit, gateways)
+				g.Expect(sum).To(BeNumerically(">", 0), "%v, %d gateways: no gateway uses the cold runner", limit, gateways)
 			}
 		}
 	}
 }
 
-// Each gateway has some cold runners to use when a whole failure domain comes back cold: 16 of 49.
-func TestEachGatewayHasAPartOfADomainThatComesBackCold(t *testing.T) {
+// Each gateway has some cold runners to use when a whole failure domain, 16 of 49 runners, returns
+// cold.
+func TestEachGatewayGetsShareOfColdDomain(t *testing.T) {
 	g := NewWithT(t)
 	r := rand.New(rand.NewPCG(3, 4))
 	for _, gateways := range []int{5, 27} {
@@ -61,20 +62,20 @@
 		for _, self := range all {
 			sum := 0
 			for runner := range 16 {
-				sum += Share(Limit{22, 1.5, 5}, self, without(all, self, 1, r), fmt.Sprint("runner-", runner))
+				sum += Share(Limit{22, 1.5, 5}, self, knownPeers(all, self, 1, r), fmt.Sprint("runner-", runner))
 			}
 			g.Expect(sum).To(BeNumerically(">", 0), self)
 		}
 	}
 }
 
-// sent is what one gateway sent to the cold runner.
-type sent struct {
+// sendLog holds the times at which one gateway sent requests to the cold runner.
+type sendLog struct {
 	times []time.Duration
 }
 
-// allowed reports whether a share leaves room for one more send, and notes it.
-func (s *sent) allowed(share int, now time.Duration) bool {
+// allow reports whether the share permits one more request now, and if so records it.
+func (s *sendLog) allow(share int, now time.Duration) bool {
 	recent := 0
 	for _, at := range s.times {
 		if now-at < Window {
@@ -88,10 +89,10 @@
 	return true
 }
 
-// Gateways join, are cut off from some others, and forget some, at random times; all want the cold
-// runner all the time. In no second does it get more than its limit, whatever each request's way
-// to it takes.
-func TestNoSecondBringsAColdRunnerMoreThanItBears(t *testing.T) {
+// Gateways join, lose contact with some others and forget some, at random times. All want to use
+// the cold runner all the time. In no second does it receive more than its limit, whatever the
+// transit time of each request is.
+func TestArrivalsPerSecondStayWithinLimit(t *testing.T) {
 	limit := Limit{22, 1.5, 5}
 	for seed := range uint64(6) {
 		g := NewWithT(t)
@@ -99,18 +100,18 @@
 		all := names(10 + r.IntN(60))
 		present := len(all) / 2
 		known := make([][]string, len(all))
-		sends := make([]sent, len(all))
+		sends := make([]sendLog, len(all))
 		var arrivals []time.Duration
 		for now := time.Duration(0); now < 12*time.Second; now += 20 * time.Millisecond {
 			if r.IntN(40) == 0 && present < len(all) {
-				present++ // Its members hear of it in their time, it reads all from the store.
-				known[present-1] = without(all[:present], all[present-1], 1, r)
+				present++ // The new gateway reads all names from the store. The others learn of it later.
+				known[present-1] = knownPeers(all[:present], all[present-1], 1, r)
 			}
 			for i := range present {
 				if known[i] == nil || r.IntN(100) == 0 {
-					known[i] = without(all[:present], all[i], 0.9, r)
+					known[i] = knownPeers(all[:present], all[i], 0.9, r)
 				}
-				if sends[i].allowed(Share(limit, all[i], known[i], "cold"), now) {
+				if sends[i].allow(Share(limit, all[i], known[i], "cold"), now) {
 					arrivals = append(arrivals, now+time.Duration(r.IntN(200))*time.Millisecond)
 				}
 			}
--- a/pkg/runners/cold.go
+++ b/pkg/runners/cold.go
@@ -8,48 +8,51 @@
 )
 
 const (
-	// coldAfterRestore is how long the runners of a failure domain count as cold after its
-	// evacuation was taken back, whatever their entries say: they may have turned cold shortly
-	// before, and an entry that says so comes within two heartbeats of 1.2 s, and a second more
-	// by way of other gateways.
+	// coldAfterRestore is how long the runners of a failure domain count as cold after the domain
+	// was restored from an evacuation, whatever their entries report. They may have become cold
+	// shortly before. An entry that reports this arrives within two heartbeats of 1.2 s, plus one
+	// second if other gateways relay it.
 	coldAfterRestore = 4 * time.Second
-	// unsentFor bounds how long a place at a cold runner is kept for a request that is not sent
-	// there: room is reserved, and the prompt read, in less.
-	unsentFor = 5 * time.Second
-	// coldShareFor is how long this gateway's share of a cold runner is used before it is asked for
-	// again: gateways come and go.
-	coldShareFor = 200 * time.Millisecond
+	// unsentClaimTTL bounds how long a claim at a cold runner is kept for a request that was not
+	// sent. Reserving room and prefilling the prompt take less time.
+	unsentClaimTTL = 5 * time.Second
+	// coldShareTTL is how long this gateway's share of a cold runner is used before it is computed
+	// again, because gateways join and leave.
+	coldShareTTL = 200 * time.Millisecond
 )
 
-// coldness is what a runner bears while it is cold; the zero value is that of a warm one.
-type coldness struct {
-	// until is when the runner will be warm by its entry, told when by its answers: an entry that is
-	// older than an answer takes nothing back.
-	until, told time.Time
-	// share is how many requests in any coldstart.Window it may get from this gateway, as it was
-	// asked for at the time sharedAt; bounded is false for any number.
+// coldState is the cold-start state of a runner; the zero value is that of a warm runner.
+type coldState struct {
+	// entryUntil is when the runner will be warm according to its entry, responseUntil according to
+	// its responses. An entry that is older than a response does not shorten the time that the
+	// response reported.
+	entryUntil, responseUntil time.Time
+	// share is the number of requests that this gateway may send to the runner in any
+	// coldstart.Window, as computed at sharedAt. It applies only if bounded is set.
 	share    int
 	bounded  bool
 	sharedAt time.Time
 	claims   []claim
 }
 
-// claim is a request's place at a cold runner.
+// claim is a slot that a request takes at a cold runner. at is when it was claimed or, once sent is
+// set, when the request was sent.
 type claim struct {
 	request string
 	at      time.Time
 	sent    bool
 }
 
-// over reports whether a claim counts no more.
-func (c claim) over(now time.Time) bool {
+// expired reports whether a claim no longer counts against the share.
+func (c claim) expired(now time.Time) bool {
 	if c.sent {
 		return now.Sub(c.at) >= coldstart.Window
 	}
-	return now.Sub(c.at) >= unsentFor
+	return now.Sub(c.at) >= unsentClaimTTL
 }
 
-// Cold reports whether the runner has started a short time ago and bears less than it will.
+// Cold reports whether the runner counts as cold: it started recently and has not reached its full
+// capacity, or its failure domain was restored less than coldAfterRestore ago.
 func (s *State) Cold(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,7 +60,7 @@
 }
 
 func (s *State) isCold(now time.Time) bool {
-	if now.Before(s.cold.until) || now.Before(s.cold.told) {
+	if now.Before(s.cold.entryUntil) || now.Before(s.cold.responseUntil) {
 		return true
 	}
 	restored := s.evacuated.restoredAt(s.Domain)
@@ -69,16 +72,16 @@
 		return true
 	}
 	c := &s.cold
-	if s.coldShare != nil && now.Sub(c.sharedAt) >= coldShareFor {
+	if s.coldShare != nil && now.Sub(c.sharedAt) >= coldShareTTL {
 		c.share, c.bounded = s.coldShare(s.Runner)
 		c.sharedAt = now
 	}
-	c.claims = slices.DeleteFunc(c.claims, func(k claim) bool { return k.over(now) })
+	c.claims = slices.DeleteFunc(c.claims, func(k claim) bool { return k.expired(now) })
 	return !c.bounded || len(c.claims) < c.share
 }
 
-// claimCold keeps a place for a request at the runner until it is sent there, and reports whether
-// there is one. A warm runner has places for all.
+// claimCold claims a slot at the runner for a request until the request is sent, and reports
+// whether a slot was free. The slots of a warm runner are not limited.
 func (s *State) claimCold(request string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,28 +110,29 @@
 	s.cold.claims = append(s.cold.claims, claim{request: request, at: now, sent: true})
 }
 
-// releaseCold gives the place of a request up that is not sent.
+// releaseCold releases the slot of a request that was not sent.
 func (s *State) releaseCold(request string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cold.claims = slices.DeleteFunc(s.cold.claims, func(k claim) bool { return k.request == request && !k.sent })
 }
 
-// tellCold records how much longer an answer says that the runner stays cold.
-func (s *State) tellCold(left time.Duration, now time.Time) {
+// extendCold records for how much longer the runner is cold according to a response. It never
+// shortens a time reported by another response.
+func (s *State) extendCold(left time.Duration, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if until := now.Add(left); until.After(s.cold.told) {
-		s.cold.told = until
+	if until := now.Add(left); until.After(s.cold.responseUntil) {
+		s.cold.responseUntil = until
 	}
 }
 
-// setCold records how much longer the runner's entry says that it stays cold.
-func (s *State) setCold(left time.Duration, now time.Time) {
+// setEntryCold records for how much longer the runner is cold according to its entry.
+func (s *State) setEntryCold(left time.Duration, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cold.until = time.Time{}
+	s.cold.entryUntil = time.Time{}
 	if left > 0 {
-		s.cold.until = now.Add(left)
+		s.cold.entryUntil = now.Add(left)
 	}
 }
--- a/pkg/runners/directory.go
+++ b/pkg/runners/directory.go
@@ -10,7 +10,7 @@
 	"github.com/hopwell/hopwell/pkg/runnerlimit"
 )
 
-// stageKey names the runners of one service and stage.
+// stageKey identifies the runners of one service and stage.
 type stageKey struct {
 	service string
 	stage   Stage
@@ -20,41 +20,44 @@
 type Directory struct {
 	mu  sync.RWMutex
 	all map[string]*State
-	// current is the newest incarnation by name.
+	// current maps the name of a runner to its newest incarnation.
 	current map[string]*State
-	// services lists the runners of each service, stages those of each service and
-	// stage; in no order. Lists are replaced, not changed.
+	// services holds the runners of each service, stages those of each service and stage, in no
+	// particular order. The slices are replaced, never modified.
 	services map[string][]*State
 	stages   map[stageKey][]*State
-	// stale is set when the lists no longer hold.
+	// stale is set when services and stages are out of date.
 	stale bool
-	// generation counts the changes of the lists.
+	// generation counts how often services and stages were invalidated.
 	generation atomic.Uint64
 	evacuated  *evacuations
-	// Changed is called, without locks, after a change; nil for none.
+	// Changed is called after a change, without a lock held. It may be nil.
 	Changed func(what Change)
-	// ColdShare returns how many requests in any coldstart.Window a cold runner may get from this
-	// gateway, false for any number. It is set before the first entry is put; nil for no limit.
+	// ColdShare returns how many requests this gateway may send to a cold runner in any
+	// coldstart.Window; bounded is false if there is no limit. It is set before the first entry is
+	// put. If it is nil, there is no limit.
 	ColdShare func(Runner) (share int, bounded bool)
-	// Limits are those that runners name, Notices what else they say in their answers.
+	// Limits holds the rate limits that runners named, Notices what else they reported in their
+	// responses.
 	Limits  *runnerlimit.Table
 	Notices *notice.Table
 }
 
-// Change says what was learned about a runner.
+// Change is a change of what is known about a runner.
 type Change struct {
 	Runner Runner
-	// What is "new", "changed", "leaving", "gone", or Replaced; "unusable" when another gateway
-	// reported that the runner refused as another one or in another stage;
-	// "stage_change" when another gateway reported that it was ordered to one.
+	// What is "new", "changed", "leaving", "gone" or Replaced. It is "unusable" when another
+	// gateway reported that the runner refused a call because it is not the runner, or not in the
+	// stage, that the call was meant for. It is "stage_change" when another gateway reported that
+	// the engine was ordered to change its stage.
 	What string
 }
 
-// Replaced is what happened to a runner that started again under its name.
+// Replaced is the Change.What of an incarnation whose runner started again under the same name.
 const Replaced = "replaced"
 
-// NewDirectory returns an empty directory of a gateway; its name tells gateways that share a runner's
-// limit from each other.
+// NewDirectory returns an empty directory for the named gateway. The name distinguishes gateways
+// that share the rate limit of a runner.
 func NewDirectory(gateway string) *Directory {
 	return &Directory{
 		all: map[string]*State{}, current: map[string]*State{}, services: map[string][]*State{},
@@ -63,7 +66,7 @@
 	}
 }
 
-// name returns the name of a runner.
+// name returns the name of the runner, or its ID if it has no name.
 func (r *Runner) name() string {
 	if r.Name == "" {
 		return r.ID
@@ -71,16 +74,16 @@
 	return r.Name
 }
 
-// Put records an entry as it stands in the store at a time. A runner that was leaving stays so.
-// One that has started again under its name takes the place of the one before, whichever its
-// clock says is the later: the store's order tells.
+// Put records an entry as it is in the store at the time now. A runner that was leaving stays
+// leaving. An incarnation that started again under a name replaces the one before, whichever of
+// them started later by its own clock: the order of the store decides.
 func (d *Directory) Put(r Runner, now time.Time) { d.PutEntry(Entry{Runner: r}, now) }
 
-// PutEntry records an entry with what changes while its runner stays the same; see Put.
+// PutEntry records an entry with the fields that change during an incarnation; see Put.
 func (d *Directory) PutEntry(e Entry, now time.Time) {
 	d.put(e.Runner, now)
 	if s := d.Find(e.ID); s != nil {
-		s.setCold(e.ColdFor, now)
+		s.setEntryCold(e.ColdFor, now)
 	}
 }
 
@@ -90,17 +93,17 @@
 	}
 	d.mu.Lock()
 	old := d.all[r.ID]
-	s := &State{Runner: r, knowledge: &knowledge{leaving: r.Leaving, evacuated: d.evacuated, coldShare: d.ColdShare, limits: d.Limits, notices: d.Notices}}
+	s := &State{Runner: r, sharedState: &sharedState{leaving: r.Leaving, evacuated: d.evacuated, coldShare: d.ColdShare, limits: d.Limits, notices: d.Notices}}
 	what := "new"
 	if old != nil {
 		r.Leaving = r.Leaving || old.Leaving
-		old.back()
+		old.markPresent()
 		d.current[r.name()] = old
 		if old.Runner == r {
 			d.mu.Unlock()
 			return
 		}
-		s = &State{Runner: r, knowledge: old.knowledge}
+		s = &State{Runner: r, sharedState: old.sharedState}
 		s.update(old.Runner, r)
 		what = "changed"
 		if r.Leaving && !old.Leaving {
@@ -108,13 +111,13 @@
 		}
 	}
 	d.all[r.ID], d.current[r.name()] = s, s
-	d.change()
+	d.invalidateLocked()
 	d.mu.Unlock()
 	d.notify(Change{r, what})
 }
 
-// replace ends the incarnation that had a runner's name before, and returns it; nil if there
-// was no other.
+// replace marks the current incarnation under the name of r as replaced, and returns it. It returns
+// nil if there is no other incarnation.
 func (d *Directory) replace(r Runner, now time.Time) *State {
 	d.mu.RLock()
 	before := d.current[r.name()]
@@ -129,15 +132,15 @@
 	return before
 }
 
-// back records that a runner's entry is there again.
-func (s *knowledge) back() {
+// markPresent records that the entry of a runner is in the store again.
+func (s *sharedState) markPresent() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.goneAt, s.replaced = time.Time{}, false
 }
 
-// update records what a new entry says. With another stage the change to it is over.
-func (s *knowledge) update(old, now Runner) {
+// update applies a changed entry. An entry with another stage ends the pending stage change.
+func (s *sharedState) update(old, now Runner) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaving = now.Leaving
@@ -146,7 +149,7 @@
 	}
 }
 
-// Gone records that the entry of a name is no longer in the store.
+// Gone records that the entry under a name is no longer in the store.
 func (d *Directory) Gone(name string, now time.Time) {
 	d.mu.RLock()
 	s := d.current[name]
@@ -165,7 +168,7 @@
 	}
 }
 
-// Keep records a whole reading of the store: what is not among the names has gone.
+// Keep applies a full reading of the store: the runners that are not among the names are gone.
 func (d *Directory) Keep(names map[string]bool, now time.Time) {
 	d.mu.RLock()
 	var missing []string
@@ -180,11 +183,11 @@
 	}
 }
 
-// forgetAfter is how long a runner whose entry has gone is remembered.
+// forgetAfter is how long a runner is remembered after its entry was removed.
 const forgetAfter = 30 * time.Second
 
-// Sweep forgets runners that have been gone for long, and what other gateways reported
-// of the rest and is no longer used.
+// Sweep deletes the runners whose entries were removed more than forgetAfter ago, and the expired
+// reports of other gateways about the remaining runners.
 func (d *Directory) Sweep(now time.Time) {
 	d.Limits.Sweep(now)
 	d.Notices.Sweep(now)
@@ -205,19 +208,19 @@
 		}
 	}
 	if changed {
-		d.change()
+		d.invalidateLocked()
 	}
 }
 
-// change notes that the lists of the services no longer hold. They are made anew when
-// somebody asks: many runners that come one after the other cost one list. The caller
-// holds the lock.
-func (d *Directory) change() {
+// invalidateLocked marks services and stages as out of date. They are rebuilt when they are next
+// read, so that many runners that register one after the other cost one rebuild. The caller holds
+// the lock.
+func (d *Directory) invalidateLocked() {
 	d.stale = true
 	d.generation.Add(1)
 }
 
-// lists returns the lists of services and of stages.
+// lists returns services and stages, rebuilt if they are out of date.
 func (d *Directory) lists() (map[string][]*State, map[stageKey][]*State) {
 	d.mu.RLock()
 	services, stages, stale := d.services, d.stages, d.stale
@@ -233,7 +236,7 @@
 	return d.services, d.stages
 }
 
-// index makes the lists of the services anew. The caller holds the lock.
+// index rebuilds services and stages. The caller holds the lock.
 func (d *Directory) index() {
 	services, stages := map[string][]*State{}, map[stageKey][]*State{}
 	for _, s := range d.all {
@@ -263,32 +266,33 @@
 	return out
 }
 
-// Stage returns all runners of a service and stage, those that take no work too. The
-// list must not be changed.
+// Stage returns all runners of a service and stage, including those that take no work. The caller
+// must not modify the slice.
 func (d *Directory) Stage(service string, stage Stage) []*State {
 	_, stages := d.lists()
 	return stages[stageKey{service, stage}]
 }
 
-// Generation returns a number that rises when a runner comes, changes or goes.
+// Generation returns a number that increases when a runner is added, changed or removed, or when a
+// failure domain is evacuated or restored.
 func (d *Directory) Generation() uint64 { return d.generation.Load() }
 
-// Find returns the runner with an ID, nil for none.
+// Find returns the runner with the given ID, or nil.
 func (d *Directory) Find(id string) *State {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return d.all[id]
 }
 
-// Current returns the current incarnation of a runner by its name, nil for none.
+// Current returns the current incarnation of the runner with the given name, or nil.
 func (d *Directory) Current(name string) *State {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return d.current[name]
 }
 
-// Present returns the runners of a service that are there and stay, those on their
-// way to another stage too.
+// Present returns the runners of a service that are registered and not about to end, including
+// engines that are changing their stage.
 func (d *Directory) Present(service string, now time.Time) []*State {
 	services, _ := d.lists()
 	list := services[service]
@@ -303,7 +307,7 @@
 	return out
 }
 
-// All returns all runners of a service, those that take no work too.
+// All returns all runners of a service, including those that take no work.
 func (d *Directory) All(service string) []*State {
 	services, _ := d.lists()
 	return services[service]
--- a/pkg/runners/evacuation.go
+++ b/pkg/runners/evacuation.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// evacuations are the failure domains whose runners get no more work, until operators take that
-// back. It is a fact of the domain, not of its runners: one that registers there later, or whose
-// entry is written anew, is covered too.
+// evacuations holds the failure domains whose runners get no new work until an operator restores
+// the domain. An evacuation belongs to the domain, not to its runners: it also covers a runner that
+// registers there later or whose entry is rewritten.
 type evacuations struct {
 	mu      sync.RWMutex
 	domains map[string]bool
-	// restored is when an evacuation was taken back, by domain.
+	// restored is when a domain was last restored, by domain.
 	restored map[string]time.Time
 }
 
@@ -27,7 +27,7 @@
 	return e.domains[domain]
 }
 
-// restoredAt returns when a domain's last evacuation was taken back, zero for never.
+// restoredAt returns when a domain was last restored; zero is never.
 func (e *evacuations) restoredAt(domain string) time.Time {
 	if e == nil {
 		return time.Time{}
@@ -37,7 +37,7 @@
 	return e.restored[domain]
 }
 
-// set records whether a domain is evacuated, and reports whether that is news.
+// set records whether a domain is evacuated, and reports whether that changed.
 func (e *evacuations) set(domain string, evacuated bool, now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -53,35 +53,36 @@
 	return true
 }
 
-// list returns the evacuated domains by name.
+// list returns the evacuated domains, sorted.
 func (e *evacuations) list() []string {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
 	return slices.Sorted(maps.Keys(e.domains))
 }
 
-// Evacuate records that the runners of a domain are to get no more work: no prompt, no decode, no
-// second try and no order. What runs there goes on, and what was read there may be fetched. It
-// reports whether that is news.
+// Evacuate records that the runners of a domain get no new work: no prefill, no decode, no retry
+// and no order. Running requests go on, and prompts that were prefilled there may still be fetched.
+// It reports whether the domain was not evacuated before.
 func (d *Directory) Evacuate(domain string, now time.Time) bool {
 	if !d.evacuated.set(domain, true, now) {
 		return false
 	}
-	d.regenerate()
+	d.invalidate()
 	return true
 }
 
-// Restore records that a domain's evacuation was taken back, and reports whether it had any.
+// Restore records that the evacuation of a domain ended, and reports whether the domain was
+// evacuated.
 func (d *Directory) Restore(domain string, now time.Time) bool {
 	if !d.evacuated.set(domain, false, now) {
 		return false
 	}
-	d.regenerate()
+	d.invalidate()
 	return true
 }
 
-// KeepEvacuated records a whole reading of the store: the evacuations that are not among the
-// domains were taken back. It returns those.
+// KeepEvacuated applies a full reading of the store: evacuated domains that are not among the given
+// domains are restored. It returns the restored domains.
 func (d *Directory) KeepEvacuated(domains map[string]bool, now time.Time) []string {
 	var restored []string
 	for _, domain := range d.evacuated.list() {
@@ -92,17 +93,17 @@
 	return restored
 }
 
-// RestoredSince reports whether a domain's last evacuation was taken back after a time.
+// RestoredSince reports whether a domain was last restored after a time.
 func (d *Directory) RestoredSince(domain string, since time.Time) bool {
 	return d.evacuated.restoredAt(domain).After(since)
 }
 
-// Evacuated returns the evacuated domains by name.
+// Evacuated returns the evacuated domains, sorted.
 func (d *Directory) Evacuated() []string { return d.evacuated.list() }
 
-// regenerate has lists that were made of the runners made anew.
-func (d *Directory) regenerate() {
+// invalidate marks the lists that are derived from the runners as out of date.
+func (d *Directory) invalidate() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.change()
+	d.invalidateLocked()
 }
--- a/pkg/runners/evacuation_test.go
+++ b/pkg/runners/evacuation_test.go
@@ -7,8 +7,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// Guards against runners that get work by their own entries alone although their domain is evacuated.
-func TestTheRunnersOfAnEvacuatedDomainGetNoWork(t *testing.T) {
+// Guards against runners that get work because of their own entries although their failure domain
+// is evacuated.
+func TestRunnersOfEvacuatedDomainAreNotUsable(t *testing.T) {
 	g := NewWithT(t)
 	d := NewDirectory("a")
 	now := time.Now()
@@ -19,20 +20,20 @@
 	put("b", "right", Decode)
 	held := d.Find("a")
 	g.Expect(d.Evacuate("left", now)).To(BeTrue())
-	g.Expect(d.Evacuate("left", now)).To(BeFalse(), "known already")
-	put("c", "left", Decode) // It registers there later.
+	g.Expect(d.Evacuate("left", now)).To(BeFalse(), "already evacuated")
+	put("c", "left", Decode) // Registers there after the evacuation.
 	put("a", "left", Prefill)
 	for _, stage := range []Stage{Prefill, Decode} {
 		for _, s := range d.Usable("s", stage, now) {
 			g.Expect(s.Domain).To(Equal("right"))
 		}
 	}
-	g.Expect(held.Usable(now)).To(BeFalse(), "a state that was handed out before")
-	g.Expect(d.Present("s", now)).To(HaveLen(1), "no stage is planned there")
+	g.Expect(held.Usable(now)).To(BeFalse(), "a State that was returned before the evacuation")
+	g.Expect(d.Present("s", now)).To(HaveLen(1), "stage planning leaves out the evacuated domain")
 	g.Expect(d.Evacuated()).To(Equal([]string{"left"}))
 
 	g.Expect(d.KeepEvacuated(map[string]bool{"left": true}, now)).To(BeEmpty())
-	g.Expect(d.KeepEvacuated(nil, now)).To(Equal([]string{"left"}), "a reading without it: taken back")
+	g.Expect(d.KeepEvacuated(nil, now)).To(Equal([]string{"left"}), "a full reading without the domain restores it")
 	g.Expect(d.Usable("s", Decode, now)).To(HaveLen(2))
 	g.Expect(d.Restore("left", now)).To(BeFalse())
 }
--- a/pkg/runners/health.go
+++ b/pkg/runners/health.go
@@ -6,59 +6,61 @@
 )
 
 const (
-	// failureWeight is the weight of the newest outcome in the failure rate.
+	// failureWeight is the weight of the newest outcome in the moving averages of failures,
+	// refusals and latency.
 	failureWeight = 0.25
-	// ejectAbove is the failure rate from which a runner is left out.
-	ejectAbove = 0.6
-	// firstRest is how long a runner is left out the first time; it doubles up
-	// to longestRest.
-	firstRest   = 500 * time.Millisecond
-	longestRest = 4 * time.Second
-	// steadyFor is how long a runner must have done well since its last rest for the
-	// next to be short again: one that goes down and up every few seconds rests longer
-	// each time, up to longestRest.
-	steadyFor = 10 * time.Second
-	// forgiveIn is the time in which a failure rate without new outcomes falls
-	// to a third.
-	forgiveIn = 4 * time.Second
+	// ejectThreshold is the failure rate at which a runner is ejected.
+	ejectThreshold = 0.6
+	// minCoolDown is how long a runner is ejected the first time. The time doubles with each
+	// ejection, up to maxCoolDown.
+	minCoolDown = 500 * time.Millisecond
+	maxCoolDown = 4 * time.Second
+	// coolDownResetAfter is how long a runner must have succeeded since its last cool-down for the
+	// next one to be short again. A runner that fails and recovers every few seconds is ejected
+	// longer each time, up to maxCoolDown.
+	coolDownResetAfter = 10 * time.Second
+	// failureDecay is the time in which a failure rate without new outcomes decays to a third
+	// (1/e).
+	failureDecay = 4 * time.Second
 )
 
-// refusalsIn is the time in which a refusal rate without new requests falls to a third:
-// about as long as a full queue takes to empty.
-const refusalsIn = time.Second
+// refusalDecay is the time in which a refusal rate without new requests decays to a third (1/e),
+// about as long as a full queue takes to drain.
+const refusalDecay = time.Second
 
-// health is a runner's state by the outcomes of requests.
+// health holds the failure rate, refusal rate, cool-down and latency of a runner, derived from the
+// outcomes of requests.
 type health struct {
-	// refusals is the rate of requests that the runner turned away unrun, as it was at
-	// the time refusedAt.
+	// refusals is the share of requests that the runner refused without running them, as of
+	// refusedAt.
 	refusals  float64
 	refusedAt time.Time
-	// failures is the rate as it was at the time seen.
-	failures float64
-	seen     time.Time
-	rest     time.Duration
-	until    time.Time
-	// latency is the mean time of an answer, in seconds; 0 is unknown.
+	// failures is the share of requests that the runner failed, as of failuresAt.
+	failures     float64
+	failuresAt   time.Time
+	coolDown     time.Duration
+	ejectedUntil time.Time
+	// latency is the mean response time in seconds; 0 is unknown.
 	latency float64
 }
 
-// rate returns the failure rate as it is now.
-func (h *health) rate(now time.Time) float64 {
-	if h.seen.IsZero() {
+// failureRate returns the failure failureRate as it is now.
+func (h *health) failureRate(now time.Time) float64 {
+	if h.failuresAt.IsZero() {
 		return 0
 	}
-	return h.failures * math.Exp(-now.Sub(h.seen).Seconds()/forgiveIn.Seconds())
+	return h.failures * math.Exp(-now.Sub(h.failuresAt).Seconds()/failureDecay.Seconds())
 }
 
-// refusalRate returns the refusal rate as it is now.
+// refusalRate returns the refusal rate at the time now.
 func (h *health) refusalRate(now time.Time) float64 {
 	if h.refusedAt.IsZero() {
 		return 0
 	}
-	return h.refusals * math.Exp(-now.Sub(h.refusedAt).Seconds()/refusalsIn.Seconds())
+	return h.refusals * math.Exp(-now.Sub(h.refusedAt).Seconds()/refusalDecay.Seconds())
 }
 
-// Declined records a request that the runner turned away: it is full, or says so.
+// Declined records a request that the runner refused because it is full or reports to be full.
 func (s *State) Declined(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,54 +69,54 @@
 	h.refusedAt = now
 }
 
-// Refusals returns the share of requests that the runner turned away, the newest
-// counting most; it falls with time.
+// Refusals returns the share of requests that the runner refused. Recent requests count most, and
+// the share decays with time.
 func (s *State) Refusals(now time.Time) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.health.refusalRate(now)
 }
 
-// Failed records a request that the runner failed, or did not answer.
+// Failed records a request that the runner failed or did not respond to.
 func (s *State) Failed(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.own.count(now, true)
+	s.own.add(now, true)
 	h := &s.health
-	h.failures = h.rate(now) + (1-h.rate(now))*failureWeight
-	h.seen = now
-	if h.failures < ejectAbove || now.Before(h.until) {
+	h.failures = h.failureRate(now) + (1-h.failureRate(now))*failureWeight
+	h.failuresAt = now
+	if h.failures < ejectThreshold || now.Before(h.ejectedUntil) {
 		return
 	}
-	h.rest = min(max(2*h.rest, firstRest), longestRest)
-	h.until = now.Add(h.rest)
+	h.coolDown = min(max(2*h.coolDown, minCoolDown), maxCoolDown)
+	h.ejectedUntil = now.Add(h.coolDown)
 }
 
-// Unreachable records that no connection came up: the runner rests at once.
+// Unreachable records that a connection could not be established. The runner is ejected at once.
 func (s *State) Unreachable(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.own.count(now, true)
+	s.own.add(now, true)
 	h := &s.health
-	h.failures = max(h.rate(now), ejectAbove)
-	h.seen = now
-	h.rest = min(max(2*h.rest, firstRest), longestRest)
-	h.until = now.Add(h.rest)
+	h.failures = max(h.failureRate(now), ejectThreshold)
+	h.failuresAt = now
+	h.coolDown = min(max(2*h.coolDown, minCoolDown), maxCoolDown)
+	h.ejectedUntil = now.Add(h.coolDown)
 }
 
-// Answered records a whole answer and how long it took.
+// Answered records a complete response and how long it took.
 func (s *State) Answered(took time.Duration) { s.answered(took, time.Now()) }
 
 func (s *State) answered(took time.Duration, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h := &s.health
-	s.own.count(now, false)
-	h.failures = h.rate(now) * (1 - failureWeight)
-	h.seen = now
+	s.own.add(now, false)
+	h.failures = h.failureRate(now) * (1 - failureWeight)
+	h.failuresAt = now
 	h.refusals *= 1 - failureWeight
-	if h.failures < ejectAbove/2 && now.Sub(h.until) > steadyFor {
-		h.rest = 0
+	if h.failures < ejectThreshold/2 && now.Sub(h.ejectedUntil) > coolDownResetAfter {
+		h.coolDown = 0
 	}
 	if h.latency == 0 {
 		h.latency = took.Seconds()
@@ -123,30 +125,31 @@
 	h.latency += (took.Seconds() - h.latency) * failureWeight
 }
 
-// Resting reports whether the runner is left out for its failures.
+// Resting reports whether the runner is ejected for its failures.
 func (s *State) Resting(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return now.Before(s.health.until)
+	return now.Before(s.health.ejectedUntil)
 }
 
-// Failures returns the share of failed requests, the newest counting most, with
-// what other gateways reported; it falls with time.
+// Failures returns the share of requests that the runner failed, including those that other
+// gateways reported. Recent requests count most, and the share decays with time.
 func (s *State) Failures(now time.Time) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.pooled(now)
+	return s.combinedFailureRate(now)
 }
 
-// Latency returns the mean time of an answer; 0 is unknown.
+// Latency returns the mean response time; 0 is unknown.
 func (s *State) Latency() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return time.Duration(s.health.latency * float64(time.Second))
 }
 
-// Healthy leaves out the resting runners, unless that leaves fewer than half:
-// failures that all have in common are not those of a runner.
+// Healthy returns the runners that are not ejected. If fewer than half of the list would remain, it
+// returns the whole list: failures of that many runners at once have a common cause that is not a
+// single runner.
 func Healthy(list []*State, now time.Time) []*State {
 	out := make([]*State, 0, len(list))
 	for _, s := range list {
--- a/pkg/runners/health_test.go
+++ b/pkg/runners/health_test.go
@@ -7,31 +7,31 @@
 	. "github.com/onsi/gomega"
 )
 
-// A runner that goes down and up earns its way back: each time it rests longer, as long
-// as it has not done well for a while.
-func TestAFlappingRunnerRestsLongerEachTime(t *testing.T) {
+// A runner that fails and recovers repeatedly is ejected longer each time, until it has succeeded
+// for a while.
+func TestFlappingRunnerIsEjectedLongerEachTime(t *testing.T) {
 	g := NewWithT(t)
 	d := directoryOf("r")
 	r, now := d.all["r"], time.Now()
-	var rests []time.Duration
+	var coolDowns []time.Duration
 	for range 4 {
 		r.Unreachable(now)
-		rests = append(rests, r.health.until.Sub(now))
-		now = r.health.until
+		coolDowns = append(coolDowns, r.health.ejectedUntil.Sub(now))
+		now = r.health.ejectedUntil
 		for range 10 {
 			r.answered(10*time.Millisecond, now)
 			now = now.Add(100 * time.Millisecond)
 		}
 	}
-	g.Expect(rests).To(Equal([]time.Duration{firstRest, 2 * firstRest, 4 * firstRest, 8 * firstRest}))
-	now = now.Add(2 * steadyFor)
+	g.Expect(coolDowns).To(Equal([]time.Duration{minCoolDown, 2 * minCoolDown, 4 * minCoolDown, 8 * minCoolDown}))
+	now = now.Add(2 * coolDownResetAfter)
 	r.answered(10*time.Millisecond, now)
 	r.Unreachable(now)
-	g.Expect(r.health.until.Sub(now)).To(Equal(firstRest), "after it did well for long")
+	g.Expect(r.health.ejectedUntil.Sub(now)).To(Equal(minCoolDown), "after it succeeded for longer than coolDownResetAfter")
 }
 
-// Never more than half of a service rests, whatever is seen of its runners.
-func TestNeverMoreThanHalfOfAServiceRests(t *testing.T) {
+// At most half of a service is ejected, whatever the outcomes at its runners are.
+func TestAtMostHalfOfServiceIsEjected(t *testing.T) {
 	g := NewWithT(t)
 	d := directoryOf("a", "b", "c", "d")
 	now := time.Now()
@@ -42,8 +42,8 @@
 	}
 }
 
-// A runner that turns requests away gets dearer with each, and is forgiven in seconds.
-func TestRefusalsRaiseTheRateAndFade(t *testing.T) {
+// Each refusal raises the refusal rate of a runner. The rate decays within seconds.
+func TestRefusalRateRisesWithRefusalsAndDecays(t *testing.T) {
 	g := NewWithT(t)
 	d := directoryOf("a")
 	r, now := d.all["a"], time.Now()
@@ -54,8 +54,8 @@
 		g.Expect(r.Refusals(now)).To(BeNumerically(">", last))
 		last = r.Refusals(now)
 	}
-	g.Expect(r.Failures(now)).To(BeZero(), "a refusal is no failure")
-	g.Expect(r.Refusals(now.Add(5 * refusalsIn))).To(BeNumerically("<", 0.01))
+	g.Expect(r.Failures(now)).To(BeZero(), "a refusal is not a failure")
+	g.Expect(r.Refusals(now.Add(5 * refusalDecay))).To(BeNumerically("<", 0.01))
 	r.answered(time.Millisecond, now)
 	g.Expect(r.Refusals(now)).To(BeNumerically("<", last))
 }
--- a/pkg/runners/outcomes.go
+++ b/pkg/runners/outcomes.go
@@ -6,40 +6,41 @@
 )
 
 const (
-	// fadeIn is the time in which a counted outcome falls to a third.
-	fadeIn = 4 * time.Second
-	// reportTTL is how long what another gateway reported is used.
+	// outcomeDecay is the time in which the count of an outcome decays to a third (1/e).
+	outcomeDecay = 4 * time.Second
+	// reportTTL is how long a report of another gateway is used.
 	reportTTL = 3 * time.Second
-	// ownWeight is how many outcomes of others the own failure rate counts for,
-	// beside the own outcomes behind it.
+	// ownWeight is the base weight of this gateway's own failure rate when it is combined with
+	// reports of other gateways, in outcomes. The number of own outcomes is added to it.
 	ownWeight = 2
-	// otherDomainWeight is what an outcome counts that was seen from another
-	// failure domain: a runner may fail the callers of one domain only.
+	// otherDomainWeight is the weight of an outcome that was observed from another failure domain:
+	// a runner may fail the requests from one domain only.
 	otherDomainWeight = 0.5
-	// suspectFrom is the number of failures from which a runner is reported about,
-	// and reportFrom the number of outcomes.
-	suspectFrom = 0.1
-	reportFrom  = 0.2
+	// suspectThreshold is the number of decayed failures from which a runner is suspect,
+	// reportThreshold the number of decayed outcomes from which the outcomes at a suspect runner
+	// are reported.
+	suspectThreshold = 0.1
+	reportThreshold  = 0.2
 )
 
-// tally counts outcomes; each fades with time.
+// tally counts outcomes; the count of each decays with time.
 type tally struct {
 	failed, total float64
 	at            time.Time
 }
 
-// faded returns the counts as they are at a later time.
-func (t tally) faded(now time.Time) tally {
+// decayed returns the counts decayed to a later time.
+func (t tally) decayed(now time.Time) tally {
 	if t.at.IsZero() || !now.After(t.at) {
 		return t
 	}
-	left := math.Exp(-now.Sub(t.at).Seconds() / fadeIn.Seconds())
+	left := math.Exp(-now.Sub(t.at).Seconds() / outcomeDecay.Seconds())
 	return tally{failed: t.failed * left, total: t.total * left, at: now}
 }
 
-// count adds an outcome.
-func (t *tally) count(now time.Time, failed bool) {
-	*t = t.faded(now)
+// add adds an outcome.
+func (t *tally) add(now time.Time, failed bool) {
+	*t = t.decayed(now)
 	t.at = now
 	t.total++
 	if failed {
@@ -47,36 +48,36 @@
 	}
 }
 
-// Outcome is how many requests one gateway had answered by a runner lately, and
-// how many of them the runner failed; both fade with time.
+// Outcome is how many recent requests of one gateway a runner responded to or failed, and how many
+// of them it failed. Both numbers decay with time.
 type Outcome struct {
 	// Runner is the runner's ID.
 	Runner        string
 	Failed, Total float64
-	// Unusable says that the runner answered the gateway that it is not the one that
-	// was meant, or not in the stage Stage.
+	// Unusable is set if the runner responded to the gateway that it is not the runner that the
+	// call was meant for, or is not in the stage Stage.
 	Unusable bool
 	Stage    Stage
 }
 
-// report is what another gateway reported of a runner.
+// report is what another gateway reported about a runner.
 type report struct {
 	tally
 	sameDomain bool
 }
 
-// Succeeded records a call other than a request that the runner carried out.
+// Succeeded records a call other than a client's request that succeeded.
 func (s *State) Succeeded(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.own.count(now, false)
+	s.own.add(now, false)
 }
 
-// pooled joins the own failure rate with the outcomes at other gateways. The
-// lock is held.
-func (k *knowledge) pooled(now time.Time) float64 {
-	weight := ownWeight + k.own.faded(now).total
-	failed, total := weight*k.health.rate(now), weight
+// combinedFailureRate returns the failure rate of this gateway combined with the outcomes that
+// other gateways reported. The caller holds the lock.
+func (k *sharedState) combinedFailureRate(now time.Time) float64 {
+	weight := ownWeight + k.own.decayed(now).total
+	failed, total := weight*k.health.failureRate(now), weight
 	for _, h := range k.others {
 		if now.Sub(h.at) > reportTTL {
 			continue
@@ -85,39 +86,40 @@
 		if h.sameDomain {
 			w = 1
 		}
-		t := h.faded(now)
+		t := h.decayed(now)
 		failed += w * t.failed
 		total += w * t.total
 	}
 	return failed / total
 }
 
-// suspect reports whether this gateway or another saw the runner fail lately.
-// The caller holds the lock.
-func (k *knowledge) suspect(now time.Time) bool {
-	if k.own.faded(now).failed >= suspectFrom {
+// suspect reports whether this gateway or another one saw the runner fail recently. The caller
+// holds the lock.
+func (k *sharedState) suspect(now time.Time) bool {
+	if k.own.decayed(now).failed >= suspectThreshold {
 		return true
 	}
 	for _, h := range k.others {
-		if now.Sub(h.at) <= reportTTL && h.failed >= suspectFrom {
+		if now.Sub(h.at) <= reportTTL && h.failed >= suspectThreshold {
 			return true
 		}
 	}
 	return false
 }
 
-// Outcomes returns this gateway's outcomes at the runners that failed requests lately,
-// here or elsewhere, and the runners that refused as what their entries say, so that
-// other gateways need not find out by themselves. Reports of others are not passed on.
+// Outcomes returns what this gateway reports to others: its own outcomes at the runners that
+// recently failed requests here or at other gateways, and the runners that refused a call because
+// they are not what their entries say. Other gateways need not run into the same refusals. Reports
+// of others are not passed on.
 func (d *Directory) Outcomes(now time.Time) []Outcome {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	var out []Outcome
 	for id, s := range d.all {
 		s.mu.Lock()
-		t := s.own.faded(now)
+		t := s.own.decayed(now)
 		unusable := s.refusal.own && s.refusal.active(s.Stage, now) && now.Sub(s.refusal.at) <= reportTTL
-		if unusable || t.total >= reportFrom && s.suspect(now) {
+		if unusable || t.total >= reportThreshold && s.suspect(now) {
 			out = append(out, Outcome{Runner: id, Failed: t.failed, Total: t.total, Unusable: unusable, Stage: s.Stage})
 		}
 		s.mu.Unlock()
@@ -125,8 +127,8 @@
 	return out
 }
 
-// ReceiveOutcomes records what another gateway reported; it replaces what that gateway
-// reported of the same runners before. Runners that are not known here are left.
+// ReceiveOutcomes records the outcomes that another gateway reported. They replace what that
+// gateway reported about the same runners before. Unknown runners and invalid counts are ignored.
 func (d *Directory) ReceiveOutcomes(gateway string, sameDomain bool, reported []Outcome, now time.Time) {
 	var unusable []Runner
 	d.mu.RLock()
@@ -145,8 +147,7 @@
 	}
 }
 
-// receive records what one gateway reported, and reports whether the runner is unusable
-// since.
+// receive records a report of one gateway, and reports whether it made the runner unusable.
 func (s *State) receive(gateway string, h report, o Outcome) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/runners/outcomes_test.go
+++ b/pkg/runners/outcomes_test.go
@@ -18,8 +18,8 @@
 	return d
 }
 
-// A gateway that never used a runner believes the others that it fails.
-func TestAGatewayLearnsOfFailuresFromOthers(t *testing.T) {
+// A gateway that never used a runner counts the failures that other gateways report of it.
+func TestFailuresReportedByPeerAreCounted(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	a, b := directoryOf("bad", "good"), directoryOf("bad", "good")
@@ -28,15 +28,15 @@
 		a.all["good"].Succeeded(now)
 	}
 	reported := a.Outcomes(now)
-	g.Expect(reported).To(HaveLen(1), "nothing is reported of a runner that nobody saw fail")
+	g.Expect(reported).To(HaveLen(1), "nothing is reported of a runner without failures")
 	b.ReceiveOutcomes("a", true, reported, now)
 	g.Expect(b.all["bad"].Failures(now)).To(BeNumerically(">", 0.6))
 	g.Expect(b.all["good"].Failures(now)).To(BeZero())
-	g.Expect(b.all["bad"].Failures(now.Add(reportTTL+time.Second))).To(BeZero(), "a report is used for a while")
+	g.Expect(b.all["bad"].Failures(now.Add(reportTTL+time.Second))).To(BeZero(), "a report expires after reportTTL")
 }
 
-// A gateway that was unlucky once is corrected by many that were not.
-func TestOutcomesOfOthersCorrectTheOwn(t *testing.T) {
+// A single failure seen by one gateway is outweighed by many successes at another.
+func TestPeerOutcomesCorrectOwnFailureRate(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	a := directoryOf("r")
@@ -46,8 +46,8 @@
 	g.Expect(a.all["r"].Failures(now)).To(BeNumerically("<", alone/3))
 }
 
-// Once one gateway suspects a runner, those that it serves well report so.
-func TestSuccessesAreToldOfARunnerThatOthersSuspect(t *testing.T) {
+// Once one gateway suspects a runner, the gateways whose requests succeed there report it.
+func TestSuccessesAreReportedForRunnerSuspectedByPeer(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	d := directoryOf("r")
@@ -57,8 +57,8 @@
 	g.Expect(d.Outcomes(now)).To(Equal([]Outcome{{Runner: "r", Failed: 0, Total: 1}}))
 }
 
-// A runner may fail the callers of one failure domain only.
-func TestTheOwnDomainsOutcomesCountMore(t *testing.T) {
+// A runner may fail the requests from one failure domain only.
+func TestOutcomesFromSameDomainWeighMore(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	near, far := directoryOf("r"), directoryOf("r")
@@ -71,9 +71,9 @@
 	g.Expect(far.all["r"].Failures(now)).To(BeNumerically("<", 0.35))
 }
 
-// Whatever happens and is reported, the rate is a share, and reports of failures
-// only never lowers it.
-func TestTheFailureRateIsAShare(t *testing.T) {
+// The failure rate stays between 0 and 1 for any outcomes and reports, and a report that has only
+// failures never lowers it.
+func TestFailureRateStaysBetweenZeroAndOne(t *testing.T) {
 	spectest.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		now := time.Now()
@@ -100,9 +100,9 @@
 	})
 }
 
-// A runner that refused in one stage is used again in another; before, the
-// refusal stayed for the life of the process.
-func TestARefusalEndsWithTheStage(t *testing.T) {
+// Guards against a refusal that outlasts its stage. Before, a runner that refused in one stage
+// stayed unused in every stage for the life of the process.
+func TestRefusalEndsWithStageChange(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	d := NewDirectory("a")
@@ -110,13 +110,13 @@
 	d.all["r"].MarkUnusable(now)
 	g.Expect(d.Usable("s", Decode, now)).To(BeEmpty())
 	d.Put(Runner{ID: "r", Service: "s", Stage: Decode, Slots: 2}, time.Now())
-	g.Expect(d.Usable("s", Decode, now)).To(BeEmpty(), "another entry in the same stage")
+	g.Expect(d.Usable("s", Decode, now)).To(BeEmpty(), "a changed entry with the same stage")
 	d.Put(Runner{ID: "r", Service: "s", Stage: Prefill}, time.Now())
 	g.Expect(d.Usable("s", Prefill, now)).To(HaveLen(1))
 }
 
-// A refusal is taken over by other gateways, unless they know of another stage.
-func TestARefusalIsReported(t *testing.T) {
+// Other gateways apply a reported refusal, unless their entry of the runner has another stage.
+func TestRefusalIsReportedToPeers(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	a, same, newer := NewDirectory("a"), NewDirectory("a"), NewDirectory("a")
@@ -131,15 +131,16 @@
 	same.ReceiveOutcomes("a", true, reported, now)
 	same.ReceiveOutcomes("a", true, reported, now)
 	newer.ReceiveOutcomes("a", true, reported, now)
-	g.Expect(changes).To(Equal([]string{"unusable"}), "a line once")
+	g.Expect(changes).To(Equal([]string{"unusable"}), "one notification for a repeated report")
 	g.Expect(same.Usable("s", Decode, now)).To(BeEmpty())
 	g.Expect(newer.Usable("s", Prefill, now)).To(HaveLen(1))
-	g.Expect(same.Outcomes(now)).To(BeEmpty(), "what was received is not passed on")
+	g.Expect(same.Outcomes(now)).To(BeEmpty(), "received reports are not passed on")
 	g.Expect(a.Outcomes(now.Add(reportTTL + time.Second))).To(BeEmpty())
 }
 
-// Gateways come and go over a runner's life; what they reported does not pile up.
-func TestWhatIsNoLongerBelievedIsForgotten(t *testing.T) {
+// Guards against reports that accumulate in memory while gateways join and leave during the life of
+// a runner.
+func TestExpiredReportsAreSwept(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	d := directoryOf("r")
--- a/pkg/runners/room.go
+++ b/pkg/runners/room.go
@@ -7,54 +7,54 @@
 	"github.com/hopwell/hopwell/pkg/runnerlimit"
 )
 
-// callsPerDecode is how many calls a request takes at an engine that decodes: its reservation and
-// itself. Runners' limits speak of requests; what else they count as one is not known, so all calls
-// count.
+// callsPerDecode is the number of calls that a request makes to a decode engine: its reservation
+// and the request itself. Runners state their rate limits in requests. Which calls they count as
+// requests is not known, so all calls are counted.
 const callsPerDecode = 2
 
-// calls returns how many calls a request takes at the runner.
-func (r *Runner) calls() int {
+// callsPerRequest returns how many calls a request makes to the runner.
+func (r *Runner) callsPerRequest() int {
 	if r.Stage == Decode {
 		return callsPerDecode
 	}
 	return 1
 }
 
-// Observe takes what an answer of the runner says of it.
+// Observe records what a response of the runner reports about the runner.
 func (s *State) Observe(n notice.Notice, now time.Time) {
-	n.Limit.Calls = s.calls()
+	n.Limit.Calls = s.callsPerRequest()
 	s.limits.Observe(s.ID, n.Limit, now)
 	s.notices.Observe(s.ID, n, now)
 	if n.ColdFor > 0 {
-		s.tellCold(n.ColdFor, now)
+		s.extendCold(n.ColdFor, now)
 	}
 }
 
-// Room reports whether the runner may get one more request from this gateway now: one that is cold,
-// names a limit, or had a pause a moment ago, bears less than others.
+// Room reports whether this gateway may send the runner one more request now. A runner that is
+// cold, named a rate limit or was paused a moment ago takes fewer requests than others.
 func (s *State) Room(now time.Time) bool {
 	s.mu.Lock()
 	room := s.coldRoom(now)
 	s.mu.Unlock()
-	return room && s.limits.Room(s.ID, s.calls(), now) && s.notices.Room(s.ID, now)
+	return room && s.limits.Room(s.ID, s.callsPerRequest(), now) && s.notices.Room(s.ID, now)
 }
 
-// Limit returns the limit that the runner names, false for none.
+// Limit returns the rate limit that the runner named, false for none.
 func (s *State) Limit(now time.Time) (runnerlimit.Status, bool) { return s.limits.Of(s.ID, now) }
 
-// RoomAfter returns in what time a runner that names a limit, or had a pause a moment ago, will bear one
-// more request; 0 for now.
+// RoomAfter returns the time until a runner that named a rate limit, or was paused a moment ago,
+// takes one more request; 0 is now.
 func (s *State) RoomAfter(now time.Time) time.Duration {
-	return max(s.limits.After(s.ID, s.calls(), now), s.notices.RoomAfter(s.ID, now))
+	return max(s.limits.After(s.ID, s.callsPerRequest(), now), s.notices.RoomAfter(s.ID, now))
 }
 
-// Claim keeps a place for a request at the runner until it is sent there, and reports whether there
-// is one.
+// Claim claims room at the runner for a request until the request is sent, and reports whether
+// there was room.
 func (s *State) Claim(request string, now time.Time) bool {
 	if !s.claimCold(request, now) {
 		return false
 	}
-	if !s.limits.Claim(s.ID, request, s.calls(), now) {
+	if !s.limits.Claim(s.ID, request, s.callsPerRequest(), now) {
 		s.releaseCold(request)
 		return false
 	}
@@ -72,10 +72,11 @@
 	s.limits.Sent(s.ID, request, now)
 }
 
-// Called records a call that is made to the runner for a request now, or for none.
+// Called records a call that is made to the runner now, with the ID of the request that it belongs
+// to, if any.
 func (s *State) Called(request string, now time.Time) { s.limits.Sent(s.ID, request, now) }
 
-// Release gives up the place of a request that is not sent.
+// Release releases the room that was claimed for a request that is not sent.
 func (s *State) Release(request string) {
 	s.releaseCold(request)
 	s.limits.Release(s.ID, request)
--- a/pkg/runners/runners.go
+++ b/pkg/runners/runners.go
@@ -1,6 +1,6 @@
-// Package runners keeps what a process knows of the runners: where they are, what
-// they serve, and whether they still take work. It learns from the platform's store,
-// from the answers of the runners themselves, and from other gateways.
+// Package runners holds what a process knows about the runners: their addresses, which services
+// they serve, and whether they take new work. The sources are the platform's store, the responses
+// of the runners, and other gateways.
 package runners
 
 import (
@@ -20,30 +20,32 @@
 	Decode  Stage = "decode"
 )
 
-// Runner is one incarnation of a runner. It does not change.
+// Runner is one incarnation of a runner. It is immutable.
 type Runner struct {
-	// ID is unique among all incarnations: what is known, reserved or reported under it ends
-	// with this one.
+	// ID is unique among all incarnations: state, reservations and reports that are kept under an
+	// ID end with its incarnation.
 	ID string
-	// Name is what the runner calls itself. It may start again under the same; empty for ID.
+	// Name is the name that the runner gives itself. A later incarnation may have the same name. If
+	// it is empty, ID is the name.
 	Name    string
 	Service string
 	// Address is IP:PORT.
 	Address string
 	Domain  string
 	Stage   Stage
-	// Slots is the number of requests that it works on at once.
+	// Slots is the number of requests that the runner processes concurrently.
 	Slots int
-	// Leaving says that it takes no more work.
+	// Leaving is set if the runner takes no new work.
 	Leaving bool
-	// Born is when it started, in Unix milliseconds by its own clock; 0 if unknown.
+	// Born is when the incarnation started, in Unix milliseconds by its own clock; 0 is unknown.
 	Born int64
 }
 
-// Entry is what a runner says of itself: which one it is, and what changes while it stays the same.
+// Entry is what a runner publishes about itself: its identity, and what changes during an
+// incarnation.
 type Entry struct {
 	Runner
-	// ColdFor is how much longer it bears less than it will; 0 for a warm one.
+	// ColdFor is how much longer the runner has less than its full capacity; 0 for a warm runner.
 	ColdFor time.Duration
 	// Sequence counts the runner's writes since its start.
 	Sequence float64
@@ -54,56 +56,59 @@
 	return e.Born < other.Born || e.Born == other.Born && e.Sequence < other.Sequence
 }
 
-// goneGrace is how long a runner whose entry has gone may still be chosen. An
-// entry goes also when its runner could not renew it.
+// goneGrace is how long a runner may still be chosen after its entry was removed. An entry is also
+// removed when its runner could not renew it.
 const goneGrace = 1200 * time.Millisecond
 
-// State is a runner with what this process knows of it.
+// State is a runner with what this process knows about it.
 type State struct {
 	Runner
-	*knowledge
+	*sharedState
 }
 
-// knowledge is what stays when a runner's entry changes.
-type knowledge struct {
+// sharedState is the state of an incarnation that is kept when its entry changes. All States of the
+// incarnation share it.
+type sharedState struct {
 	mu sync.Mutex
-	// goneAt is when its entry went; zero while it is there.
+	// goneAt is when the entry was removed; zero while the entry is in the store.
 	goneAt time.Time
-	// refusal is the runner's answer that it is another one, or has another stage.
+	// refusal is the last response of the runner that it is another runner, or in another stage,
+	// than the call was meant for.
 	refusal refusal
-	// leaving is set when its entry says that it takes no more work, also in
-	// states that were handed out before; notices has what its answers say. replaced is set when its
-	// entry is that of a later start: it is no more.
+	// leaving is set when the entry says that the runner takes no new work. States that were
+	// returned before see it too. What responses report is in notices. replaced is set when the
+	// entry is that of a later incarnation: this one has ended.
 	leaving, replaced bool
 	// change is the stage change that the engine was ordered to make.
 	change pendingChange
 	health health
-	// own counts this gateway's outcomes, others those that other gateways
-	// reported, by gateway.
+	// own counts the outcomes at this gateway, others those that other gateways reported, by
+	// gateway.
 	own    tally
 	others map[string]report
-	// outstanding counts this process's requests at it.
+	// outstanding counts this process's open requests at the runner.
 	outstanding int
-	// evacuated are the domains whose runners get no more work.
+	// evacuated holds the failure domains whose runners get no new work.
 	evacuated *evacuations
-	cold      coldness
+	cold      coldState
 	// coldShare is Directory.ColdShare, limits Directory.Limits, notices Directory.Notices.
 	coldShare func(Runner) (share int, bounded bool)
 	limits    *runnerlimit.Table
 	notices   *notice.Table
 }
 
-// unusableFor is how long a runner gets no work that answered that it is another one, or
-// has another stage, than its entry says. The entry of one that is gone lapses within
-// three heartbeats, and that of one that changes its stage shows it within one.
+// unusableFor is how long a runner gets no work after it responded that it is another runner, or in
+// another stage, than its entry says. The entry of a runner that ended expires within three
+// heartbeats. The entry of an engine that changed its stage shows the new stage within one.
 const unusableFor = 10 * time.Second
 
-// refusal is a runner's answer that it is not what was meant; the zero value is none.
+// refusal is a response of a runner that it is not the runner, or not in the stage, that a call was
+// meant for; the zero value is none.
 type refusal struct {
-	// stage is the one that was meant: the answer says nothing against another.
+	// stage is the stage that the call was meant for. The refusal does not apply to another stage.
 	stage Stage
 	at    time.Time
-	// own says that this gateway had the answer; others reported it otherwise.
+	// own is set if this gateway received the response, unset if another gateway reported it.
 	own bool
 }
 
@@ -129,7 +134,7 @@
 	return !s.change.active(now) && s.present(now) && s.notices.PausedFor(s.ID, now) == 0
 }
 
-// present reports whether the runner is there and stays. The caller holds the lock.
+// present reports whether the runner is registered and not about to end. The caller holds the lock.
 func (s *State) present(now time.Time) bool {
 	if s.leaving || s.replaced || s.notices.Leaves(s.ID) || s.evacuated.covers(s.Domain) || s.refusal.active(s.Stage, now) {
 		return false
@@ -137,8 +142,9 @@
 	return s.goneAt.IsZero() || now.Sub(s.goneAt) < goneGrace
 }
 
-// Admits returns why the runner gets no call for a purpose now, nil if it may get one. It is asked right
-// before each call, whatever was known when the runner was chosen.
+// Admits returns why the runner must get no call for a purpose now, nil if it may get one. It is
+// checked right before each call, because the state of the runner may have changed since it was
+// chosen.
 func (s *State) Admits(purpose notice.Purpose, now time.Time) error {
 	s.mu.Lock()
 	leaving := s.leaving
@@ -149,15 +155,15 @@
 	return s.notices.Admits(s.ID, purpose, now)
 }
 
-// MarkUnusable records that the runner itself refused, as the one or in the stage that
-// this state says. A later state of it may have another stage.
+// MarkUnusable records that the runner itself refused a call that was meant for the ID and stage of
+// s. A later State of the runner may have another stage.
 func (s *State) MarkUnusable(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refusal = refusal{stage: s.Stage, at: now, own: true}
 }
 
-// Enter records a request that is sent to the runner, Leave its end.
+// Enter records a request that is sent to the runner, Leave the end of the request.
 func (s *State) Enter() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -171,7 +177,7 @@
 	s.outstanding--
 }
 
-// Outstanding returns this process's requests at the runner.
+// Outstanding returns the number of this process's open requests at the runner.
 func (s *State) Outstanding() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/runners/runners_test.go
+++ b/pkg/runners/runners_test.go
@@ -19,7 +19,7 @@
 	return out
 }
 
-func TestLeavingIsNeverTakenBack(t *testing.T) {
+func TestLeavingIsNeverRevoked(t *testing.T) {
 	spectest.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		d := NewDirectory("a")
@@ -40,7 +40,7 @@
 	})
 }
 
-func TestAnEntryThatComesBackIsUsedAgain(t *testing.T) {
+func TestRunnerIsUsableWhenItsEntryReturns(t *testing.T) {
 	g := NewWithT(t)
 	d := NewDirectory("a")
 	now := time.Now()
@@ -53,7 +53,7 @@
 	g.Expect(ids(d.Usable("s", "", now.Add(2*goneGrace)))).To(Equal([]string{"r"}))
 }
 
-func TestAWholeReadingTellsWhatHasGone(t *testing.T) {
+func TestKeepReportsMissingRunnersOnce(t *testing.T) {
 	g := NewWithT(t)
 	d := NewDirectory("a")
 	now := time.Now()
@@ -68,7 +68,7 @@
 	g.Expect(d.Len()).To(Equal(1))
 }
 
-func TestWhatIsKnownStaysWhenTheEntryChanges(t *testing.T) {
+func TestOutstandingRequestsSurviveEntryChange(t *testing.T) {
 	g := NewWithT(t)
 	d := NewDirectory("a")
 	d.Put(Runner{ID: "r", Service: "s", Stage: Prefill}, time.Now())
@@ -81,7 +81,7 @@
 	g.Expect(now.Outstanding()).To(BeZero())
 }
 
-func TestAStateThatWasHandedOutSeesItsRunnerLeave(t *testing.T) {
+func TestEarlierStateSeesRunnerLeave(t *testing.T) {
 	g := NewWithT(t)
 	d := NewDirectory("a")
 	d.Put(Runner{ID: "r", Service: "s"}, time.Now())
@@ -91,7 +91,7 @@
 	g.Expect(held.Usable(now)).To(BeFalse())
 }
 
-func TestAFailingRunnerRestsAndComesBack(t *testing.T) {
+func TestFailingRunnerIsEjectedAndRecovers(t *testing.T) {
 	g := NewWithT(t)
 	d := NewDirectory("a")
 	for _, id := range []string{"a", "b", "c"} {
@@ -104,11 +104,11 @@
 		bad.Failed(now)
 	}
 	g.Expect(ids(Healthy(all, now))).NotTo(ContainElement(bad.ID))
-	g.Expect(ids(Healthy(all, now.Add(longestRest+time.Second)))).To(ContainElement(bad.ID))
+	g.Expect(ids(Healthy(all, now.Add(maxCoolDown+time.Second)))).To(ContainElement(bad.ID))
 	g.Expect(bad.Failures(now.Add(20 * time.Second))).To(BeNumerically("<", 0.01))
 }
 
-func TestFailuresInCommonLeaveTheRunnersIn(t *testing.T) {
+func TestCommonFailuresEjectNoRunner(t *testing.T) {
 	g := NewWithT(t)
 	d := NewDirectory("a")
 	for _, id := range []string{"a", "b", "c"} {
@@ -121,8 +121,8 @@
 	g.Expect(Healthy(all, now)).To(HaveLen(3))
 }
 
-// Guards against what is known of a runner being kept by its name, and holding for a later start.
-func TestARunnerThatStartsAgainIsAnother(t *testing.T) {
+// Guards against state of a runner that is kept by its name and applied to a later incarnation.
+func TestNewIncarnationInheritsNoState(t *testing.T) {
 	g := NewWithT(t)
 	d := NewDirectory("a")
 	now := time.Now()
@@ -141,7 +141,7 @@
 	g.Expect(second.Outstanding()).To(BeZero())
 	first.Leave()
 	g.Expect(second.Outstanding()).To(BeZero())
-	// What others still report of the first says nothing of the second.
+	// Late reports about the first incarnation do not apply to the second.
 	d.ReceiveOutcomes("other", true, []Outcome{{Runner: "r@1", Failed: 3, Total: 3, Unusable: true, Stage: Decode}}, now)
 	g.Expect(second.Failures(now)).To(BeZero())
 	g.Expect(second.Usable(now)).To(BeTrue())
@@ -152,9 +152,9 @@
 	g.Expect(d.Len()).To(BeZero())
 }
 
-// A runner that started again gets nothing as the one before, at once: there is no grace for an
-// entry that was taken over.
-func TestTheStartBeforeGetsNoMoreWork(t *testing.T) {
+// A replaced incarnation gets no more work at once: an entry that was replaced by a later
+// incarnation has no grace period.
+func TestReplacedIncarnationIsNotUsable(t *testing.T) {
 	g := NewWithT(t)
 	d := NewDirectory("a")
 	now := time.Now()
@@ -164,15 +164,16 @@
 	d.Put(Runner{ID: "r@2", Name: "r", Service: "s", Leaving: true}, now)
 	g.Expect(first.Usable(now)).To(BeFalse())
 	g.Expect(d.Usable("s", "", now)).To(BeEmpty())
-	// A write of the first that was held up is followed by the second's next.
+	// A delayed write of the first incarnation is followed by the next write of the second.
 	d.Put(Runner{ID: "r@1", Name: "r", Service: "s"}, now)
 	d.Put(Runner{ID: "r@2", Name: "r", Service: "s", Leaving: true}, now)
 	g.Expect(d.Usable("s", "", now)).To(BeEmpty())
 }
 
-// Guards against an entry that still says ready, or an answer without the notice, and takes back that a
-// runner leaves; and against a later start under its name that is kept out with it.
-func TestWhatARunnerSaidInAnAnswerOutlastsItsEntry(t *testing.T) {
+// Guards against an entry that still says ready, or a response without the notice, that revokes a
+// runner's announced departure. Also guards against a later incarnation under the same name that
+// gets no work because the first one left.
+func TestLeavingNoticeOutlastsEntry(t *testing.T) {
 	g := NewWithT(t)
 	d := NewDirectory("a")
 	now := time.Now()
@@ -188,13 +189,13 @@
 	d.Sweep(now.Add(2 * forgetAfter))
 	entry.Slots = 3
 	d.Put(entry, now.Add(2*forgetAfter))
-	g.Expect(d.Usable("s", "", now.Add(2*forgetAfter))).To(BeEmpty(), "its entry was away for long")
+	g.Expect(d.Usable("s", "", now.Add(2*forgetAfter))).To(BeEmpty(), "the entry was missing for longer than forgetAfter")
 	d.Put(Runner{ID: "r@2", Name: "r", Service: "s"}, now.Add(2*forgetAfter))
 	g.Expect(ids(d.Usable("s", "", now.Add(2*forgetAfter)))).To(Equal([]string{"r@2"}))
 }
 
-// Guards against a call to a runner that was chosen before it said that it leaves.
-func TestACallIsAskedForAgainRightBeforeItIsMade(t *testing.T) {
+// Guards against a call to a runner that announced its departure after it was chosen.
+func TestAdmitsRejectsRunnerThatLeftSinceItWasChosen(t *testing.T) {
 	g := NewWithT(t)
 	d := NewDirectory("a")
 	now := time.Now()
--- a/pkg/runners/stagechange.go
+++ b/pkg/runners/stagechange.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// StageChange is an engine on its way to another stage. From the order until its
-// entry shows the stage it finishes what it runs and refuses everything else, so
-// it gets no new work.
+// StageChange is a pending change of an engine's stage. From the order until its entry shows the
+// new stage, the engine finishes its running requests and refuses all others, so it gets no new
+// work.
 type StageChange struct {
 	// Runner is the engine's ID.
 	Runner string
 	To     Stage
-	// Left is how much longer the change may take. After that the order counts
-	// as lost, and the engine gets work of its old stage again.
+	// Left is how much longer the change may take. After that the order counts as lost, and the
+	// engine gets work of its old stage again.
 	Left time.Duration
 }
 
@@ -22,8 +22,8 @@
 
 func (c pendingChange) active(now time.Time) bool { return now.Before(c.until) }
 
-// BeginStageChange records that the engine was ordered to another stage, which it
-// will have reached within the limit or not at all.
+// BeginStageChange records that the engine was ordered to change to another stage. It completes the
+// change within the limit or not at all.
 func (s *State) BeginStageChange(to Stage, limit time.Duration, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -37,15 +37,15 @@
 	s.change = pendingChange{}
 }
 
-// Changing returns the stage that the engine is on its way to, false for none.
+// Changing returns the stage that the engine is changing to, false for none.
 func (s *State) Changing(now time.Time) (Stage, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.change.to, s.change.active(now)
 }
 
-// ReceiveStageChanges records what another gateway reported. A change that is known
-// already keeps its limit, so that gateways can't prolong it for each other.
+// ReceiveStageChanges records the stage changes that another gateway reported. A change that is
+// already recorded keeps its deadline, so that gateways can't extend it for each other.
 func (d *Directory) ReceiveStageChanges(changes []StageChange, now time.Time) {
 	var begun []Runner
 	d.mu.RLock()
@@ -60,7 +60,8 @@
 	}
 }
 
-// receiveChange records a reported change, false if it is known or over.
+// receiveChange records a reported change. It returns false if the change is already recorded,
+// completed or expired.
 func (s *State) receiveChange(c StageChange, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/runners/stagechange_test.go
+++ b/pkg/runners/stagechange_test.go
@@ -13,8 +13,8 @@
 	return d
 }
 
-// changesOf is what a gateway would report of the engines on their way.
-func changesOf(d *Directory, now time.Time) []StageChange {
+// pendingChanges returns the stage changes that a gateway would report.
+func pendingChanges(d *Directory, now time.Time) []StageChange {
 	var out []StageChange
 	for id, s := range d.all {
 		if to, changing := s.Changing(now); changing {
@@ -24,41 +24,41 @@
 	return out
 }
 
-// An engine on its way to another stage refuses what has not begun: it gets no new
-// work here, nor at a gateway that was reported, until its entry shows the stage.
-func TestAnEngineOnItsWayGetsNoNewWork(t *testing.T) {
+// An engine that changes its stage refuses requests that have not begun. It gets no new work here,
+// nor at a gateway that received the report, until its entry shows the new stage.
+func TestEngineChangingStageIsNotUsable(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	a, b := engineDirectory("e", Decode), engineDirectory("e", Decode)
 	a.all["e"].BeginStageChange(Prefill, 10*time.Second, now)
-	b.ReceiveStageChanges(changesOf(a, now), now)
+	b.ReceiveStageChanges(pendingChanges(a, now), now)
 	for _, d := range []*Directory{a, b} {
 		g.Expect(d.Usable("s", Decode, now)).To(BeEmpty())
 		g.Expect(d.Present("s", now)).To(HaveLen(1))
 		d.Put(Runner{ID: "e", Service: "s", Stage: Prefill}, time.Now())
 		g.Expect(d.Usable("s", Prefill, now)).To(HaveLen(1))
-		g.Expect(changesOf(d, now)).To(BeEmpty())
+		g.Expect(pendingChanges(d, now)).To(BeEmpty())
 	}
 }
 
-// A lost order must not take an engine out for good, also when gateways go on
+// Guards against a lost order that makes an engine unusable for good because gateways keep
 // reporting it to each other.
-func TestALostOrderTakesAnEngineOutForItsLimitOnly(t *testing.T) {
+func TestLostStageChangeOrderExpires(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	a, b := engineDirectory("e", Decode), engineDirectory("e", Decode)
 	a.all["e"].BeginStageChange(Prefill, time.Second, now)
 	for range 40 {
-		b.ReceiveStageChanges(changesOf(a, now), now.Add(20*time.Millisecond))
-		a.ReceiveStageChanges(changesOf(b, now), now.Add(20*time.Millisecond))
+		b.ReceiveStageChanges(pendingChanges(a, now), now.Add(20*time.Millisecond))
+		a.ReceiveStageChanges(pendingChanges(b, now), now.Add(20*time.Millisecond))
 		now = now.Add(50 * time.Millisecond)
 	}
 	g.Expect(a.Usable("s", Decode, now)).To(HaveLen(1))
 	g.Expect(b.Usable("s", Decode, now)).To(HaveLen(1))
 }
 
-// A report that is older than the engine's entry changes nothing.
-func TestALateReportOfAChangeThatIsDoneIsDropped(t *testing.T) {
+// A report that is older than the entry of the engine is ignored.
+func TestLateReportOfCompletedStageChangeIsIgnored(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	d := engineDirectory("e", Prefill)
@@ -66,7 +66,7 @@
 	g.Expect(d.Usable("s", Prefill, now)).To(HaveLen(1))
 }
 
-func TestARefusedOrderLeavesTheEngineAsItWas(t *testing.T) {
+func TestEngineIsUsableAfterRefusedStageChange(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	d := engineDirectory("e", Decode)
@@ -75,9 +75,9 @@
 	g.Expect(d.Usable("s", Decode, now)).To(HaveLen(1))
 }
 
-// A request that was sent while the engine had its old stage may be refused after the
-// entry shows the new one: that says nothing against the new stage, here or elsewhere.
-func TestALateRefusalInTheOldStageDoesNotBlockTheNew(t *testing.T) {
+// A request that was sent while the engine had its old stage may be refused after the entry shows
+// the new one. The refusal does not apply to the new stage, neither here nor at other gateways.
+func TestLateRefusalInOldStageDoesNotBlockNewStage(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	d := engineDirectory("e", Decode)
@@ -88,9 +88,8 @@
 	g.Expect(d.Outcomes(now)).To(BeEmpty())
 }
 
-// A refusal takes a runner out for a while, not for good: its entry may have been right
-// all the time.
-func TestARefusalInTheEntrysStageIsTriedAgainLater(t *testing.T) {
+// A refusal makes a runner unusable for a limited time: its entry may have been right all along.
+func TestRefusalExpires(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	d := engineDirectory("e", Decode)
--- a/pkg/runners/unavailable.go
+++ b/pkg/runners/unavailable.go
@@ -7,13 +7,13 @@
 	"github.com/hopwell/hopwell/pkg/notice"
 )
 
-// ErrUnavailable reports that all runners of a service that are there leave, or asked for a pause.
+// ErrUnavailable reports that all registered runners of a service and stage are leaving or paused.
 type ErrUnavailable struct {
 	Service string
 	Stage   Stage
-	// Leaving and Paused are how many do what.
+	// Leaving and Paused are the numbers of runners that are leaving and paused.
 	Leaving, Paused int
-	// After is until the first of the pauses ends; 0 if there is none.
+	// After is the time until the first pause ends; 0 if no runner is paused.
 	After time.Duration
 }
 
@@ -23,9 +23,9 @@
 		e.Service, e.Stage, e.Leaving, e.Paused, e.After.Round(time.Millisecond))
 }
 
-// Unavailable returns *ErrUnavailable if all runners of a service and stage that may serve a request
-// leave or pause, nil if one is usable or there is none at all. allows reports whether the request may
-// be served in a failure domain; nil for all.
+// Unavailable returns *ErrUnavailable if all runners of a service and stage that may serve a
+// request are leaving or paused, nil if one is usable or there are none. allows reports whether the
+// request may be served in a failure domain; nil allows all.
 func (d *Directory) Unavailable(service string, stage Stage, allows func(domain string) bool, now time.Time) error {
 	if !d.Notices.Any() {
 		return nil
@@ -46,7 +46,7 @@
 	return e
 }
 
-// count counts a runner that isn't usable.
+// count adds a runner that isn't usable to the number of leaving or paused runners.
 func (e *ErrUnavailable) count(s *State, now time.Time) {
 	switch err := s.Admits(notice.Work, now).(type) {
 	case *notice.ErrLeaving:
--- a/pkg/runners/unavailable_test.go
+++ b/pkg/runners/unavailable_test.go
@@ -9,9 +9,9 @@
 	"github.com/hopwell/hopwell/pkg/notice"
 )
 
-// Guards against a service that counts as unavailable while a runner is left, and against a wait that is
-// told by a pause that ends later than another.
-func TestAServiceIsUnavailableOnlyWhenAllItsRunnersLeaveOrPause(t *testing.T) {
+// Guards against a service that counts as unavailable while one of its runners is usable, and
+// against a wait taken from a pause that ends later than another.
+func TestServiceIsUnavailableOnlyWhenAllRunnersLeaveOrPause(t *testing.T) {
 	g := NewWithT(t)
 	d, now := NewDirectory("a"), time.Now()
 	for _, id := range []string{"a", "b", "c"} {
@@ -29,14 +29,14 @@
 	g.Expect(d.Unavailable("none", "", nil, now)).To(Succeed())
 }
 
-// Guards against a pause that outlives its runner, or one that another start inherits.
-func TestAPauseEndsWithTheStartThatAskedForIt(t *testing.T) {
+// Guards against a pause that outlasts its incarnation or is inherited by the next one.
+func TestPauseEndsWithIncarnation(t *testing.T) {
 	g := NewWithT(t)
 	d, now := NewDirectory("a"), time.Now()
 	d.Put(Runner{ID: "r@1", Name: "r", Service: "s"}, now)
 	d.Find("r@1").Observe(notice.Notice{Refused: true, RetryAfter: time.Minute}, now)
 	g.Expect(d.Usable("s", "", now)).To(BeEmpty())
-	g.Expect(d.Present("s", now)).To(HaveLen(1), "it stays where it is")
+	g.Expect(d.Present("s", now)).To(HaveLen(1), "a paused runner stays registered")
 	later := now.Add(6 * time.Second)
 	d.Put(Runner{ID: "r@2", Name: "r", Service: "s", Born: now.Add(5 * time.Second).UnixMilli()}, later)
 	g.Expect(ids(d.Usable("s", "", later))).To(Equal([]string{"r@2"}))
