--- a/pkg/coldstart/coldstart_test.go
+++ b/pkg/coldstart/coldstart_test.go
@@ -98,18 +98,18 @@
 		g := NewWithT(t)
 		r := rand.New(rand.NewPCG(seed, 7))
 		all := names(10 + r.IntN(60))
-		present := len(all) / 2
+		joined := len(all) / 2
 		known := make([][]string, len(all))
 		sends := make([]sendLog, len(all))
 		var arrivals []time.Duration
 		for now := time.Duration(0); now < 12*time.Second; now += 20 * time.Millisecond {
-			if r.IntN(40) == 0 && present < len(all) {
-				present++ // The new gateway reads all names from the store. The others learn of it later.
-				known[present-1] = knownPeers(all[:present], all[present-1], 1, r)
+			if r.IntN(40) == 0 && joined < len(all) {
+				joined++ // The new gateway reads all names from the store. The others learn of it later.
+				known[joined-1] = knownPeers(all[:joined], all[joined-1], 1, r)
 			}
-			for i := range present {
+			for i := range joined {
 				if known[i] == nil || r.IntN(100) == 0 {
-					known[i] = knownPeers(all[:present], all[i], 0.9, r)
+					known[i] = knownPeers(all[:joined], all[i], 0.9, r)
 				}
 				if sends[i].allow(Share(limit, all[i], known[i], "cold"), now) {
 					arrivals = append(arrivals, now+time.Duration(r.IntN(200))*time.Millisecond)
--- a/pkg/runners/cold_test.go
+++ b/pkg/runners/cold_test.go
@@ -61,9 +61,9 @@
 	d.PutEntry(Entry{Runner: Runner{ID: "b", Domain: "right"}}, now)
 	d.Evacuate("left", now)
 	d.Restore("left", now.Add(time.Minute))
-	back := now.Add(time.Minute + time.Second)
-	g.Expect(d.Find("a").Cold(back)).To(BeTrue())
-	g.Expect(d.Find("b").Cold(back)).To(BeFalse())
+	afterRestore := now.Add(time.Minute + time.Second)
+	g.Expect(d.Find("a").Cold(afterRestore)).To(BeTrue())
+	g.Expect(d.Find("b").Cold(afterRestore)).To(BeFalse())
 	g.Expect(d.Find("a").Cold(now.Add(time.Minute + coldAfterRestore))).To(BeFalse())
 }
 
--- a/pkg/runners/directory.go
+++ b/pkg/runners/directory.go
@@ -75,8 +75,8 @@
 }
 
 // Put records an entry as it is in the store at the time now. A runner that was leaving stays
-// leaving. An incarnation that started again under a name replaces the one before, whichever of
-// them started later by its own clock: the order of the store decides.
+// leaving. A new incarnation replaces the current one of the same name, whichever of them started
+// later by its own clock: the order of the store decides.
 func (d *Directory) Put(r Runner, now time.Time) { d.PutEntry(Entry{Runner: r}, now) }
 
 // PutEntry records an entry with the fields that change during an incarnation; see Put.
@@ -140,11 +140,11 @@
 }
 
 // update applies a changed entry. An entry with another stage ends the pending stage change.
-func (s *sharedState) update(old, now Runner) {
+func (s *sharedState) update(old, updated Runner) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.leaving = now.Leaving
-	if old.Stage != now.Stage {
+	s.leaving = updated.Leaving
+	if old.Stage != updated.Stage {
 		s.change = pendingChange{}
 	}
 }
@@ -196,10 +196,10 @@
 	changed := false
 	for id, s := range d.all {
 		s.mu.Lock()
-		old := !s.goneAt.IsZero() && now.Sub(s.goneAt) > forgetAfter
-		maps.DeleteFunc(s.others, func(_ string, h report) bool { return now.Sub(h.at) > reportTTL })
+		expired := !s.goneAt.IsZero() && now.Sub(s.goneAt) > forgetAfter
+		maps.DeleteFunc(s.others, func(_ string, r report) bool { return now.Sub(r.at) > reportTTL })
 		s.mu.Unlock()
-		if old {
+		if expired {
 			delete(d.all, id)
 			if d.current[s.name()] == s {
 				delete(d.current, s.name())
@@ -291,8 +291,8 @@
 	return d.current[name]
 }
 
-// Present returns the runners of a service that are registered and not about to end, including
-// engines that are changing their stage.
+// Present returns the runners of a service that are registered and not leaving, replaced, evacuated
+// or refusing calls, including engines that are changing their stage and paused runners.
 func (d *Directory) Present(service string, now time.Time) []*State {
 	services, _ := d.lists()
 	list := services[service]
--- a/pkg/runners/evacuation.go
+++ b/pkg/runners/evacuation.go
@@ -13,7 +13,7 @@
 type evacuations struct {
 	mu      sync.RWMutex
 	domains map[string]bool
-	// restored is when a domain was last restored, by domain.
+	// restored is when each domain was last restored.
 	restored map[string]time.Time
 }
 
@@ -93,7 +93,7 @@
 	return restored
 }
 
-// RestoredSince reports whether a domain was last restored after a time.
+// RestoredSince reports whether a domain was last restored after the time since.
 func (d *Directory) RestoredSince(domain string, since time.Time) bool {
 	return d.evacuated.restoredAt(domain).After(since)
 }
--- a/pkg/runners/evacuation_test.go
+++ b/pkg/runners/evacuation_test.go
@@ -18,7 +18,7 @@
 	}
 	put("a", "left", Decode)
 	put("b", "right", Decode)
-	held := d.Find("a")
+	earlier := d.Find("a")
 	g.Expect(d.Evacuate("left", now)).To(BeTrue())
 	g.Expect(d.Evacuate("left", now)).To(BeFalse(), "already evacuated")
 	put("c", "left", Decode) // Registers there after the evacuation.
@@ -28,7 +28,7 @@
 			g.Expect(s.Domain).To(Equal("right"))
 		}
 	}
-	g.Expect(held.Usable(now)).To(BeFalse(), "a State that was returned before the evacuation")
+	g.Expect(earlier.Usable(now)).To(BeFalse(), "a State that was returned before the evacuation")
 	g.Expect(d.Present("s", now)).To(HaveLen(1), "stage planning leaves out the evacuated domain")
 	g.Expect(d.Evacuated()).To(Equal([]string{"left"}))
 
--- a/pkg/runners/health.go
+++ b/pkg/runners/health.go
@@ -44,7 +44,7 @@
 	latency float64
 }
 
-// failureRate returns the failure failureRate as it is now.
+// failureRate returns the failure rate at the time now.
 func (h *health) failureRate(now time.Time) float64 {
 	if h.failuresAt.IsZero() {
 		return 0
@@ -60,7 +60,7 @@
 	return h.refusals * math.Exp(-now.Sub(h.refusedAt).Seconds()/refusalDecay.Seconds())
 }
 
-// Declined records a request that the runner refused because it is full or reports to be full.
+// Declined records a request that the runner refused because it is full or reports that it is.
 func (s *State) Declined(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -148,7 +148,7 @@
 }
 
 // Healthy returns the runners that are not ejected. If fewer than half of the list would remain, it
-// returns the whole list: failures of that many runners at once have a common cause that is not a
+// returns the whole list, because failures of that many runners at once have a cause outside the
 // single runner.
 func Healthy(list []*State, now time.Time) []*State {
 	out := make([]*State, 0, len(list))
--- a/pkg/runners/health_test.go
+++ b/pkg/runners/health_test.go
@@ -30,15 +30,15 @@
 	g.Expect(r.health.ejectedUntil.Sub(now)).To(Equal(minCoolDown), "after it succeeded for longer than coolDownResetAfter")
 }
 
-// At most half of a service is ejected, whatever the outcomes at its runners are.
+// At most half of a service's runners are ejected at a time, whatever their outcomes are.
 func TestAtMostHalfOfServiceIsEjected(t *testing.T) {
 	g := NewWithT(t)
 	d := directoryOf("a", "b", "c", "d")
 	now := time.Now()
 	for i, id := range []string{"a", "b", "c", "d"} {
 		d.all[id].Unreachable(now)
-		left := len(Healthy(d.All("s"), now))
-		g.Expect(left).To(Equal([]int{3, 2, 4, 4}[i]), "with %d unreachable", i+1)
+		healthy := len(Healthy(d.All("s"), now))
+		g.Expect(healthy).To(Equal([]int{3, 2, 4, 4}[i]), "with %d unreachable", i+1)
 	}
 }
 
--- a/pkg/runners/outcomes.go
+++ b/pkg/runners/outcomes.go
@@ -10,8 +10,8 @@
 	outcomeDecay = 4 * time.Second
 	// reportTTL is how long a report of another gateway is used.
 	reportTTL = 3 * time.Second
-	// ownWeight is the base weight of this gateway's own failure rate when it is combined with
-	// reports of other gateways, in outcomes. The number of own outcomes is added to it.
+	// ownWeight is added to the number of this gateway's own outcomes. The sum is the weight of its
+	// own failure rate, in outcomes, when that is combined with reports of other gateways.
 	ownWeight = 2
 	// otherDomainWeight is the weight of an outcome that was observed from another failure domain:
 	// a runner may fail the requests from one domain only.
@@ -34,8 +34,8 @@
 	if t.at.IsZero() || !now.After(t.at) {
 		return t
 	}
-	left := math.Exp(-now.Sub(t.at).Seconds() / outcomeDecay.Seconds())
-	return tally{failed: t.failed * left, total: t.total * left, at: now}
+	factor := math.Exp(-now.Sub(t.at).Seconds() / outcomeDecay.Seconds())
+	return tally{failed: t.failed * factor, total: t.total * factor, at: now}
 }
 
 // add adds an outcome.
@@ -48,8 +48,8 @@
 	}
 }
 
-// Outcome is how many recent requests of one gateway a runner responded to or failed, and how many
-// of them it failed. Both numbers decay with time.
+// Outcome counts the recent requests of one gateway that a runner completed or failed, and those
+// that it failed. Both numbers decay with time.
 type Outcome struct {
 	// Runner is the runner's ID.
 	Runner        string
@@ -75,18 +75,18 @@
 
 // combinedFailureRate returns the failure rate of this gateway combined with the outcomes that
 // other gateways reported. The caller holds the lock.
-func (k *sharedState) combinedFailureRate(now time.Time) float64 {
-	weight := ownWeight + k.own.decayed(now).total
-	failed, total := weight*k.health.failureRate(now), weight
-	for _, h := range k.others {
-		if now.Sub(h.at) > reportTTL {
+func (s *sharedState) combinedFailureRate(now time.Time) float64 {
+	weight := ownWeight + s.own.decayed(now).total
+	failed, total := weight*s.health.failureRate(now), weight
+	for _, r := range s.others {
+		if now.Sub(r.at) > reportTTL {
 			continue
 		}
 		w := otherDomainWeight
-		if h.sameDomain {
+		if r.sameDomain {
 			w = 1
 		}
-		t := h.decayed(now)
+		t := r.decayed(now)
 		failed += w * t.failed
 		total += w * t.total
 	}
@@ -95,12 +95,12 @@
 
 // suspect reports whether this gateway or another one saw the runner fail recently. The caller
 // holds the lock.
-func (k *sharedState) suspect(now time.Time) bool {
-	if k.own.decayed(now).failed >= suspectThreshold {
+func (s *sharedState) suspect(now time.Time) bool {
+	if s.own.decayed(now).failed >= suspectThreshold {
 		return true
 	}
-	for _, h := range k.others {
-		if now.Sub(h.at) <= reportTTL && h.failed >= suspectThreshold {
+	for _, r := range s.others {
+		if now.Sub(r.at) <= reportTTL && r.failed >= suspectThreshold {
 			return true
 		}
 	}
@@ -148,16 +148,16 @@
 }
 
 // receive records a report of one gateway, and reports whether it made the runner unusable.
-func (s *State) receive(gateway string, h report, o Outcome) bool {
+func (s *State) receive(gateway string, r report, o Outcome) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.others == nil {
 		s.others = map[string]report{}
 	}
-	s.others[gateway] = h
-	if !o.Unusable || o.Stage != s.Stage || s.refusal.active(s.Stage, h.at) {
+	s.others[gateway] = r
+	if !o.Unusable || o.Stage != s.Stage || s.refusal.active(s.Stage, r.at) {
 		return false
 	}
-	s.refusal = refusal{stage: o.Stage, at: h.at}
+	s.refusal = refusal{stage: o.Stage, at: r.at}
 	return true
 }
--- a/pkg/runners/runners.go
+++ b/pkg/runners/runners.go
@@ -134,7 +134,8 @@
 	return !s.change.active(now) && s.present(now) && s.notices.PausedFor(s.ID, now) == 0
 }
 
-// present reports whether the runner is registered and not about to end. The caller holds the lock.
+// present reports whether the runner is registered and not leaving, replaced, evacuated or refusing
+// calls. The caller holds the lock.
 func (s *State) present(now time.Time) bool {
 	if s.leaving || s.replaced || s.notices.Leaves(s.ID) || s.evacuated.covers(s.Domain) || s.refusal.active(s.Stage, now) {
 		return false
--- a/pkg/runners/runners_test.go
+++ b/pkg/runners/runners_test.go
@@ -75,10 +75,10 @@
 	old := d.Usable("s", Prefill, time.Now())[0]
 	old.Enter()
 	d.Put(Runner{ID: "r", Service: "s", Stage: Decode}, time.Now())
-	now := d.Usable("s", Decode, time.Now())[0]
-	g.Expect(now.Outstanding()).To(Equal(1))
+	current := d.Usable("s", Decode, time.Now())[0]
+	g.Expect(current.Outstanding()).To(Equal(1))
 	old.Leave()
-	g.Expect(now.Outstanding()).To(BeZero())
+	g.Expect(current.Outstanding()).To(BeZero())
 }
 
 func TestEarlierStateSeesRunnerLeave(t *testing.T) {
@@ -86,9 +86,9 @@
 	d := NewDirectory("a")
 	d.Put(Runner{ID: "r", Service: "s"}, time.Now())
 	now := time.Now()
-	held := d.Usable("s", "", now)[0]
+	earlier := d.Usable("s", "", now)[0]
 	d.Put(Runner{ID: "r", Service: "s", Leaving: true}, time.Now())
-	g.Expect(held.Usable(now)).To(BeFalse())
+	g.Expect(earlier.Usable(now)).To(BeFalse())
 }
 
 func TestFailingRunnerIsEjectedAndRecovers(t *testing.T) {
--- a/pkg/runners/stagechange.go
+++ b/pkg/runners/stagechange.go
@@ -65,8 +65,8 @@
 func (s *State) receiveChange(c StageChange, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	known := s.change.active(now) && s.change.to == c.To
-	if known || s.Stage == c.To || c.Left <= 0 {
+	recorded := s.change.active(now) && s.change.to == c.To
+	if recorded || s.Stage == c.To || c.Left <= 0 {
 		return false
 	}
 	s.change = pendingChange{to: c.To, until: now.Add(c.Left)}
--- a/pkg/runners/unavailable_test.go
+++ b/pkg/runners/unavailable_test.go
@@ -21,8 +21,8 @@
 	d.Find("a").Observe(notice.Notice{Refused: true, RetryAfter: 3 * time.Second}, now)
 	d.Find("b").Observe(notice.Notice{Refused: true, RetryAfter: time.Second}, now)
 	g.Expect(d.Unavailable("s", "", nil, now)).To(Succeed())
-	left := func(domain string) bool { return domain != "c" }
-	g.Expect(d.Unavailable("s", "", left, now)).To(MatchError(&ErrUnavailable{Service: "s", Paused: 2, After: time.Second}))
+	exceptC := func(domain string) bool { return domain != "c" }
+	g.Expect(d.Unavailable("s", "", exceptC, now)).To(MatchError(&ErrUnavailable{Service: "s", Paused: 2, After: time.Second}))
 	d.Find("c").Observe(notice.Notice{Leaving: true}, now)
 	g.Expect(d.Unavailable("s", "", nil, now)).To(MatchError(&ErrUnavailable{Service: "s", Paused: 2, Leaving: 1, After: time.Second}))
 	g.Expect(d.Unavailable("s", "", nil, now.Add(time.Second))).To(Succeed())
