--- a/pkg/notice/incarnation.go
+++ b/pkg/notice/incarnation.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// entryLag bounds the time from the start of a runner until its entry shows it.
+// entryLag bounds the time from the start of an incarnation until the list of runners shows it.
 const entryLag = 2 * time.Second
 
 // Incarnation is one start of a runner.
 type Incarnation struct {
 	ID string
-	// Began is when it started, by the runner's clock.
+	// Began is the start time on the runner's clock.
 	Began time.Time
 }
 
-// Replace records that a runner has started again. Responses of the new incarnation were attributed to the old
-// one until its entry was read, so a pause that may stem from the new one is kept for it.
+// Replace records that a runner has restarted as a new incarnation. Until the runner's entry is read,
+// responses of the new incarnation are attributed to the old one, so a pause that the new incarnation may
+// have asked for is moved to it.
 func (t *Table) Replace(runner string, by Incarnation, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -25,15 +26,15 @@
 	t.successors[runner] = by
 	if p := t.pauses[runner]; p != nil {
 		delete(t.pauses, runner)
-		if p.active(now) && (!p.last.Before(by.Began) || now.Sub(p.last) <= entryLag) {
+		if p.active(now) && (!p.lastAsked.Before(by.Began) || now.Sub(p.lastAsked) <= entryLag) {
 			t.pauses[by.ID] = p
 		}
 	}
-	t.settle()
+	t.updateNonEmpty()
 }
 
-// respondent returns the incarnation that responded to a call sent to one of a runner's incarnations. The
-// caller holds the lock.
+// respondent returns the incarnation that responded to a call: the newest one that had started when the call
+// was sent. The caller holds the lock.
 func (t *Table) respondent(runner string, sent time.Time) string {
 	for {
 		by, replaced := t.successors[runner]
--- a/pkg/notice/notice.go
+++ b/pkg/notice/notice.go
@@ -1,9 +1,9 @@
-// Package notice keeps what runners say of themselves in the answers that they give: that they leave,
-// and that they want no calls for a while. Nothing here does I/O; the time is passed in.
+// Package notice stores what runners report of themselves in their responses: that they are leaving, and that
+// they want no calls for some time (a pause). The package does no I/O; callers pass in the time.
 //
-// Everything is kept by start: a runner that starts again under its name has said nothing yet. That a
-// start leaves is a fact for all gateways and is never taken back. A pause binds the gateway that
-// was asked for it.
+// Notices are stored per incarnation: a restarted runner begins without any. That an incarnation is leaving
+// holds for all gateways and is never revoked. A pause applies only to the gateway that the runner asked for
+// it.
 package notice
 
 import (
@@ -13,65 +13,67 @@
 	"github.com/hopwell/hopwell/pkg/runnerlimit"
 )
 
-// Notice is what one answer says of the runner that gave it.
+// Notice is what one response reports of the runner that sent it.
 type Notice struct {
-	// Limit is what it says of the requests that the runner takes.
+	// Limit is what the response reports of the runner's rate limit.
 	Limit runnerlimit.Statement
-	// Leaving says that the runner takes no more work. LeavesIn is in what time it ends, where Ends says
-	// that it told so.
+	// Leaving is set if the runner accepts no more work. LeavesIn is the time until the runner ends, valid if
+	// Ends is set.
 	Leaving  bool
 	Ends     bool
 	LeavesIn time.Duration
-	// Refused says that the runner turned the call away, RetryAfter after what time it wants the next
-	// one; 0 if it doesn't say.
+	// Refused is set if the runner refused the call. RetryAfter is the time until the runner wants the next
+	// one; 0 if the response doesn't specify it.
 	Refused    bool
 	RetryAfter time.Duration
-	// ColdFor is how much longer the runner bears less than it will; 0 if it says nothing of it.
+	// ColdFor is the remaining time until the runner can take its full load; 0 if the response doesn't report
+	// it.
 	ColdFor time.Duration
-	// Sent is when the call was sent that the answer belongs to, Accepted whether that was work
-	// and the runner took it.
+	// Sent is the time at which the call was sent. Accepted is set if the call was work and the runner
+	// accepted it.
 	Sent     time.Time
 	Accepted bool
-	// Unknown are the names of headers that look like notices and are none that is known.
+	// Unknown lists the headers that look like notices but are not recognized.
 	Unknown []string
 }
 
 const (
-	// longestPause bounds a pause that a runner is believed to ask for: a longer one is a mistake, and
-	// would keep the runner out for good.
-	longestPause = time.Hour
-	// leaveSoon is how long before its end a runner gets no more work: longer than requests take.
-	leaveSoon = 30 * time.Second
+	// maxPause bounds the pause that a runner can ask for. A longer one is a mistake and would exclude the
+	// runner permanently.
+	maxPause = time.Hour
+	// leavingLeadTime is how long before its end a runner stops getting work. It is longer than requests
+	// take.
+	leavingLeadTime = 30 * time.Second
 )
 
-// pause returns how long the runner wants no call from this gateway; 0 for none.
+// pause returns the length of the pause that the runner asked this gateway for; 0 for none.
 func (n *Notice) pause() time.Duration {
 	if !n.Refused {
 		return 0
 	}
-	return min(n.RetryAfter, longestPause)
+	return min(n.RetryAfter, maxPause)
 }
 
-// leaves reports whether the runner gets no more work.
-func (n *Notice) leaves() bool { return n.Leaving || n.Ends && n.LeavesIn <= leaveSoon }
+// leaves reports whether the runner is leaving, or ends so soon that it gets no more work.
+func (n *Notice) leaves() bool { return n.Leaving || n.Ends && n.LeavesIn <= leavingLeadTime }
 
-// Purpose is what a call to a runner is for.
+// Purpose is the purpose of a call to a runner.
 type Purpose uint8
 
 // The purposes.
 const (
-	// Work is what the runner has to do something for: requests, prompts, reservations, orders.
+	// Work is a call that loads the runner: a request, a prompt, a reservation or an order.
 	Work Purpose = iota + 1
-	// Upkeep is what gives back, or asks for what the runner knows.
+	// Upkeep is a call that releases something or queries the runner's state.
 	Upkeep
 )
 
-// ErrLeaving reports that a runner leaves and takes no more work. Nothing was sent.
+// ErrLeaving reports that a call was not sent because the runner is leaving and accepts no more work.
 type ErrLeaving struct {
 	Runner string
-	// From is the gateway that had the answer that says so; empty for this one.
+	// From is the gateway that received the runner's notice; empty for this gateway.
 	From string
-	// Known is how long that has been known here.
+	// Known is the time since this gateway learned that the runner is leaving.
 	Known time.Duration
 }
 
@@ -80,10 +82,10 @@
 	return fmt.Sprintf("runner is leaving: runner=%s told_by=%q known_for=%s", e.Runner, e.From, e.Known.Round(time.Millisecond))
 }
 
-// ErrPaused reports that a runner asked for no calls for a time that isn't over. Nothing was sent.
+// ErrPaused reports that a call was not sent because the runner asked for a pause that is not over.
 type ErrPaused struct {
 	Runner string
-	// Left is how long the pause still lasts.
+	// Left is the remaining time of the pause.
 	Left time.Duration
 }
 
@@ -92,7 +94,7 @@
 	return fmt.Sprintf("runner asked for a pause: runner=%s left=%s", e.Runner, e.Left.Round(time.Millisecond))
 }
 
-// What a change is about.
+// The values of Change.What.
 const (
 	Leaving     = "leaving"
 	PauseBegins = "pause_begins"
@@ -100,26 +102,28 @@
 	Unknown     = "unknown"
 )
 
-// Change is what was learned of a runner.
+// Change reports a new notice of a runner or the end of a pause.
 type Change struct {
 	Runner string
 	// What is Leaving, PauseBegins, PauseEnds or Unknown.
 	What string
-	// From is the gateway that reported it; empty for an answer to this one.
+	// From is the gateway that reported the change; empty if this gateway received the response.
 	From string
-	// For is how long the pause is, or was; Asked is how many answers asked for it.
+	// For is the length of the pause: as first asked for when it begins, in total when it ends. Asked is the
+	// number of responses that asked for it.
 	For   time.Duration
 	Asked int
-	// Header is the name of an unknown header.
+	// Header is the name of an unrecognized header.
 	Header string
 }
 
-// Withheld is a runner that gets no work for what it said.
+// Withheld is a runner that gets no work because it is leaving or paused.
 type Withheld struct {
 	Runner string
-	// Leaving says that it leaves, From which gateway had the answer, empty for this one.
+	// Leaving is set if the runner is leaving. From is the gateway that received its notice; empty for this
+	// gateway.
 	Leaving bool
 	From    string
-	// Known is how long that has been known here, Left how much longer a pause lasts.
+	// Known is the time since this gateway learned of the notice. Left is the remaining time of a pause.
 	Known, Left time.Duration
 }
--- a/pkg/notice/notice_test.go
+++ b/pkg/notice/notice_test.go
@@ -17,8 +17,9 @@
 
 func asksFor(length time.Duration) Notice { return Notice{Refused: true, RetryAfter: length} }
 
-// Guards against a notice that a later answer or reading takes back, or that outlives its start.
-func TestLeavingIsKeptByStartAndNeverTakenBack(t *testing.T) {
+// Guards against a leaving notice that a later response or read of the runners revokes, or that applies to
+// the next incarnation.
+func TestLeavingIsPerIncarnationAndPermanent(t *testing.T) {
 	g := NewWithT(t)
 	table := New()
 	table.Observe("a@1", Notice{Leaving: true}, at(0))
@@ -27,23 +28,23 @@
 	table.Sweep(at(100))
 	var leaving *ErrLeaving
 	g.Expect(table.Admits("a@1", Work, at(100))).To(BeAssignableToTypeOf(leaving))
-	g.Expect(table.Admits("a@1", Upkeep, at(100))).To(Succeed(), "what was reserved there can be given back")
+	g.Expect(table.Admits("a@1", Upkeep, at(100))).To(Succeed(), "reservations can still be released")
 	g.Expect(table.Admits("a@2", Work, at(100))).To(Succeed())
-	table.Sweep(at(0).Add(2 * rememberLeaving))
+	table.Sweep(at(0).Add(2 * leavingRetention))
 	g.Expect(table.Leaves("a@1")).To(BeFalse())
 }
 
-// Guards against requests in a pause that a runner asked for right after it had started again: its answer was
-// taken for one of the start before, with which the pause was forgotten.
-func TestAPauseIsThatOfTheStartThatAskedForIt(t *testing.T) {
+// Guards against requests during a pause that a runner asked for right after a restart. Its response was
+// attributed to the previous incarnation, and the pause was dropped together with that.
+func TestPauseBelongsToIncarnationThatAsked(t *testing.T) {
 	for name, c := range map[string]struct {
 		asked, began, learned float64
 		kept                  bool
 	}{
-		"asked by the later start":                    {asked: 10.07, began: 10, learned: 10.19, kept: true},
-		"asked by it long before its entry showed it": {asked: 11, began: 10, learned: 14, kept: true},
-		"asked by it, whose clock is ahead":           {asked: 10.07, began: 40, learned: 10.19, kept: true},
-		"asked by the start before":                   {asked: 8, began: 10, learned: 10.19, kept: false},
+		"asked by the new incarnation":                           {asked: 10.07, began: 10, learned: 10.19, kept: true},
+		"asked by the new incarnation long before it was listed": {asked: 11, began: 10, learned: 14, kept: true},
+		"asked by the new incarnation, whose clock is ahead":     {asked: 10.07, began: 40, learned: 10.19, kept: true},
+		"asked by the previous incarnation":                      {asked: 8, began: 10, learned: 10.19, kept: false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -57,13 +58,14 @@
 	table := New()
 	table.Replace("a@1", Incarnation{ID: "a@2", Began: at(10)}, at(11))
 	table.Observe("a@1", Notice{Refused: true, RetryAfter: time.Second, Sent: at(9)}, at(11))
-	g.Expect(table.Admits("a@2", Work, at(11.1))).To(Succeed(), "an answer of the start before comes late")
+	g.Expect(table.Admits("a@2", Work, at(11.1))).To(Succeed(), "a late response of the previous incarnation")
 	table.Observe("a@1", Notice{Refused: true, RetryAfter: time.Second, Sent: at(10.9)}, at(11.2))
-	g.Expect(table.Admits("a@2", Work, at(11.3))).NotTo(Succeed(), "the call was under way when the entry showed it")
+	g.Expect(table.Admits("a@2", Work, at(11.3))).NotTo(Succeed(), "the call was in progress when the new incarnation was listed")
 }
 
-// Guards against incarnations that succeed each other, as where a restored store lists an older one for a while.
-func TestAnOlderIncarnationThatIsListedAgainIsNotItsOwnSuccessor(t *testing.T) {
+// Guards against a cycle of successors, which arises when a restored store lists an older incarnation for a
+// while.
+func TestRelistedIncarnationIsNotItsOwnSuccessor(t *testing.T) {
 	g := NewWithT(t)
 	table := New()
 	table.Replace("a@1", Incarnation{ID: "a@2", Began: at(10)}, at(10))
@@ -72,8 +74,8 @@
 	g.Expect(table.Admits("a@1", Work, at(21.1))).NotTo(Succeed())
 }
 
-// Guards against a pause that ends early because a later answer named a shorter one.
-func TestTheLatestEndOfSeveralPausesHolds(t *testing.T) {
+// Guards against a pause that ends early because a later response asked for a shorter one.
+func TestOverlappingPausesEndAtLatestEnd(t *testing.T) {
 	spectest.Check(t, func(t *rapid.T) {
 		table := New()
 		until, now := time.Time{}, at(0)
@@ -89,7 +91,7 @@
 			}
 			for _, purpose := range []Purpose{Work, Upkeep} {
 				if table.Admits("a", purpose, until.Add(-1)) == nil {
-					t.Fatal("a call is admitted in the pause")
+					t.Fatal("a call is admitted during the pause")
 				}
 				if err := table.Admits("a", purpose, until); err != nil {
 					t.Fatal(err)
@@ -99,8 +101,8 @@
 	})
 }
 
-// Guards against the whole load coming back to a runner at the end of its pause.
-func TestAfterAPauseRequestsComeBackByDoubling(t *testing.T) {
+// Guards against the full load returning to a runner at the end of its pause.
+func TestSlowStartDoublesWindowAfterPause(t *testing.T) {
 	g := NewWithT(t)
 	table := New()
 	table.Observe("a", asksFor(2*time.Second), at(0))
@@ -119,42 +121,42 @@
 		}
 	}
 	for i := range 100 {
-		g.Expect(table.Claim("a", fmt.Sprint("open", i), at(3))).To(BeTrue(), "no bound is left")
+		g.Expect(table.Claim("a", fmt.Sprint("open", i), at(3))).To(BeTrue(), "the bound is lifted")
 	}
 }
 
-// Guards against a runner that stays out after its pause because a request there ended without a trace.
-func TestTheSlowStartForgetsRequestsThatNeverEnd(t *testing.T) {
+// Guards against a runner that stays excluded after its pause because a request was never released.
+func TestSlowStartExpiresUnreleasedClaims(t *testing.T) {
 	g := NewWithT(t)
 	table := New()
 	table.Observe("a", asksFor(time.Second), at(0))
 	g.Expect(table.Claim("a", "lost", at(1))).To(BeTrue())
 	g.Expect(table.Room("a", at(1.1))).To(BeFalse())
 	table.Observe("a", Notice{Accepted: true, Sent: at(0.9)}, at(1.3))
-	g.Expect(table.Room("a", at(1.3))).To(BeFalse(), "it was sent before the pause was over")
-	g.Expect(table.Room("a", at(1).Add(unsentFor))).To(BeTrue())
+	g.Expect(table.Room("a", at(1.3))).To(BeFalse(), "the accepted request was sent before the end of the pause")
+	g.Expect(table.Room("a", at(1).Add(claimTimeout))).To(BeTrue())
 }
 
-// Guards against a slow start that goes on although the runner asked again.
-func TestARefusalInTheSlowStartBeginsAnotherPause(t *testing.T) {
+// Guards against a slow start that continues although the runner asked for another pause.
+func TestRefusalInSlowStartBeginsNewPause(t *testing.T) {
 	g := NewWithT(t)
 	table := New()
-	var told []string
-	table.Changed = func(c Change) { told = append(told, fmt.Sprintf("%s %s %d", c.What, c.For, c.Asked)) }
+	var reported []string
+	table.Changed = func(c Change) { reported = append(reported, fmt.Sprintf("%s %s %d", c.What, c.For, c.Asked)) }
 	table.Observe("a", asksFor(time.Second), at(0))
 	table.Observe("a", asksFor(2*time.Second), at(0.5))
 	table.Observe("a", asksFor(time.Second), at(3))
 	g.Expect(table.PausedFor("a", at(3.5))).To(Equal(500 * time.Millisecond))
 	table.Sweep(at(4))
 	table.Sweep(at(5))
-	g.Expect(told).To(Equal([]string{"pause_begins 1s 1", "pause_ends 2.5s 2", "pause_begins 1s 1", "pause_ends 1s 1"}))
-	table.Sweep(at(4).Add(2 * startFor))
-	g.Expect(table.Room("a", at(4).Add(2*startFor))).To(BeTrue())
-	g.Expect(table.some.Load()).To(BeFalse())
+	g.Expect(reported).To(Equal([]string{"pause_begins 1s 1", "pause_ends 2.5s 2", "pause_begins 1s 1", "pause_ends 1s 1"}))
+	table.Sweep(at(4).Add(2 * slowStartTimeout))
+	g.Expect(table.Room("a", at(4).Add(2*slowStartTimeout))).To(BeTrue())
+	g.Expect(table.nonEmpty.Load()).To(BeFalse())
 }
 
-// Guards against a report that is dropped because the receiver does not know the runner yet.
-func TestReportsOfOtherGatewaysHoldForStartsThatAreNotKnownYet(t *testing.T) {
+// Guards against dropping a report because the receiver doesn't know the runner yet.
+func TestReceiveKeepsReportsOfUnknownIncarnations(t *testing.T) {
 	g := NewWithT(t)
 	table := New()
 	table.Receive("front-2", []string{"b", "a"}, at(0))
@@ -167,8 +169,8 @@
 	g.Expect(table.Withheld(time.Minute, at(3))).To(HaveLen(3))
 }
 
-// Guards against memory that grows with what runners, or somebody in their place, say.
-func TestWhatIsRememberedIsBounded(t *testing.T) {
+// Guards against memory that grows with the notices of runners, or of senders that impersonate them.
+func TestTableSizeIsBounded(t *testing.T) {
 	g := NewWithT(t)
 	table := New()
 	headers := 0
@@ -185,11 +187,11 @@
 	for i := range 100 {
 		table.Observe("a", Notice{Unknown: []string{fmt.Sprintf("Server-%d", i%50)}}, at(0))
 	}
-	g.Expect(headers).To(Equal(maxUnknown))
+	g.Expect(headers).To(Equal(maxUnknownHeaders))
 }
 
-// Guards against a slow start that runs into the same refusals again and again.
-func TestAfterARefusalTheWindowDoublesOnlyToHalfOfWhatWasTooMuch(t *testing.T) {
+// Guards against a slow start that runs into the same refusals repeatedly.
+func TestWindowDoublesToHalfOfRefusedWindow(t *testing.T) {
 	g := NewWithT(t)
 	table := New()
 	claim := func(now time.Time) (n int) {
@@ -220,19 +222,19 @@
 		windows = append(windows, n)
 		accept(n, now)
 	}
-	g.Expect(windows).To(Equal([]int{1, 2, 4, 5, 6}), "doubling to half of eight, then one at a time")
+	g.Expect(windows).To(Equal([]int{1, 2, 4, 5, 6}), "doubles up to half of 8, then grows by one")
 }
 
-// Guards against a pause that is taken from an answer that turned nothing away, or believed for ever, and
-// against an end that a runner tells and nobody heeds.
-func TestWhatANoticeMeans(t *testing.T) {
+// Guards against a pause from a response that refused nothing, an unbounded pause, and an announced end that
+// is ignored.
+func TestNoticePauseAndLeaving(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect((&Notice{RetryAfter: time.Second}).pause()).To(BeZero())
 	g.Expect((&Notice{Refused: true, RetryAfter: time.Second}).pause()).To(Equal(time.Second))
 	g.Expect((&Notice{Refused: true, RetryAfter: 900 * time.Second}).pause()).To(Equal(15 * time.Minute))
-	g.Expect((&Notice{Refused: true, RetryAfter: 24 * time.Hour}).pause()).To(Equal(longestPause))
+	g.Expect((&Notice{Refused: true, RetryAfter: 24 * time.Hour}).pause()).To(Equal(maxPause))
 	g.Expect((&Notice{}).leaves()).To(BeFalse())
 	g.Expect((&Notice{Leaving: true}).leaves()).To(BeTrue())
-	g.Expect((&Notice{Ends: true, LeavesIn: leaveSoon}).leaves()).To(BeTrue())
+	g.Expect((&Notice{Ends: true, LeavesIn: leavingLeadTime}).leaves()).To(BeTrue())
 	g.Expect((&Notice{Ends: true, LeavesIn: time.Hour}).leaves()).To(BeFalse())
 }
--- a/pkg/notice/pause.go
+++ b/pkg/notice/pause.go
@@ -3,52 +3,53 @@
 import "time"
 
 const (
-	// firstWindow is how many requests a runner gets at once from this gateway after a pause, lastWindow
-	// the number from which there is no bound any more.
-	firstWindow = 1
-	lastWindow  = 16
-	// thresholdPart is the part of the requests at once that the runner turned away, up to which their
-	// number doubles after the next pause.
-	thresholdPart = 0.5
-	// unsentFor bounds how long a place in the window is kept for a request that doesn't give it up.
-	unsentFor = 5 * time.Second
-	// answerTime is about how long a runner takes to answer one of the first requests after a pause.
-	answerTime = 10 * time.Millisecond
-	// startFor bounds the slow start of a runner that gets no requests.
-	startFor = time.Minute
+	// initialWindow is the number of concurrent requests that this gateway may send to a runner after a
+	// pause. The bound is lifted when the window exceeds maxWindow.
+	initialWindow = 1
+	maxWindow     = 16
+	// thresholdFactor sets how far the window doubles after the next pause: to this factor times the number
+	// of concurrent requests at which the runner refused one.
+	thresholdFactor = 0.5
+	// claimTimeout bounds how long a request that doesn't release its place in the window keeps it.
+	claimTimeout = 5 * time.Second
+	// responseTime is about how long a runner takes to respond to one of the first requests after a pause.
+	responseTime = 10 * time.Millisecond
+	// slowStartTimeout bounds the slow start of a runner that gets no requests.
+	slowStartTimeout = time.Minute
 )
 
-// pause is one that a runner asked for, and the slow start after it.
+// pause is a pause that a runner asked for, and the slow start after it.
 type pause struct {
-	// last is when it was requested last.
-	since, until, last time.Time
-	asked              int
-	// ended is set once the end was reported to Changed.
-	ended bool
-	// window bounds the requests at once after the pause, claims are those, by request. The window
-	// doubles in the time of an answer up to threshold, and grows by one beyond.
+	// since and until are the begin and end of the pause. lastAsked is when the runner last asked for it,
+	// asked the number of responses that did.
+	since, until, lastAsked time.Time
+	asked                   int
+	// endReported is set once the end of the pause was reported to Table.Changed.
+	endReported bool
+	// window bounds the concurrent requests after the pause, claims holds the time of each request's claim.
+	// Per response time, the window doubles up to threshold and grows by one beyond it.
 	window, threshold float64
 	claims            map[string]time.Time
 }
 
 func newPause(now time.Time) *pause {
-	return &pause{since: now, until: now, window: firstWindow, threshold: lastWindow, claims: map[string]time.Time{}}
+	return &pause{since: now, until: now, window: initialWindow, threshold: maxWindow, claims: map[string]time.Time{}}
 }
 
-// extend records an answer that asks for a pause. The latest end holds.
+// extend records a response that asks for a pause. The latest end applies.
 func (p *pause) extend(length time.Duration, now time.Time) {
-	p.asked, p.last = p.asked+1, now
+	p.asked, p.lastAsked = p.asked+1, now
 	if until := now.Add(length); until.After(p.until) {
 		p.until = until
 	}
 }
 
-// follow takes over from the pause before what its slow start found out: the requests at once that were
-// too many.
-func (p *pause) follow(before *pause) {
+// inherit takes over the claims and threshold of the previous pause. If requests were open, the threshold is
+// derived from their number, which was too high for the runner.
+func (p *pause) inherit(before *pause) {
 	p.claims, p.threshold = before.claims, before.threshold
 	if len(p.claims) > 0 {
-		p.threshold = max(firstWindow, thresholdPart*float64(len(p.claims)))
+		p.threshold = max(initialWindow, thresholdFactor*float64(len(p.claims)))
 	}
 }
 
@@ -61,15 +62,15 @@
 	}
 	open := 0
 	for _, at := range p.claims {
-		if now.Sub(at) < unsentFor {
+		if now.Sub(at) < claimTimeout {
 			open++
 		}
 	}
 	return float64(open) < p.window
 }
 
-// accepted records that the runner took work that was sent at a time, and reports whether the slow
-// start is over.
+// accepted records that the runner accepted work sent at the given time, and reports whether the slow start
+// is over.
 func (p *pause) accepted(sent time.Time) bool {
 	if sent.Before(p.until) {
 		return false
@@ -79,5 +80,5 @@
 	} else {
 		p.window += 1 / p.window
 	}
-	return p.window > lastWindow
+	return p.window > maxWindow
 }
--- a/pkg/notice/simulation_test.go
+++ b/pkg/notice/simulation_test.go
@@ -9,29 +9,29 @@
 	. "github.com/onsi/gomega"
 )
 
-// simulation is gateways before runners of one service that turn away what they have no slot for, and ask
-// for a pause with it. Time goes in steps.
+// simulation models gateways and the runners of one service. A runner without a free slot refuses a request
+// and asks for a pause. Time advances in steps.
 type simulation struct {
 	random   *rand.Rand
 	gateways []*Table
-	runners  []*simulated
-	// slowStart is false where a runner is used without a bound after its pause.
+	runners  []*simRunner
+	// slowStart is false if the gateways send without a bound after a pause.
 	slowStart bool
 	now       time.Time
 	serial    int
-	// waiting are the times at which refused clients come back.
-	waiting map[time.Time]int
+	// retries is the number of refused clients that retry, by time.
+	retries map[time.Time]int
 
 	served, shed, refused int
 }
 
-// simulated is a runner: the requests that it runs, by when they end.
-type simulated struct {
-	name string
-	runs []run
+// simRunner is a runner with the requests that it runs.
+type simRunner struct {
+	name    string
+	running []simRequest
 }
 
-type run struct {
+type simRequest struct {
 	gateway int
 	request string
 	sent    time.Time
@@ -42,30 +42,30 @@
 	simStep    = time.Millisecond
 	simSlots   = 6
 	simService = 50 * time.Millisecond
-	simAsks    = time.Second
-	// simGiveUp is the part of clients that are refused and do not come back.
-	simGiveUp = 0.5
+	simPause   = time.Second
+	// simGiveUpFraction is the fraction of refused clients that don't retry.
+	simGiveUpFraction = 0.5
 )
 
 func newSimulation(gateways, runners int, slowStart bool) *simulation {
-	s := &simulation{random: rand.New(rand.NewPCG(1, 2)), slowStart: slowStart, now: at(0), waiting: map[time.Time]int{}}
+	s := &simulation{random: rand.New(rand.NewPCG(1, 2)), slowStart: slowStart, now: at(0), retries: map[time.Time]int{}}
 	for range gateways {
 		s.gateways = append(s.gateways, New())
 	}
 	for i := range runners {
-		s.runners = append(s.runners, &simulated{name: fmt.Sprint("r", i)})
+		s.runners = append(s.runners, &simRunner{name: fmt.Sprint("r", i)})
 	}
 	return s
 }
 
-// play lets requests come at a rate for a time.
-func (s *simulation) play(perSecond float64, lasts time.Duration) {
+// advance runs the simulation for a time, with requests arriving at a rate.
+func (s *simulation) advance(perSecond float64, lasts time.Duration) {
 	for end := s.now.Add(lasts); s.now.Before(end); s.now = s.now.Add(simStep) {
 		for _, r := range s.runners {
 			s.finish(r)
 		}
-		arrivals := s.waiting[s.now]
-		delete(s.waiting, s.now)
+		arrivals := s.retries[s.now]
+		delete(s.retries, s.now)
 		if s.random.Float64() < perSecond*simStep.Seconds() {
 			arrivals++
 		}
@@ -75,9 +75,9 @@
 	}
 }
 
-func (s *simulation) finish(r *simulated) {
-	left := r.runs[:0]
-	for _, x := range r.runs {
+func (s *simulation) finish(r *simRunner) {
+	left := r.running[:0]
+	for _, x := range r.running {
 		if s.now.Before(x.ends) {
 			left = append(left, x)
 			continue
@@ -86,37 +86,38 @@
 		s.gateways[x.gateway].Release(r.name, x.request)
 		s.gateways[x.gateway].Observe(r.name, Notice{Accepted: true, Sent: x.sent}, s.now)
 	}
-	r.runs = left
+	r.running = left
 }
 
-// arrive sends a request to the least loaded runner that its gateway may use, and retries it at others
-// after a refusal.
+// arrive sends a request to the least loaded runner that its gateway may use, and retries it at others after
+// a refusal.
 func (s *simulation) arrive(gateway int) {
 	s.serial++
 	request, table := fmt.Sprint(s.serial), s.gateways[gateway]
-	tried := map[*simulated]bool{}
+	tried := map[*simRunner]bool{}
 	for range 3 {
 		best := s.choose(table, tried)
 		if best == nil || s.slowStart && !table.Claim(best.name, request, s.now) {
 			break
 		}
 		tried[best] = true
-		if len(best.runs) < simSlots {
-			best.runs = append(best.runs, run{gateway, request, s.now, s.now.Add(simService)})
+		if len(best.running) < simSlots {
+			best.running = append(best.running, simRequest{gateway, request, s.now, s.now.Add(simService)})
 			return
 		}
 		s.shed++
 		table.Release(best.name, request)
-		table.Observe(best.name, asksFor(simAsks), s.now)
+		table.Observe(best.name, asksFor(simPause), s.now)
 	}
 	s.refused++
-	if s.random.Float64() >= simGiveUp {
-		s.comeBack(table)
+	if s.random.Float64() >= simGiveUpFraction {
+		s.scheduleRetry(table)
 	}
 }
 
-// comeBack has a client return after the first pause, or up to a quarter later.
-func (s *simulation) comeBack(table *Table) {
+// scheduleRetry schedules a client's retry for the earliest end of a pause, or up to a quarter of the wait
+// later.
+func (s *simulation) scheduleRetry(table *Table) {
 	after := 300 * time.Millisecond
 	for i, r := range s.runners {
 		if left := table.PausedFor(r.name, s.now); i == 0 || left < after {
@@ -124,19 +125,20 @@
 		}
 	}
 	after += time.Duration(s.random.Int64N(int64(after)/4 + 1))
-	s.waiting[s.now.Add(after.Truncate(simStep))]++
+	s.retries[s.now.Add(after.Truncate(simStep))]++
 }
 
-// choose returns the runner with the least work of this gateway's, which does not see that of others.
-func (s *simulation) choose(table *Table, tried map[*simulated]bool) *simulated {
-	var best *simulated
+// choose returns the runner with the fewest requests of this gateway, which doesn't see those of other
+// gateways.
+func (s *simulation) choose(table *Table, tried map[*simRunner]bool) *simRunner {
+	var best *simRunner
 	least := 0
 	for _, r := range s.runners {
 		if tried[r] || table.PausedFor(r.name, s.now) > 0 || s.slowStart && !table.Room(r.name, s.now) {
 			continue
 		}
 		own := 0
-		for _, x := range r.runs {
+		for _, x := range r.running {
 			if s.gateways[x.gateway] == table {
 				own++
 			}
@@ -148,8 +150,8 @@
 	return best
 }
 
-// Guards against a return after a pause that has the runner turn away more than a slow one, or serves less.
-func TestASlowStartIsTurnedAwayLessAndServesAsMuch(t *testing.T) {
+// Guards against a slow start after which runners refuse more requests, or serve fewer, than without one.
+func TestSlowStartAddsNoRefusalsAndKeepsThroughput(t *testing.T) {
 	for _, gateways := range []int{4, 30} {
 		for _, load := range []float64{0.7, 1, 1.5, 3} {
 			t.Run(fmt.Sprintf("%d gateways, load %g", gateways, load), func(t *testing.T) {
@@ -157,9 +159,9 @@
 				capacity := 3 * simSlots / simService.Seconds()
 				slow, full := newSimulation(gateways, 3, true), newSimulation(gateways, 3, false)
 				for _, s := range []*simulation{slow, full} {
-					s.play(load*capacity, 20*time.Second)
+					s.advance(load*capacity, 20*time.Second)
 				}
-				t.Logf("slow start: served %d, turned away %d, refused %d; at once: %d, %d, %d",
+				t.Logf("slow start: served %d, refused by runners %d, refused to clients %d; without: %d, %d, %d",
 					slow.served, slow.shed, slow.refused, full.served, full.shed, full.refused)
 				g.Expect(slow.served).To(BeNumerically(">", full.served*19/20))
 				g.Expect(slow.shed).To(BeNumerically("<=", full.shed*21/20))
--- a/pkg/notice/table.go
+++ b/pkg/notice/table.go
@@ -10,72 +10,74 @@
 )
 
 const (
-	// rememberLeaving is how long it is kept that a start leaves: longer than an outage of the store
-	// in which its entry can go, or return as it was.
-	rememberLeaving = time.Hour
-	// maxLeaving bounds the starts that are kept as leaving: the oldest are dropped.
+	// leavingRetention is how long a leaving incarnation is remembered: longer than a store outage, in which
+	// its entry can disappear or reappear unchanged.
+	leavingRetention = time.Hour
+	// maxLeaving bounds the number of leaving incarnations that are remembered. The oldest are dropped.
 	maxLeaving = 4096
-	// maxUnknown bounds the names of unknown headers that are reported to Changed.
-	maxUnknown = 16
-	// maxName bounds such a name, in bytes.
-	maxName = 64
+	// maxUnknownHeaders bounds the number of unknown header names that are reported to Changed.
+	maxUnknownHeaders = 16
+	// maxHeaderName bounds the length of such a name in bytes.
+	maxHeaderName = 64
 )
 
-// announcement is what is known of a start that leaves.
+// announcement records that an incarnation is leaving.
 type announcement struct {
 	at time.Time
-	// from is the gateway that reported it; empty for an own answer.
+	// from is the gateway that reported it; empty if this gateway received the response.
 	from string
 }
 
-// Table is what all runners said. It is safe for concurrent use.
+// Table holds the notices of all runners. It is safe for concurrent use.
 type Table struct {
-	// Changed is called, without locks, after a change. It is set before the table is used; nil for
-	// nobody.
+	// Changed is called after each change, without locks held. It must be set before the table is used; nil
+	// disables it.
 	Changed func(Change)
 
-	// some is set while anything is known: most of the time nothing is.
-	some atomic.Bool
+	// nonEmpty is set while leaving or pauses has entries. Most of the time neither has, and methods return
+	// without locking.
+	nonEmpty atomic.Bool
 
 	mu      sync.RWMutex
 	leaving map[string]announcement
 	pauses  map[string]*pause
 	unknown map[string]bool
-	// successors are the next incarnations of runners, by the ID of the incarnation before.
+	// successors maps the ID of an incarnation to the next incarnation of the same runner.
 	successors map[string]Incarnation
 }
 
-// New returns a table that knows nothing.
+// New returns an empty table.
 func New() *Table {
 	return &Table{leaving: map[string]announcement{}, pauses: map[string]*pause{}, unknown: map[string]bool{}, successors: map[string]Incarnation{}}
 }
 
-// Observe takes what an answer of a start of a runner says.
+// Observe records the notice in a response to a call that was sent to the incarnation with the ID runner.
 func (t *Table) Observe(runner string, n Notice, now time.Time) {
 	leaves, length := n.leaves(), n.pause()
-	if !leaves && length <= 0 && len(n.Unknown) == 0 && !(n.Accepted && t.some.Load()) {
+	if !leaves && length <= 0 && len(n.Unknown) == 0 && !(n.Accepted && t.nonEmpty.Load()) {
 		return
 	}
 	var changes []Change
 	t.mu.Lock()
 	runner = t.respondent(runner, n.Sent)
-	if leaves && t.learn(runner, announcement{at: now}) {
+	if leaves && t.addLeaving(runner, announcement{at: now}) {
 		changes = append(changes, Change{Runner: runner, What: Leaving})
 	}
 	if length > 0 {
-		changes = append(changes, t.pause(runner, length, now)...)
+		changes = append(changes, t.recordPause(runner, length, now)...)
 	} else if p := t.pauses[runner]; p != nil && n.Accepted && p.accepted(n.Sent) {
-		changes = append(changes, t.end(runner, p)...)
+		changes = append(changes, t.endChange(runner, p)...)
 		delete(t.pauses, runner)
 	}
 	changes = append(changes, t.unknownHeaders(runner, n.Unknown)...)
-	t.settle()
+	t.updateNonEmpty()
 	t.mu.Unlock()
 	t.notify(changes)
 }
 
-// learn records that a start leaves, and reports whether that is news. The caller holds the lock.
-func (t *Table) learn(runner string, a announcement) bool {
+// addLeaving records that an incarnation is leaving, and reports whether that is new. The caller holds the
+// lock.
+func (t *Table) addLeaving(runner string, a announcement) bool {
 	if _, known := t.leaving[runner]; known {
 		return false
 	}
@@ -89,8 +91,8 @@
 	return true
 }
 
-// pause records that a runner asks for a pause. The caller holds the lock.
-func (t *Table) pause(runner string, length time.Duration, now time.Time) []Change {
+// recordPause records that a runner asked for a pause. The caller holds the lock.
+func (t *Table) recordPause(runner string, length time.Duration, now time.Time) []Change {
 	before := t.pauses[runner]
 	if before != nil && before.active(now) {
 		before.extend(length, now)
@@ -99,29 +101,30 @@
 	var changes []Change
 	p := newPause(now)
 	if before != nil {
-		changes = t.end(runner, before)
-		p.follow(before)
+		changes = t.endChange(runner, before)
+		p.inherit(before)
 	}
 	p.extend(length, now)
 	t.pauses[runner] = p
 	return append(changes, Change{Runner: runner, What: PauseBegins, For: length, Asked: p.asked})
 }
 
-// end returns the change for a pause that is over, or nothing if it was reported before.
-func (t *Table) end(runner string, p *pause) []Change {
-	if p.ended {
+// endChange returns the change for a pause that is over, or nil if it was returned before.
+func (t *Table) endChange(runner string, p *pause) []Change {
+	if p.endReported {
 		return nil
 	}
-	p.ended = true
+	p.endReported = true
 	return []Change{{Runner: runner, What: PauseEnds, For: p.until.Sub(p.since), Asked: p.asked}}
 }
 
-// unknownHeaders returns the names that were not seen before. The caller holds the lock.
+// unknownHeaders returns the changes for header names that were not reported before. The caller holds the
+// lock.
 func (t *Table) unknownHeaders(runner string, names []string) []Change {
 	var changes []Change
 	for _, name := range names {
-		name = name[:min(len(name), maxName)]
-		if len(t.unknown) < maxUnknown && !t.unknown[name] {
+		name = name[:min(len(name), maxHeaderName)]
+		if len(t.unknown) < maxUnknownHeaders && !t.unknown[name] {
 			t.unknown[name] = true
 			changes = append(changes, Change{Runner: runner, What: Unknown, Header: name})
 		}
@@ -129,16 +132,16 @@
 	return changes
 }
 
-// settle notes whether anything is known. The caller holds the lock.
-func (t *Table) settle() { t.some.Store(len(t.leaving)+len(t.pauses) > 0) }
+// updateNonEmpty updates nonEmpty after a change of leaving or pauses. The caller holds the lock.
+func (t *Table) updateNonEmpty() { t.nonEmpty.Store(len(t.leaving)+len(t.pauses) > 0) }
 
-// Any reports whether anything is known of any runner.
-func (t *Table) Any() bool { return t.some.Load() }
+// Any reports whether any runner is leaving, paused or in a slow start.
+func (t *Table) Any() bool { return t.nonEmpty.Load() }
 
-// Admits returns why a start of a runner gets no call for a purpose now: *ErrLeaving or *ErrPaused;
-// nil if it may get one. Calls of upkeep go to runners that leave.
+// Admits returns nil if an incarnation may be sent a call for a purpose now, else *ErrLeaving or *ErrPaused.
+// Calls for Upkeep are sent to leaving runners too.
 func (t *Table) Admits(runner string, purpose Purpose, now time.Time) error {
-	if !t.some.Load() {
+	if !t.nonEmpty.Load() {
 		return nil
 	}
 	t.mu.RLock()
@@ -152,9 +155,9 @@
 	return nil
 }
 
-// Leaves reports whether a start of a runner was said to leave.
+// Leaves reports whether an incarnation is known to be leaving.
 func (t *Table) Leaves(runner string) bool {
-	if !t.some.Load() {
+	if !t.nonEmpty.Load() {
 		return false
 	}
 	t.mu.RLock()
@@ -163,9 +166,9 @@
 	return leaves
 }
 
-// PausedFor returns how much longer a pause of a runner lasts; 0 for none.
+// PausedFor returns the remaining time of a runner's pause; 0 for none.
 func (t *Table) PausedFor(runner string, now time.Time) time.Duration {
-	if !t.some.Load() {
+	if !t.nonEmpty.Load() {
 		return 0
 	}
 	t.mu.RLock()
@@ -176,9 +179,10 @@
 	return 0
 }
 
-// Room reports whether a runner that had a pause may get one more request from this gateway.
+// Room reports whether this gateway may send one more request to a runner, which may be paused or in a slow
+// start.
 func (t *Table) Room(runner string, now time.Time) bool {
-	if !t.some.Load() {
+	if !t.nonEmpty.Load() {
 		return true
 	}
 	t.mu.RLock()
@@ -187,17 +191,18 @@
 	return p == nil || p.room(now)
 }
 
-// RoomAfter returns after what time it is worth asking again whether a runner has room; 0 if it has.
+// RoomAfter returns the time after which to call Room again for a runner; 0 if there is room now.
 func (t *Table) RoomAfter(runner string, now time.Time) time.Duration {
 	if t.Room(runner, now) {
 		return 0
 	}
-	return max(t.PausedFor(runner, now), answerTime)
+	return max(t.PausedFor(runner, now), responseTime)
 }
 
-// Claim keeps a place for a request in the slow start of a runner, and reports whether there is one.
+// Claim reserves a place for a request in the slow start window of a runner, and reports whether one was
+// free.
 func (t *Table) Claim(runner, request string, now time.Time) bool {
-	if !t.some.Load() {
+	if !t.nonEmpty.Load() {
 		return true
 	}
 	t.mu.Lock()
@@ -213,9 +218,9 @@
 	return true
 }
 
-// Release gives up the place of a request.
+// Release releases the place of a request.
 func (t *Table) Release(runner, request string) {
-	if !t.some.Load() {
+	if !t.nonEmpty.Load() {
 		return
 	}
 	t.mu.Lock()
@@ -225,23 +230,24 @@
 	}
 }
 
-// Receive takes the starts that another gateway reported to leave, known here or not yet.
+// Receive records the leaving incarnations that another gateway reported, also those that this gateway
+// doesn't know yet.
 func (t *Table) Receive(gateway string, leaving []string, now time.Time) {
 	var changes []Change
 	t.mu.Lock()
 	for _, runner := range leaving {
-		if runner != "" && t.learn(runner, announcement{at: now, from: gateway}) {
+		if runner != "" && t.addLeaving(runner, announcement{at: now, from: gateway}) {
 			changes = append(changes, Change{Runner: runner, What: Leaving, From: gateway})
 		}
 	}
-	t.settle()
+	t.updateNonEmpty()
 	t.mu.Unlock()
 	t.notify(changes)
 }
 
-// Leaving returns the starts that leave and were learned of within a time, the latest first.
+// Leaving returns the leaving incarnations that this gateway learned of within the given time, latest first.
 func (t *Table) Leaving(within time.Duration, now time.Time) []string {
-	if !t.some.Load() {
+	if !t.nonEmpty.Load() {
 		return nil
 	}
 	t.mu.RLock()
@@ -261,7 +267,7 @@
 // Withheld returns the runners that are paused or leaving, sorted by name. Leaving runners are included
 // for a limited time after their notice was received.
 func (t *Table) Withheld(within time.Duration, now time.Time) []Withheld {
-	if !t.some.Load() {
+	if !t.nonEmpty.Load() {
 		return nil
 	}
 	t.mu.RLock()
@@ -282,24 +288,24 @@
 	return out
 }
 
-// Sweep tells of pauses that are over, and drops what is remembered no longer.
+// Sweep reports pauses that are over, and removes expired notices.
 func (t *Table) Sweep(now time.Time) {
-	if !t.some.Load() {
+	if !t.nonEmpty.Load() {
 		return
 	}
 	var changes []Change
 	t.mu.Lock()
-	maps.DeleteFunc(t.leaving, func(_ string, a announcement) bool { return now.Sub(a.at) > rememberLeaving })
+	maps.DeleteFunc(t.leaving, func(_ string, a announcement) bool { return now.Sub(a.at) > leavingRetention })
 	for runner, p := range t.pauses {
 		if p.active(now) {
 			continue
 		}
-		changes = append(changes, t.end(runner, p)...)
-		if now.Sub(p.until) > startFor {
+		changes = append(changes, t.endChange(runner, p)...)
+		if now.Sub(p.until) > slowStartTimeout {
 			delete(t.pauses, runner)
 		}
 	}
-	t.settle()
+	t.updateNonEmpty()
 	t.mu.Unlock()
 	t.notify(changes)
 }
--- a/pkg/runnerlimit/limit.go
+++ b/pkg/runnerlimit/limit.go
@@ -6,104 +6,107 @@
 )
 
 const (
-	// burst is the time in which a bucket fills: what is not used is kept no longer. leastBurst is
-	// the least that it holds, in calls: those that one request takes.
-	burst      = time.Second
-	leastBurst = 2
-	// leastRate is what a runner gets a second however little it names, so that its answers can
-	// name another limit, or none.
-	leastRate = 0.1
-	// settle is the time in which the other users hear of a call.
-	settle = 150 * time.Millisecond
-	// unsentFor bounds how long calls are kept for a request that doesn't make them.
-	unsentFor = 5 * time.Second
+	// fillTime is the time in which an empty bucket fills; unused calls are kept no longer. minCapacity is
+	// the least capacity of a bucket in calls: the number that one request takes.
+	fillTime    = time.Second
+	minCapacity = 2
+	// minRate is the rate in calls per second that a runner gets even if it names a lower one, so that its
+	// responses can name another limit, or none.
+	minRate = 0.1
+	// propagationTime is the time in which the other users of a limit learn of a call.
+	propagationTime = 150 * time.Millisecond
+	// claimTimeout bounds how long calls are reserved for a request that doesn't make them.
+	claimTimeout = 5 * time.Second
 )
 
-// limit is that of one start of a runner, with the bucket in which all calls to it are counted.
+// limit is the rate limit of one incarnation of a runner, with the token bucket that counts all calls to it.
 type limit struct {
 	perSecond float64
 	kind      Kind
 	calls     int
-	// began is when this gateway learned of it, namedAt when it was named last, from whose answer
-	// did; empty for an own one.
-	began, namedAt time.Time
-	from           string
-	// over is set when an answer did not name it any more, to a call of the time endedAt.
-	over    bool
+	// learnedAt is when this gateway learned of the limit. namedAt is when a response last named it, from the
+	// gateway that received that response; empty for this gateway.
+	learnedAt, namedAt time.Time
+	from               string
+	// ended is set when the response to a call sent at endedAt no longer named the limit.
+	ended   bool
 	endedAt time.Time
-	// logged and spread are what Changed and the other gateways were told last.
-	logged, spread float64
+	// loggedRate and broadcastRate are the rates last reported to Changed and last marked to be sent to all
+	// gateways.
+	loggedRate, broadcastRate float64
 
-	// level is the calls that are left for all users, as of the time filled.
-	level  float64
-	filled time.Time
-	// recent are this gateway's last calls, which others may not have heard of; claims are calls
-	// that requests will make, by request.
-	recent []time.Time
-	claims map[string]claim
-	// sent counts this gateway's calls since it learned of the limit, withheld how often the
-	// runner was not chosen for it.
+	// level is the number of calls left for all users at the time filledAt.
+	level    float64
+	filledAt time.Time
+	// recentCalls are the times of this gateway's latest calls, which the other users may not have learned
+	// of. claims are the calls reserved for requests, by request.
+	recentCalls []time.Time
+	claims      map[string]claim
+	// sent is the number of this gateway's calls since it learned of the limit, withheld how often it did not
+	// choose the runner because of the limit.
 	sent, withheld uint64
-	// others are the calls that other gateways told of.
-	others map[string]count
-	// newsAt and sentAt are the revisions of the last news for all gateways, and of the last call.
-	newsAt, sentAt uint64
-	users          users
+	// peerCalls are the calls that other gateways reported, by gateway.
+	peerCalls map[string]callCount
+	// changeRevision and callRevision are the table's revisions at the last change for all gateways and at
+	// the last call.
+	changeRevision, callRevision uint64
+	users                        users
 }
 
-// claim is how many calls a request will make.
+// claim is the number of calls reserved for a request.
 type claim struct {
 	calls int
 	at    time.Time
 }
 
-// count is how many calls a process of another gateway made.
-type count struct {
+// callCount is the number of calls that one process of another gateway made.
+type callCount struct {
 	incarnation, calls uint64
 }
 
 func newLimit(s Statement, at, now time.Time) *limit {
 	return &limit{
-		perSecond: s.PerSecond, kind: s.Kind, calls: max(1, s.Calls), began: now, namedAt: at, logged: s.PerSecond, spread: s.PerSecond,
-		filled: now, claims: map[string]claim{}, others: map[string]count{},
+		perSecond: s.PerSecond, kind: s.Kind, calls: max(1, s.Calls), learnedAt: now, namedAt: at, loggedRate: s.PerSecond, broadcastRate: s.PerSecond,
+		filledAt: now, claims: map[string]claim{}, peerCalls: map[string]callCount{},
 	}
 }
 
-// lastUpdated returns when an answer last named the limit, or ended it.
+// lastUpdated returns when a response last named the limit, or ended it.
 func (l *limit) lastUpdated() time.Time {
-	if l.over {
+	if l.ended {
 		return l.endedAt
 	}
 	return l.namedAt
 }
 
-// rate is what the users together send a second.
-func (l *limit) rate() float64 { return max(l.perSecond, leastRate) }
+// rate returns the calls per second that all users together may send.
+func (l *limit) rate() float64 { return max(l.perSecond, minRate) }
 
-// capacity is what the bucket holds.
-func (l *limit) capacity() float64 { return max(leastBurst, l.rate()*burst.Seconds()) }
+// capacity returns the capacity of the bucket in calls.
+func (l *limit) capacity() float64 { return max(minCapacity, l.rate()*fillTime.Seconds()) }
 
-// fill fills the bucket up to a time, at a part of the rate.
-func (l *limit) fill(now time.Time, part float64) {
-	if passed := now.Sub(l.filled).Seconds(); passed > 0 {
-		l.level = min(l.level+passed*l.rate()*part, l.capacity())
-		l.filled = now
+// refill fills the bucket up to the given time at a fraction of the rate, and drops expired entries of
+// recentCalls and claims.
+func (l *limit) refill(now time.Time, fraction float64) {
+	if passed := now.Sub(l.filledAt).Seconds(); passed > 0 {
+		l.level = min(l.level+passed*l.rate()*fraction, l.capacity())
+		l.filledAt = now
 	}
-	l.recent = slices.DeleteFunc(l.recent, func(at time.Time) bool { return now.Sub(at) >= settle })
+	l.recentCalls = slices.DeleteFunc(l.recentCalls, func(at time.Time) bool { return now.Sub(at) >= propagationTime })
 	for request, c := range l.claims {
-		if now.Sub(c.at) >= unsentFor {
+		if now.Sub(c.at) >= claimTimeout {
 			delete(l.claims, request)
 		}
 	}
 }
 
-// take counts calls. What is over the limit is made up for, but no more of it than the users can
-// have sent without hearing of each other.
-func (l *limit) take(calls float64) {
-	l.level = max(l.level-calls, -l.capacity()-float64(l.mostUsers()*l.calls))
+// consume takes calls out of the bucket. Calls over the limit are made up for later, but no more of them than
+// the users can have sent before they learned of each other's calls.
+func (l *limit) consume(calls float64) {
+	l.level = max(l.level-calls, -l.capacity()-float64(l.maxUsers()*l.calls))
 }
 
-// claimed returns the calls that requests will make.
+// claimed returns the number of calls reserved for requests.
 func (l *limit) claimed() int {
 	n := 0
 	for _, c := range l.claims {
@@ -112,23 +115,24 @@
 	return n
 }
 
-// room reports whether one of some users may make calls now. What others may not have heard of is
-// bounded by an equal part of the bucket, or by one request where that is less.
+// room reports whether a gateway may make calls now if it is one of the given number of users. Its calls that
+// the others may not have learned of are bounded by an equal part of the bucket, or by one request if that is
+// more.
 func (l *limit) room(calls, users int) bool {
 	claimed := l.claimed()
 	if l.level-float64(claimed) < float64(calls) {
 		return false
 	}
-	unheard := len(l.recent) + claimed
-	part := (l.level + float64(len(l.recent))) / float64(users)
-	return float64(unheard+calls) <= max(float64(calls), part)
+	unreported := len(l.recentCalls) + claimed
+	ownPart := (l.level + float64(len(l.recentCalls))) / float64(users)
+	return float64(unreported+calls) <= max(float64(calls), ownPart)
 }
 
-// after returns how long until there is room for calls, at a part of the rate.
-func (l *limit) after(calls int, part float64) time.Duration {
+// after returns the time until there is room for calls, at a fraction of the rate.
+func (l *limit) after(calls int, fraction float64) time.Duration {
 	missing := float64(calls+l.claimed()) - l.level
-	if missing <= 0 || part <= 0 {
-		return settle
+	if missing <= 0 || fraction <= 0 {
+		return propagationTime
 	}
-	return max(settle, time.Duration(missing/(l.rate()*part)*float64(time.Second)))
+	return max(propagationTime, time.Duration(missing/(l.rate()*fraction)*float64(time.Second)))
 }
--- a/pkg/runnerlimit/room.go
+++ b/pkg/runnerlimit/room.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// Room reports whether this gateway may send a runner one more request now, which takes some calls.
+// Room reports whether this gateway may send a runner one more request now that takes the given number of
+// calls.
 func (t *Table) Room(runner string, calls int, now time.Time) bool {
-	if !t.some.Load() {
+	if !t.nonEmpty.Load() {
 		return true
 	}
 	t.mu.Lock()
@@ -18,17 +19,17 @@
 
 func (t *Table) room(runner string, calls int, now time.Time) bool {
 	l := t.limits[runner]
-	if l == nil || l.over {
+	if l == nil || l.ended {
 		return true
 	}
-	l.fill(now, t.share(runner, l, now))
+	l.refill(now, t.share(runner, l, now))
 	u := t.usersOf(runner, l)
 	return u.own && l.room(calls, len(u.names))
 }
 
-// Claim keeps calls for a request until they are made, and reports whether there is room for them.
+// Claim reserves calls for a request until they are made, and reports whether there is room for them.
 func (t *Table) Claim(runner, request string, calls int, now time.Time) bool {
-	if !t.some.Load() {
+	if !t.nonEmpty.Load() {
 		return true
 	}
 	t.mu.Lock()
@@ -36,15 +37,15 @@
 	if !t.room(runner, calls, now) {
 		return false
 	}
-	if l := t.limits[runner]; l != nil && !l.over {
+	if l := t.limits[runner]; l != nil && !l.ended {
 		l.claims[request] = claim{calls: calls, at: now}
 	}
 	return true
 }
 
-// Release gives up what was kept for a request.
+// Release releases the calls reserved for a request.
 func (t *Table) Release(runner, request string) {
-	if !t.some.Load() {
+	if !t.nonEmpty.Load() {
 		return
 	}
 	t.mu.Lock()
@@ -54,35 +55,37 @@
 	}
 }
 
-// Sent counts a call that is made to a runner now, of a request or, for an empty one, of none.
+// Sent counts a call that is made to a runner now. request is the request that the call belongs to; empty for
+// none.
 func (t *Table) Sent(runner, request string, now time.Time) {
-	if !t.some.Load() || !t.sent(runner, request, now) {
+	if !t.nonEmpty.Load() || !t.sent(runner, request, now) {
 		return
 	}
-	t.counted()
+	t.notifyCounted()
 }
 
 func (t *Table) sent(runner, request string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	l := t.limits[runner]
-	if l == nil || l.over {
+	if l == nil || l.ended {
 		return false
 	}
-	l.fill(now, t.share(runner, l, now))
-	l.take(1)
-	l.recent = append(l.recent, now)
+	l.refill(now, t.share(runner, l, now))
+	l.consume(1)
+	l.recentCalls = append(l.recentCalls, now)
 	l.sent++
 	if c, ok := l.claims[request]; ok {
 		c.calls--
 		l.claims[request] = c
 	}
 	t.revision++
-	l.sentAt = t.revision
+	l.callRevision = t.revision
 	return true
 }
 
-// After returns in what time a runner has room for a request of some calls; 0 for now.
+// After returns the time until a runner has room for a request that takes the given number of calls; 0 if it
+// has room now.
 func (t *Table) After(runner string, calls int, now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -90,10 +93,11 @@
 		return 0
 	}
 	l := t.limits[runner]
-	part := t.share(runner, l, now)
-	if part == 0 {
-		// Another gateway may have room; by now it has what one that used nothing would have.
-		part = 1
+	fraction := t.share(runner, l, now)
+	if fraction == 0 {
+		// This gateway has no share, but another gateway may have room. The wait is estimated as if that one
+		// used nothing in the meantime.
+		fraction = 1
 	}
-	return l.after(calls, part)
+	return l.after(calls, fraction)
 }
--- a/pkg/runnerlimit/runnerlimit.go
+++ b/pkg/runnerlimit/runnerlimit.go
@@ -1,11 +1,11 @@
-// Package runnerlimit keeps runners in need within the limits that they name: so many requests a
-// second from all gateways together, for as long as their answers say so. Nothing here does I/O;
-// the time is passed in.
+// Package runnerlimit enforces the rate limits that overloaded runners name: a number of requests per second
+// from all gateways together, in force for as long as the runner's responses name it. The package does no
+// I/O; callers pass in the time.
 //
-// A limit is shared by some of the gateways, chosen by rendezvous hashing; the others leave the
-// runner alone. Each of these users counts in a bucket what all of them send: its own calls at once,
-// those of the others when it hears of them. docs/design/runner-limits.md has the ways that were
-// weighed.
+// A limit is shared by some of the gateways (its users), chosen by rendezvous hashing; the other gateways
+// send nothing to the runner. Each user counts the calls of all users in a token bucket: its own at once,
+// those of the others when it receives their reports. docs/design/runner-limits.md lists the alternatives
+// that were considered.
 package runnerlimit
 
 import (
@@ -15,96 +15,99 @@
 	"time"
 )
 
-// Kind is what a runner was asked for. A limit that answers of one kind name is over when one of the
-// same kind doesn't name it any more: others may never have named it.
+// Kind is the kind of a call to a runner. A limit named in responses to calls of one kind ends when a
+// response to the same kind no longer names it, because responses to other kinds may never have named it.
 type Kind uint8
 
 // The kinds of calls.
 const (
-	// Run is a request to be run.
+	// Run is a call that runs a request.
 	Run Kind = iota + 1
-	// Read is a prompt to be read.
+	// Read is a call that prefills a prompt.
 	Read
 	// Own is any other call.
 	Own
 )
 
-// Statement is what one answer of a runner says of its limit.
+// Statement is what one response of a runner reports of its limit.
 type Statement struct {
 	Kind Kind
 	// Asked is when the call was sent.
 	Asked time.Time
-	// Named says that the answer names a limit, PerSecond is that. Unreadable says that what it
-	// names is none.
+	// Named is set if the response names a limit, PerSecond is the limit. Unreadable is set if the response
+	// has a value that is not a valid limit.
 	Named      bool
 	PerSecond  float64
 	Unreadable bool
-	// Own says that the answer is surely the runner's: one that names no limit may have been made
-	// by another.
+	// Own is set if the response certainly comes from the runner. Otherwise, a response without a limit may
+	// have been sent by another server.
 	Own bool
-	// Calls is how many calls one request takes at the runner.
+	// Calls is the number of calls that one request takes at the runner.
 	Calls int
 }
 
-// What happens to a limit.
+// The values of Change.What.
 const (
 	Begins  = "begins"
 	Changes = "changes"
 	Ends    = "ends"
-	// Unreadable is told once of a runner until it names one that can be read.
+	// Unreadable is reported once per runner until the runner names a valid limit.
 	Unreadable = "unreadable"
 )
 
-// Change is what happened to a runner's limit.
+// Change is a change of a runner's limit.
 type Change struct {
 	Runner string
 	// What is Begins, Changes, Ends or Unreadable.
 	What      string
 	PerSecond float64
-	// From is the gateway that had the answer; empty for this one.
+	// From is the gateway that received the response; empty for this gateway.
 	From string
-	// For is how long the limit was in force, Sent how many calls this gateway made to the runner
-	// meanwhile and Withheld how often it did not choose the runner, when it ends.
+	// For is how long the limit was in force, Sent the number of calls that this gateway made to the runner
+	// meanwhile, Withheld how often it did not choose the runner because of the limit. They are set when the
+	// limit ends.
 	For            time.Duration
 	Sent, Withheld uint64
 }
 
 const (
-	// logged is by which part a limit must differ from the one that Changed was told last.
-	logged = 0.2
-	// remembered is how long a limit is kept that no answer names or ends any more, and one that is
-	// over: a gateway that is silent for as long is forgotten too.
-	remembered = time.Minute
+	// logChange is the relative change since the last report to Changed from which on a limit is reported
+	// again.
+	logChange = 0.2
+	// retention is how long a limit is kept after the last response that named or ended it. A silent gateway
+	// is removed after the same time.
+	retention = time.Minute
 )
 
-// Table is the limits of all runners. It is safe for concurrent use.
+// Table holds the limits of all runners. It is safe for concurrent use.
 type Table struct {
-	// Changed is called, without locks, after a change, Counted after a call that other gateways
-	// should hear of. They are set before the table is used; nil for nobody.
+	// Changed is called after each change of a limit, Counted after each change or call that other gateways
+	// should learn of, both without locks held. They must be set before the table is used; nil disables them.
 	Changed func(Change)
 	Counted func()
 
 	self string
-	// some is set while there are limits: most of the time there are none.
-	some atomic.Bool
+	// nonEmpty is set while there are limits. Most of the time there are none, and methods return without
+	// locking.
+	nonEmpty atomic.Bool
 
 	mu     sync.Mutex
 	limits map[string]*limit
-	// unreadable are the runners whose limits can't be read, by when one said so last.
+	// unreadable are the runners that name an invalid limit, with the time of the last response that did.
 	unreadable map[string]time.Time
-	// revision counts what others should hear of.
+	// revision counts the changes and calls that other gateways should learn of.
 	revision uint64
 	members  members
 }
 
-// New returns a gateway's table, without limits.
+// New returns a gateway's table without limits. self is the gateway's name.
 func New(self string) *Table {
 	return &Table{self: self, limits: map[string]*limit{}, unreadable: map[string]time.Time{}, members: newMembers(self)}
 }
 
-// Observe takes what an answer of a runner says, by the runner's ID.
+// Observe records what a response of the runner with the given ID reports of its limit.
 func (t *Table) Observe(runner string, s Statement, now time.Time) {
-	if !s.Named && !s.Unreadable && !t.some.Load() {
+	if !s.Named && !s.Unreadable && !t.nonEmpty.Load() {
 		return
 	}
 	t.mu.Lock()
@@ -117,18 +120,18 @@
 	l := t.limits[runner]
 	switch {
 	case s.Unreadable:
-		return t.unread(runner, now)
+		return t.markUnreadable(runner, now)
 	case s.Named:
 		delete(t.unreadable, runner)
-		return t.name(runner, s, now, now, "")
-	case l == nil || l.over || !s.Own || s.Kind != l.kind || !s.Asked.After(l.namedAt):
+		return t.setLimit(runner, s, now, now, "")
+	case l == nil || l.ended || !s.Own || s.Kind != l.kind || !s.Asked.After(l.namedAt):
 		return nil
 	}
 	return t.end(runner, s.Asked, now, "")
 }
 
-// unread records a limit that can't be read: what is known of the runner's stays.
-func (t *Table) unread(runner string, now time.Time) *Change {
+// markUnreadable records that a runner named an invalid limit. The limit that it named before stays in force.
+func (t *Table) markUnreadable(runner string, now time.Time) *Change {
 	_, known := t.unreadable[runner]
 	t.unreadable[runner] = now
 	if known {
@@ -137,60 +140,61 @@
 	return &Change{Runner: runner, What: Unreadable}
 }
 
-// name takes a limit that an answer named at a time, as a gateway heard it; an empty one is this.
-func (t *Table) name(runner string, s Statement, at, now time.Time, from string) *Change {
+// setLimit records a limit that a response named at the given time. from is the gateway that received the
+// response; empty for this gateway.
+func (t *Table) setLimit(runner string, s Statement, at, now time.Time, from string) *Change {
 	l := t.limits[runner]
-	if l == nil || l.over {
+	if l == nil || l.ended {
 		l = newLimit(s, at, now)
 		l.from = from
 		t.limits[runner] = l
-		t.some.Store(true)
-		t.news(l)
+		t.nonEmpty.Store(true)
+		t.markChanged(l)
 		return &Change{Runner: runner, What: Begins, PerSecond: s.PerSecond, From: from}
 	}
-	l.fill(now, t.share(runner, l, now))
+	l.refill(now, t.share(runner, l, now))
 	l.perSecond, l.kind, l.namedAt, l.from = s.PerSecond, s.Kind, at, from
 	l.calls = max(l.calls, s.Calls)
-	if differ(l.perSecond, l.spread, spreadChange) {
-		l.spread = l.perSecond
-		t.news(l)
+	if differ(l.perSecond, l.broadcastRate, broadcastChange) {
+		l.broadcastRate = l.perSecond
+		t.markChanged(l)
 	}
-	if !differ(l.perSecond, l.logged, logged) {
+	if !differ(l.perSecond, l.loggedRate, logChange) {
 		return nil
 	}
-	l.logged = l.perSecond
+	l.loggedRate = l.perSecond
 	return &Change{Runner: runner, What: Changes, PerSecond: s.PerSecond, From: from}
 }
 
-// end ends a limit by an answer to a call of the time at.
+// end ends a limit because of the response to a call sent at the given time.
 func (t *Table) end(runner string, at, now time.Time, from string) *Change {
 	l := t.limits[runner]
-	l.over, l.endedAt = true, at
-	t.news(l)
-	return &Change{Runner: runner, What: Ends, PerSecond: l.perSecond, From: from, For: now.Sub(l.began), Sent: l.sent, Withheld: l.withheld}
+	l.ended, l.endedAt = true, at
+	t.markChanged(l)
+	return &Change{Runner: runner, What: Ends, PerSecond: l.perSecond, From: from, For: now.Sub(l.learnedAt), Sent: l.sent, Withheld: l.withheld}
 }
 
-// news notes that all gateways should hear of a limit.
-func (t *Table) news(l *limit) {
+// markChanged records that a limit is to be sent to all gateways.
+func (t *Table) markChanged(l *limit) {
 	t.revision++
-	l.newsAt = t.revision
+	l.changeRevision = t.revision
 }
 
-// Sweep forgets limits that nobody spoke of for long.
+// Sweep ends and removes the limits that no response has named or ended within the retention time.
 func (t *Table) Sweep(now time.Time) {
 	var ended []*Change
 	t.mu.Lock()
-	maps.DeleteFunc(t.unreadable, func(_ string, at time.Time) bool { return now.Sub(at) > remembered })
+	maps.DeleteFunc(t.unreadable, func(_ string, at time.Time) bool { return now.Sub(at) > retention })
 	for runner, l := range t.limits {
-		if now.Sub(l.lastUpdated()) <= remembered {
+		if now.Sub(l.lastUpdated()) <= retention {
 			continue
 		}
-		if !l.over {
+		if !l.ended {
 			ended = append(ended, t.end(runner, now, now, ""))
 		}
 		delete(t.limits, runner)
 	}
-	t.some.Store(len(t.limits) > 0)
+	t.nonEmpty.Store(len(t.limits) > 0)
 	t.mu.Unlock()
 	for _, c := range ended {
 		t.notify(c)
@@ -204,16 +208,16 @@
 	if t.Changed != nil {
 		t.Changed(*c)
 	}
-	t.counted()
+	t.notifyCounted()
 }
 
-func (t *Table) counted() {
+func (t *Table) notifyCounted() {
 	if t.Counted != nil {
 		t.Counted()
 	}
 }
 
-// differ reports whether a limit differs from an earlier one by more than a part of that.
-func differ(limit, earlier, part float64) bool {
-	return max(limit-earlier, earlier-limit) > part*earlier
+// differ reports whether a limit differs from an earlier one by more than a fraction of the earlier one.
+func differ(limit, earlier, fraction float64) bool {
+	return max(limit-earlier, earlier-limit) > fraction*earlier
 }
--- a/pkg/runnerlimit/runnerlimit_test.go
+++ b/pkg/runnerlimit/runnerlimit_test.go
@@ -7,56 +7,56 @@
 	. "github.com/onsi/gomega"
 )
 
-// told is a table with what it told of changes.
-func told(t *Table) (*Table, *[]string) {
+// recordChanges returns a table and the list of the changes that it reports.
+func recordChanges(t *Table) (*Table, *[]string) {
 	var out []string
 	t.Changed = func(c Change) { out = append(out, c.What+" "+c.From) }
 	return t, &out
 }
 
-func names(perSecond float64, asked time.Time) Statement {
+func namedLimit(perSecond float64, asked time.Time) Statement {
 	return Statement{Kind: Run, Asked: asked, Named: true, PerSecond: perSecond, Calls: 1}
 }
 
-func TestALimitBeginsAndEndsWithWhatAnswersSay(t *testing.T) {
+func TestLimitBeginsAndEndsByResponses(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	at := func(ms int) time.Time { return now.Add(time.Duration(ms) * time.Millisecond) }
-	table, changes := told(New("a"))
+	table, changes := recordChanges(New("a"))
 	table.Observe("r", Statement{Kind: Run, Asked: now, Own: true}, at(1))
 	g.Expect(*changes).To(BeEmpty(), "no limit was named")
-	table.Observe("r", names(2, at(2)), at(10))
-	table.Observe("r", names(2.1, at(2)), at(11))
-	table.Observe("r", names(1, at(2)), at(12))
+	table.Observe("r", namedLimit(2, at(2)), at(10))
+	table.Observe("r", namedLimit(2.1, at(2)), at(11))
+	table.Observe("r", namedLimit(1, at(2)), at(12))
 	g.Expect(*changes).To(Equal([]string{"begins ", "changes "}))
 	table.Observe("r", Statement{Kind: Run, Asked: at(5), Own: true}, at(13))
-	g.Expect(*changes).To(HaveLen(2), "an answer to a call from before the limit was named last")
+	g.Expect(*changes).To(HaveLen(2), "a response to a call that was sent before the limit was last named")
 	table.Observe("r", Statement{Kind: Own, Asked: at(14), Own: true}, at(15))
-	g.Expect(*changes).To(HaveLen(2), "an answer of a kind that never named it")
+	g.Expect(*changes).To(HaveLen(2), "a response to a kind of call whose responses never named it")
 	table.Observe("r", Statement{Kind: Run, Asked: at(16)}, at(17))
-	g.Expect(*changes).To(HaveLen(2), "an answer that another may have made")
+	g.Expect(*changes).To(HaveLen(2), "a response that another server may have sent")
 	table.Observe("r", Statement{Kind: Run, Asked: at(16), Own: true}, at(17))
 	g.Expect(*changes).To(Equal([]string{"begins ", "changes ", "ends "}))
 	g.Expect(table.Room("r", 100, at(17))).To(BeTrue())
-	table.Observe("r", names(2, at(18)), at(19))
-	g.Expect(*changes).To(HaveLen(4), "it may begin again at any moment")
+	table.Observe("r", namedLimit(2, at(18)), at(19))
+	g.Expect(*changes).To(HaveLen(4), "a limit may begin again right after its end")
 }
 
-func TestARunnerThatNamesNothingOfItIsAskedNowAndThen(t *testing.T) {
+func TestLimitOfZeroAllowsMinRate(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	table := New("a")
-	table.Observe("r", names(0, now), now)
+	table.Observe("r", namedLimit(0, now), now)
 	g.Expect(table.Room("r", 1, now)).To(BeFalse())
 	g.Expect(table.After("r", 1, now)).To(Equal(10 * time.Second))
 	g.Expect(table.Room("r", 1, now.Add(10*time.Second))).To(BeTrue())
 }
 
-func TestPlacesAreKeptForRequestsUntilTheyAreSentOrGivenUp(t *testing.T) {
+func TestClaimsLastUntilSentReleasedOrExpired(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	table := New("a")
-	table.Observe("r", names(2, now), now)
+	table.Observe("r", namedLimit(2, now), now)
 	now = now.Add(time.Second)
 	g.Expect(table.Claim("r", "one", 1, now)).To(BeTrue())
 	g.Expect(table.Claim("r", "two", 1, now)).To(BeTrue())
@@ -70,58 +70,58 @@
 	g.Expect(table.Claim("r", "lost", 1, now.Add(500*time.Millisecond))).To(BeTrue())
 	g.Expect(table.Claim("r", "lost too", 1, now.Add(time.Second))).To(BeTrue())
 	g.Expect(table.Room("r", 2, now.Add(4*time.Second))).To(BeFalse())
-	g.Expect(table.Room("r", 2, now.Add(time.Second+unsentFor))).To(BeTrue(), "places that nobody used or gave up")
+	g.Expect(table.Room("r", 2, now.Add(time.Second+claimTimeout))).To(BeTrue(), "claims that were neither sent nor released")
 }
 
-func TestGatewaysHearOfLimitsOfTheirEndAndOfCalls(t *testing.T) {
+func TestGatewaysReceiveLimitsTheirEndAndCallCounts(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
-	a, _ := told(New("a"))
-	b, changes := told(New("b"))
+	a, _ := recordChanges(New("a"))
+	b, changes := recordChanges(New("b"))
 	a.Members([]string{"b"})
 	b.Members([]string{"a"})
 	var reached uint64
-	tell := func() {
+	sendReports := func() {
 		var reports []Report
 		reports, reached = a.Since("b", reached, now)
 		b.GatewaySeen("a", now)
 		b.Receive("a", 1, reports, now)
 	}
-	a.Observe("r", names(2, now), now)
-	tell()
+	a.Observe("r", namedLimit(2, now), now)
+	sendReports()
 	g.Expect(*changes).To(Equal([]string{"begins a"}))
 	g.Expect(a.Due("b", reached)).To(BeFalse())
 	now = now.Add(time.Second)
-	tell()
+	sendReports()
 	a.GatewaySeen("b", now)
 	for range 2 {
 		a.Sent("r", "", now)
 	}
 	g.Expect(a.Due("b", reached)).To(BeTrue())
-	tell()
-	g.Expect(b.Room("r", 1, now)).To(BeFalse(), "the other gateway used what there was")
+	sendReports()
+	g.Expect(b.Room("r", 1, now)).To(BeFalse(), "the other gateway used all calls that were left")
 	now = now.Add(time.Second)
 	a.Observe("r", Statement{Kind: Run, Asked: now, Own: true}, now.Add(time.Millisecond))
-	tell()
+	sendReports()
 	g.Expect(*changes).To(Equal([]string{"begins a", "ends a"}))
-	// What is older than the end does not bring the limit back.
-	b.Receive("a", 1, []Report{{Runner: "r", Statement: names(2, now), NamedAgo: time.Second}}, now.Add(2*time.Millisecond))
+	// A report that is older than the end does not restore the limit.
+	b.Receive("a", 1, []Report{{Runner: "r", Statement: namedLimit(2, now), NamedAgo: time.Second}}, now.Add(2*time.Millisecond))
 	g.Expect(*changes).To(HaveLen(2))
 }
 
-// A gateway that starts again counts anew; one that is heard of late is charged for no more than the
-// limit allowed since this one knows of it.
+// A restarted gateway counts from zero. The first report of a gateway is charged for no more than the limit
+// allowed since this gateway learned of the limit.
 func TestCallsOfAnotherGatewayAreCountedOnce(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	level := func(t *Table) float64 { return t.limits["r"].level }
 	b := New("b")
 	b.Members([]string{"a"})
-	b.Observe("r", names(10, now), now)
+	b.Observe("r", namedLimit(10, now), now)
 	b.GatewaySeen("a", now)
 	report := func(incarnation, sent uint64) {
-		b.Receive("a", incarnation, []Report{{Runner: "r", Statement: names(10, now), NamedAgo: time.Hour, Sent: sent}}, now)
-		b.Receive("a", incarnation, []Report{{Runner: "r", Statement: names(10, now), NamedAgo: time.Second, Sent: sent}}, now)
+		b.Receive("a", incarnation, []Report{{Runner: "r", Statement: namedLimit(10, now), NamedAgo: time.Hour, Sent: sent}}, now)
+		b.Receive("a", incarnation, []Report{{Runner: "r", Statement: namedLimit(10, now), NamedAgo: time.Second, Sent: sent}}, now)
 	}
 	report(1, 1000)
 	g.Expect(level(b)).To(BeNumerically("~", -1, 0.01))
@@ -131,42 +131,42 @@
 	g.Expect(level(b)).To(BeNumerically("~", -6, 0.01))
 }
 
-func TestLimitsThatNobodySpeaksOfAreForgotten(t *testing.T) {
+func TestSweepEndsLimitsThatAreNoLongerNamed(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
-	table, changes := told(New("a"))
-	table.Observe("r", names(2, now), now)
-	table.Sweep(now.Add(remembered))
+	table, changes := recordChanges(New("a"))
+	table.Observe("r", namedLimit(2, now), now)
+	table.Sweep(now.Add(retention))
 	g.Expect(*changes).To(Equal([]string{"begins "}))
-	table.Sweep(now.Add(remembered + time.Second))
+	table.Sweep(now.Add(retention + time.Second))
 	g.Expect(*changes).To(Equal([]string{"begins ", "ends "}))
 	g.Expect(table.Room("r", 100, now)).To(BeTrue())
 }
 
-// Gateways that are cut off from each other never use the same part of a limit.
-func TestAGatewayUsesThePartOfThoseThatItHears(t *testing.T) {
+// Guards against partitioned gateways that use the same part of a limit.
+func TestGatewayUsesShareOfReachableUsers(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	table := New("a")
 	table.Members([]string{"b", "c", "d"})
-	table.Observe("r", names(4, now), now)
+	table.Observe("r", namedLimit(4, now), now)
 	now = now.Add(2 * time.Second)
-	g.Expect(table.Room("r", 2, now)).To(BeTrue(), "a quarter of four a second, for two seconds")
+	g.Expect(table.Room("r", 2, now)).To(BeTrue(), "a quarter of 4 calls per second, for 2 s")
 	g.Expect(table.limits["r"].level).To(BeNumerically("~", 2, 0.01))
 }
 
-func TestALimitThatIsNoNumberChangesNothingAndIsToldOnce(t *testing.T) {
+func TestUnreadableLimitKeepsPreviousAndIsReportedOnce(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
-	table, changes := told(New("a"))
+	table, changes := recordChanges(New("a"))
 	unreadable := Statement{Kind: Run, Asked: now, Unreadable: true, Own: true}
-	table.Observe("r", names(2, now), now)
+	table.Observe("r", namedLimit(2, now), now)
 	for range 3 {
 		table.Observe("r", unreadable, now.Add(time.Second))
 	}
 	g.Expect(*changes).To(Equal([]string{"begins ", "unreadable "}))
-	g.Expect(table.Room("r", 100, now.Add(time.Second))).To(BeFalse(), "the limit that it named before")
-	table.Observe("r", names(2, now), now.Add(2*time.Second))
+	g.Expect(table.Room("r", 100, now.Add(time.Second))).To(BeFalse(), "the previous limit stays in force")
+	table.Observe("r", namedLimit(2, now), now.Add(2*time.Second))
 	table.Observe("r", unreadable, now.Add(3*time.Second))
 	g.Expect(*changes).To(HaveLen(3))
 	table.Sweep(now.Add(5 * time.Minute))
@@ -174,12 +174,12 @@
 	g.Expect((*changes)[len(*changes)-1]).To(Equal("unreadable "))
 }
 
-// What asks when there will be room is no choice that passed the runner over.
-func TestChoicesThatPassTheRunnerOverAreCounted(t *testing.T) {
+// Withheld counts how often the runner was not chosen. After only returns the wait and must not count.
+func TestWithheldCountsRoomButNotAfter(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	table := New("a")
-	table.Observe("r", names(1, now), now)
+	table.Observe("r", namedLimit(1, now), now)
 	g.Expect(table.Room("r", 1, now)).To(BeFalse())
 	g.Expect(table.After("r", 1, now)).To(Equal(time.Second))
 	status, ok := table.Of("r", now)
--- a/pkg/runnerlimit/simulation_test.go
+++ b/pkg/runnerlimit/simulation_test.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	// step is the time between two looks of the simulation; gathered is how long news are let come
-	// together before they are sent, beat the time between two datagrams to another user.
-	step     = time.Millisecond
-	gathered = 10 * time.Millisecond
-	beat     = 300 * time.Millisecond
+	// step is the time step of the simulation. batchDelay is how long reports are collected before they are
+	// sent. datagramInterval is the time between two datagrams to another user.
+	step             = time.Millisecond
+	batchDelay       = 10 * time.Millisecond
+	datagramInterval = 300 * time.Millisecond
 )
 
-// sim is a runner that names a limit, before gateways that exchange datagrams, in virtual time.
+// sim simulates, in virtual time, a runner that names a limit and gateways that exchange datagrams.
 type sim struct {
 	random   *rand.Rand
 	now      time.Time
 	began    time.Time
 	gateways []*simGateway
-	mail     []datagram
+	inFlight []datagram
 	arrivals []time.Time
-	// lost is the part of the datagrams that are lost, link the longest way of one.
-	lost float64
-	link time.Duration
-	// limit is what the runner names, 0 for none.
+	// lossRate is the fraction of the datagrams that are lost, maxLatency the longest transit time of one.
+	lossRate   float64
+	maxLatency time.Duration
+	// limit is the limit that the runner names, 0 for none. calls is the number of calls per request.
 	limit float64
 	calls int
 }
@@ -36,14 +36,15 @@
 	name        string
 	table       *Table
 	incarnation uint64
-	// demand is the requests a second that would go to the runner if it named no limit.
+	// demand is the number of requests per second that would go to the runner if it named no limit.
 	demand float64
-	// island says with which others it can talk, frozen until when it stands still.
-	island  int
-	frozen  time.Time
-	told    map[string]uint64
-	last    map[string]time.Time
-	changed time.Time
+	// partition is the part of the network that the gateway is in: only gateways in the same part exchange
+	// datagrams. The gateway is suspended until frozenUntil.
+	partition    int
+	frozenUntil  time.Time
+	sentRevision map[string]uint64
+	lastSent     map[string]time.Time
+	changedAt    time.Time
 }
 
 type datagram struct {
@@ -54,7 +55,7 @@
 }
 
 func newSim(seed uint64, gateways int, limit float64, demand func(i int) float64) *sim {
-	s := &sim{random: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), began: time.Unix(1000, 0), link: 8 * time.Millisecond, lost: 0.005, limit: limit, calls: 1}
+	s := &sim{random: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), began: time.Unix(1000, 0), maxLatency: 8 * time.Millisecond, lossRate: 0.005, limit: limit, calls: 1}
 	for i := range gateways {
 		s.gateways = append(s.gateways, &simGateway{name: fmt.Sprintf("g%03d", i), demand: demand(i)})
 	}
@@ -64,20 +65,20 @@
 	return s
 }
 
-// start begins a gateway's process.
+// start starts a process of a gateway.
 func (s *sim) start(g *simGateway) {
 	g.table, g.incarnation = New(g.name), g.incarnation+1
-	g.told, g.last, g.changed = map[string]uint64{}, map[string]time.Time{}, time.Time{}
+	g.sentRevision, g.lastSent, g.changedAt = map[string]uint64{}, map[string]time.Time{}, time.Time{}
 	g.table.Counted = func() {
-		if g.changed.IsZero() {
-			g.changed = s.now
+		if g.changedAt.IsZero() {
+			g.changedAt = s.now
 		}
 	}
-	s.introduce(g)
+	s.setMembers(g)
 }
 
-// introduce tells a gateway of all others.
-func (s *sim) introduce(g *simGateway) {
+// setMembers sets all other gateways as the members of a gateway's table.
+func (s *sim) setMembers(g *simGateway) {
 	var others []string
 	for _, o := range s.gateways {
 		if o != g {
@@ -87,26 +88,26 @@
 	g.table.Members(others)
 }
 
-// run goes on for a time.
+// run advances the simulation by a time.
 func (s *sim) run(lasts time.Duration) {
 	for end := s.now.Add(lasts); s.now.Before(end); s.now = s.now.Add(step) {
 		s.deliver()
 		for _, g := range s.gateways {
-			if s.now.Before(g.frozen) {
+			if s.now.Before(g.frozenUntil) {
 				continue
 			}
-			s.ask(g)
-			s.talk(g)
+			s.sendRequest(g)
+			s.sendReports(g)
 		}
 	}
 }
 
 func (s *sim) deliver() {
-	s.mail = slices.DeleteFunc(s.mail, func(d datagram) bool {
-		if s.now.Before(d.at) || s.now.Before(d.to.frozen) {
+	s.inFlight = slices.DeleteFunc(s.inFlight, func(d datagram) bool {
+		if s.now.Before(d.at) || s.now.Before(d.to.frozenUntil) {
 			return false
 		}
-		if d.from.island == d.to.island {
+		if d.from.partition == d.to.partition {
 			d.to.table.GatewaySeen(d.from.name, s.now)
 			d.to.table.Receive(d.from.name, d.incarnation, d.reports, s.now)
 		}
@@ -114,8 +115,9 @@
 	})
 }
 
-// ask lets a gateway send what it would and may.
-func (s *sim) ask(g *simGateway) {
+// sendRequest sends a request of a gateway to the runner, if one arrives in this step and the limit allows
+// it.
+func (s *sim) sendRequest(g *simGateway) {
 	if s.random.Float64() >= g.demand*step.Seconds() {
 		return
 	}
@@ -131,45 +133,45 @@
 	g.table.Observe("runner", Statement{Kind: Run, Asked: s.now, Named: s.limit > 0, PerSecond: s.limit, Calls: s.calls}, s.now)
 }
 
-// talk sends what others should hear.
-func (s *sim) talk(g *simGateway) {
-	due := !g.changed.IsZero() && s.now.Sub(g.changed) >= gathered
+// sendReports sends the datagrams that are due from a gateway to the others.
+func (s *sim) sendReports(g *simGateway) {
+	due := !g.changedAt.IsZero() && s.now.Sub(g.changedAt) >= batchDelay
 	if !due && s.now.UnixMilli()%60 != 0 {
 		return
 	}
 	if due {
-		g.changed = time.Time{}
+		g.changedAt = time.Time{}
 	}
 	for _, o := range s.gateways {
-		if o == g || !(due && g.table.Due(o.name, g.told[o.name])) && !(g.table.Shares(o.name) && s.now.Sub(g.last[o.name]) >= beat) {
+		if o == g || !(due && g.table.Due(o.name, g.sentRevision[o.name])) && !(g.table.Shares(o.name) && s.now.Sub(g.lastSent[o.name]) >= datagramInterval) {
 			continue
 		}
 		var reports []Report
-		reports, g.told[o.name] = g.table.Since(o.name, g.told[o.name], s.now)
-		g.last[o.name] = s.now
-		if s.random.Float64() >= s.lost {
-			way := time.Millisecond + time.Duration(s.random.Int64N(int64(s.link)))
-			s.mail = append(s.mail, datagram{g, o, g.incarnation, reports, s.now.Add(way)})
+		reports, g.sentRevision[o.name] = g.table.Since(o.name, g.sentRevision[o.name], s.now)
+		g.lastSent[o.name] = s.now
+		if s.random.Float64() >= s.lossRate {
+			latency := time.Millisecond + time.Duration(s.random.Int64N(int64(s.maxLatency)))
+			s.inFlight = append(s.inFlight, datagram{g, o, g.incarnation, reports, s.now.Add(latency)})
 		}
 	}
 }
 
-// most returns the most calls in any window from a time on.
-func (s *sim) most(from time.Time) int {
-	most, first := 0, 0
+// maxPerWindow returns the largest number of calls in any window since a time.
+func (s *sim) maxPerWindow(from time.Time) int {
+	highest, first := 0, 0
 	for i, at := range s.arrivals {
 		for first < i && (s.arrivals[first].Before(from) || at.Sub(s.arrivals[first]) >= window) {
 			first++
 		}
 		if !s.arrivals[first].Before(from) {
-			most = max(most, i-first+1)
+			highest = max(highest, i-first+1)
 		}
 	}
-	return most
+	return highest
 }
 
-// used returns the calls a second from a time on, as a part of the limit.
-func (s *sim) used(from time.Time) float64 {
+// utilization returns the calls per second since a time, as a fraction of the limit.
+func (s *sim) utilization(from time.Time) float64 {
 	n := 0
 	for _, at := range s.arrivals {
 		if !at.Before(from) {
--- a/pkg/runnerlimit/status.go
+++ b/pkg/runnerlimit/status.go
@@ -7,53 +7,54 @@
 	"time"
 )
 
-// Status is what this gateway knows of a runner's limit.
+// Status is this gateway's state of a runner's limit.
 type Status struct {
 	Runner    string
 	PerSecond float64
-	// NamedAgo is how long ago it was named last, From by whose answer: another gateway's, or
-	// this one's for an empty one.
+	// NamedAgo is the time since a response last named the limit. From is the gateway that received that
+	// response; empty for this gateway.
 	NamedAgo time.Duration
 	From     string
-	// Level is how many calls are left now. Users are the gateways that share the limit, of which
-	// Heard were heard of lately; Own says that this one is among them.
+	// Level is the number of calls that are left now. Users is the number of gateways that share the limit,
+	// Heard the number of them that are reachable, this gateway included. Own is set if this gateway is one
+	// of the users.
 	Level        float64
 	Users, Heard int
 	Own          bool
-	// Sent is how many calls this gateway made to the runner, Withheld how often it did not choose
-	// it, since it learned of the limit.
+	// Sent is the number of calls that this gateway made to the runner since it learned of the limit,
+	// Withheld how often it did not choose the runner because of the limit.
 	Sent, Withheld uint64
 }
 
-// String returns the status as fields of a line.
+// String returns the status as the fields of a log line.
 func (s Status) String() string {
 	return fmt.Sprintf("limit=%g named_ago=%s told_by=%q left=%.1f users=%d heard=%d own=%t sent=%d", s.PerSecond, s.NamedAgo.Round(time.Millisecond), s.From, s.Level, s.Users, s.Heard, s.Own, s.Sent)
 }
 
-// Of returns the limit of a runner, false for none.
+// Of returns the status of a runner's limit; false if no limit is in force.
 func (t *Table) Of(runner string, now time.Time) (Status, bool) {
-	if !t.some.Load() {
+	if !t.nonEmpty.Load() {
 		return Status{}, false
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	l := t.limits[runner]
-	if l == nil || l.over {
+	if l == nil || l.ended {
 		return Status{}, false
 	}
 	return t.status(runner, l, now), true
 }
 
-// All returns the limits in force by runner.
+// All returns the limits in force, sorted by runner.
 func (t *Table) All(now time.Time) []Status {
-	if !t.some.Load() {
+	if !t.nonEmpty.Load() {
 		return nil
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []Status
 	for runner, l := range t.limits {
-		if !l.over {
+		if !l.ended {
 			out = append(out, t.status(runner, l, now))
 		}
 	}
@@ -62,11 +63,11 @@
 }
 
 func (t *Table) status(runner string, l *limit, now time.Time) Status {
-	part := t.share(runner, l, now)
-	l.fill(now, part)
+	fraction := t.share(runner, l, now)
+	l.refill(now, fraction)
 	u := t.usersOf(runner, l)
 	return Status{
 		Runner: runner, PerSecond: l.perSecond, NamedAgo: now.Sub(l.namedAt), From: l.from, Level: l.level, Users: len(u.names),
-		Heard: t.heardUsers(u, now), Own: u.own, Sent: l.sent, Withheld: l.withheld,
+		Heard: t.reachableUsers(u, now), Own: u.own, Sent: l.sent, Withheld: l.withheld,
 	}
 }
--- a/pkg/runnerlimit/users.go
+++ b/pkg/runnerlimit/users.go
@@ -8,33 +8,33 @@
 )
 
 const (
-	// A runner bears overshoot times what its limit allows in any window, and slack calls more.
+	// A runner tolerates overshoot times its limit in any window, plus slack calls.
 	window    = 4 * time.Second
 	overshoot = 1.5
 	slack     = 5
-	// racePart is the part of what is beyond the limit and a full bucket that the users may send
-	// at the same moment, without hearing of each other. The rest is for gateways that do not know
-	// the same others, and for news that is lost once.
-	racePart = 0.75
-	// heardFor is how long a user that is not heard of counts as one that hears: three of the
-	// datagrams that users send each other at least.
-	heardFor = time.Second
+	// raceFraction is the fraction of the calls tolerated beyond the limit and a full bucket that the users
+	// may send at the same moment, before they learn of each other's calls. The rest is for gateways whose
+	// membership lists differ, and for reports that are lost once.
+	raceFraction = 0.75
+	// reachableTimeout is how long a user counts as reachable after the last message from it: at least three
+	// of the datagrams that users send each other.
+	reachableTimeout = time.Second
 )
 
-// members are the gateways that are known.
+// members are the gateways of the membership list.
 type members struct {
 	*subset.Subset
-	// heard is when each was heard of last.
-	heard map[string]time.Time
-	// version counts the changes of the names.
+	// lastReceived is the time of the last message from each gateway.
+	lastReceived map[string]time.Time
+	// version counts the changes of the list.
 	version uint64
 }
 
 func newMembers(self string) members {
-	return members{Subset: subset.New(self, nil), heard: map[string]time.Time{}, version: 1}
+	return members{Subset: subset.New(self, nil), lastReceived: map[string]time.Time{}, version: 1}
 }
 
-// Members says which other gateways there are, the silent ones too.
+// Members sets the other gateways of the membership list, silent ones included.
 func (t *Table) Members(others []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -42,60 +42,62 @@
 	t.members.version++
 }
 
-// GatewaySeen records that something came from another gateway.
+// GatewaySeen records that a message of another gateway was received.
 func (t *Table) GatewaySeen(gateway string, now time.Time) {
-	if !t.some.Load() {
+	if !t.nonEmpty.Load() {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.members.heard[gateway] = now
+	t.members.lastReceived[gateway] = now
 }
 
 // users are the gateways that share a limit.
 type users struct {
 	names []string
-	// own says that this gateway is one of them.
+	// own is set if this gateway is one of them.
 	own bool
-	// most is how many they were to be, version that of the members.
-	most    int
-	version uint64
+	// maxUsers and version are the maximum number of users and the version of members that names was computed
+	// for.
+	maxUsers int
+	version  uint64
 }
 
-// mostUsers returns how many gateways may share the limit: as many as the runner bears requests
-// beyond the limit and a full bucket, since each user may send one without hearing of the others.
-func (l *limit) mostUsers() int {
+// maxUsers returns how many gateways may share the limit. Each user may send one request before it learns of
+// the calls of the others, so the runner must tolerate as many requests beyond the limit and a full bucket.
+func (l *limit) maxUsers() int {
 	spare := window.Seconds()*l.rate()*(overshoot-1) + slack - l.capacity()
-	return 1 + max(0, int(racePart*spare/float64(l.calls)))
+	return 1 + max(0, int(raceFraction*spare/float64(l.calls)))
 }
 
 // usersOf returns the gateways that share a limit.
 func (t *Table) usersOf(runner string, l *limit) *users {
-	most := l.mostUsers()
-	if l.users.version != t.members.version || l.users.most != most {
-		names := t.members.First(runner, most)
-		l.users = users{names: names, own: slices.Contains(names, t.self), most: most, version: t.members.version}
+	maxUsers := l.maxUsers()
+	if l.users.version != t.members.version || l.users.maxUsers != maxUsers {
+		names := t.members.First(runner, maxUsers)
+		l.users = users{names: names, own: slices.Contains(names, t.self), maxUsers: maxUsers, version: t.members.version}
 	}
 	return &l.users
 }
 
-// share returns the part of a limit that this gateway may count as its bucket's: that of the users
-// that it hears. Gateways that are cut off from each other never use the same part twice.
+// share returns the fraction of the rate at which this gateway fills its bucket: the fraction of the users
+// that are reachable. Gateways that are partitioned from each other therefore never use the same part of a
+// limit.
 func (t *Table) share(runner string, l *limit, now time.Time) float64 {
 	u := t.usersOf(runner, l)
 	if !u.own {
 		return 0
 	}
-	return float64(t.heardUsers(u, now)) / float64(len(u.names))
+	return float64(t.reachableUsers(u, now)) / float64(len(u.names))
 }
 
-// heardUsers returns how many of some users were heard of lately, this one included.
-func (t *Table) heardUsers(u *users, now time.Time) int {
-	heard := 0
+// reachableUsers returns the number of users that are reachable, this gateway included.
+func (t *Table) reachableUsers(u *users, now time.Time) int {
+	reachable := 0
 	for _, name := range u.names {
-		if name == t.self || now.Sub(t.members.heard[name]) <= heardFor {
-			heard++
+		if name == t.self || now.Sub(t.members.lastReceived[name]) <= reachableTimeout {
+			reachable++
 		}
 	}
-	return heard
+	return reachable
 }
