--- a/pkg/notice/notice.go
+++ b/pkg/notice/notice.go
@@ -57,7 +57,7 @@
 // leaves reports whether the runner is leaving, or ends so soon that it gets no more work.
 func (n *Notice) leaves() bool { return n.Leaving || n.Ends && n.LeavesIn <= leavingLeadTime }
 
-// Purpose is the purpose of a call to a runner.
+// Purpose distinguishes calls that load a runner from calls that don't.
 type Purpose uint8
 
 // The purposes.
--- a/pkg/notice/notice_test.go
+++ b/pkg/notice/notice_test.go
@@ -17,8 +17,8 @@
 
 func asksFor(length time.Duration) Notice { return Notice{Refused: true, RetryAfter: length} }
 
-// Guards against a leaving notice that a later response or read of the runners revokes, or that applies to
-// the next incarnation.
+// Guards against a leaving notice that a later response or reading of the list of runners revokes, or that
+// applies to the next incarnation.
 func TestLeavingIsPerIncarnationAndPermanent(t *testing.T) {
 	g := NewWithT(t)
 	table := New()
@@ -35,7 +35,7 @@
 }
 
 // Guards against requests during a pause that a runner asked for right after a restart. Its response was
-// attributed to the previous incarnation, and the pause was dropped together with that.
+// attributed to the previous incarnation, with which the pause was dropped.
 func TestPauseBelongsToIncarnationThatAsked(t *testing.T) {
 	for name, c := range map[string]struct {
 		asked, began, learned float64
--- a/pkg/notice/pause.go
+++ b/pkg/notice/pause.go
@@ -26,8 +26,8 @@
 	asked                   int
 	// endReported is set once the end of the pause was reported to Table.Changed.
 	endReported bool
-	// window bounds the concurrent requests after the pause, claims holds the time of each request's claim.
-	// Per response time, the window doubles up to threshold and grows by one beyond it.
+	// window bounds the concurrent requests after the pause, claims holds the time of each request's claim by
+	// request ID. Per response time, the window doubles up to threshold and grows by one beyond it.
 	window, threshold float64
 	claims            map[string]time.Time
 }
--- a/pkg/notice/simulation_test.go
+++ b/pkg/notice/simulation_test.go
@@ -150,7 +150,8 @@
 	return best
 }
 
-// Guards against a slow start after which runners refuse more requests, or serve fewer, than without one.
+// Guards against a slow start that makes runners refuse more requests, or serve fewer, than a return at full
+// load after a pause.
 func TestSlowStartAddsNoRefusalsAndKeepsThroughput(t *testing.T) {
 	for _, gateways := range []int{4, 30} {
 		for _, load := range []float64{0.7, 1, 1.5, 3} {
--- a/pkg/runnerlimit/exchange.go
+++ b/pkg/runnerlimit/exchange.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// broadcastChange is the relative change of a limit from which on it is sent to all gateways at once. The
-// users of the limit receive each value with the call counts.
+// broadcastChange is the relative change of a limit above which the limit is sent to all gateways at once.
+// Its users receive each value with the call counts.
 const broadcastChange = 0.05
 
 // Report is what a gateway sends to another about a runner's limit.
@@ -58,7 +58,8 @@
 	return false
 }
 
-// shouldReceive reports whether a limit is to be sent to a gateway that was last sent the revision since.
+// shouldReceive reports whether a limit has to be sent to a gateway that has received everything up to the
+// revision since.
 func (t *Table) shouldReceive(gateway, runner string, l *limit, since uint64) bool {
 	if l.changeRevision > since {
 		return true
@@ -108,15 +109,15 @@
 
 func (t *Table) receive(gateway string, incarnation uint64, r Report, now time.Time) *Change {
 	l := t.limits[r.Runner]
-	named, ended := now.Add(-r.NamedAgo), now.Add(-r.EndedAgo)
+	namedAt, endedAt := now.Add(-r.NamedAgo), now.Add(-r.EndedAgo)
 	var change *Change
 	switch {
-	case r.Over && l != nil && !l.ended && ended.After(l.namedAt):
-		change = t.end(r.Runner, ended, now, gateway)
+	case r.Over && l != nil && !l.ended && endedAt.After(l.namedAt):
+		change = t.end(r.Runner, endedAt, now, gateway)
 	case r.Over || r.NamedAgo > retention:
 		return nil
-	case l == nil || l.ended && named.After(l.endedAt) || !l.ended && named.After(l.namedAt):
-		change = t.setLimit(r.Runner, r.Statement, named, now, gateway)
+	case l == nil || l.ended && namedAt.After(l.endedAt) || !l.ended && namedAt.After(l.namedAt):
+		change = t.setLimit(r.Runner, r.Statement, namedAt, now, gateway)
 	}
 	if l = t.limits[r.Runner]; !l.ended {
 		l.countPeerCalls(gateway, callCount{incarnation, r.Sent}, now, t.share(r.Runner, l, now))
--- a/pkg/runnerlimit/limit.go
+++ b/pkg/runnerlimit/limit.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// fillTime is the time in which an empty bucket fills; unused calls are kept no longer. minCapacity is
-	// the least capacity of a bucket in calls: the number that one request takes.
+	// fillTime is the time in which an empty bucket fills, so that no more calls accumulate than in this
+	// time. minCapacity is the least capacity of a bucket in calls: the number that one request takes.
 	fillTime    = time.Second
 	minCapacity = 2
 	// minRate is the rate in calls per second that a runner gets even if it names a lower one, so that its
@@ -24,8 +24,8 @@
 	perSecond float64
 	kind      Kind
 	calls     int
-	// learnedAt is when this gateway learned of the limit. namedAt is when a response last named it, from the
-	// gateway that received that response; empty for this gateway.
+	// learnedAt is when this gateway learned of the limit. namedAt is when a response last named the limit.
+	// from is the gateway that received that response; empty for this gateway.
 	learnedAt, namedAt time.Time
 	from               string
 	// ended is set when the response to a call sent at endedAt no longer named the limit.
@@ -38,8 +38,8 @@
 	// level is the number of calls left for all users at the time filledAt.
 	level    float64
 	filledAt time.Time
-	// recentCalls are the times of this gateway's latest calls, which the other users may not have learned
-	// of. claims are the calls reserved for requests, by request.
+	// recentCalls are the times of this gateway's calls within propagationTime, which the other users may not
+	// have learned of. claims are the calls reserved for requests, by request ID.
 	recentCalls []time.Time
 	claims      map[string]claim
 	// sent is the number of this gateway's calls since it learned of the limit, withheld how often it did not
@@ -85,8 +85,8 @@
 // capacity returns the capacity of the bucket in calls.
 func (l *limit) capacity() float64 { return max(minCapacity, l.rate()*fillTime.Seconds()) }
 
-// refill fills the bucket up to the given time at a fraction of the rate, and drops expired entries of
-// recentCalls and claims.
+// refill adds the calls that accrued until the given time at a fraction of the rate, and drops expired
+// entries of recentCalls and claims.
 func (l *limit) refill(now time.Time, fraction float64) {
 	if passed := now.Sub(l.filledAt).Seconds(); passed > 0 {
 		l.level = min(l.level+passed*l.rate()*fraction, l.capacity())
@@ -100,8 +100,8 @@
 	}
 }
 
-// consume takes calls out of the bucket. Calls over the limit are made up for later, but no more of them than
-// the users can have sent before they learned of each other's calls.
+// consume takes calls out of the bucket. Its level falls below zero for calls over the limit, which are made
+// up for later, but by no more than the users can have sent before they learned of each other's calls.
 func (l *limit) consume(calls float64) {
 	l.level = max(l.level-calls, -l.capacity()-float64(l.maxUsers()*l.calls))
 }
--- a/pkg/runnerlimit/room.go
+++ b/pkg/runnerlimit/room.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Room reports whether this gateway may send a runner one more request now that takes the given number of
+// Room reports whether this gateway may now send a runner one more request that takes the given number of
 // calls.
 func (t *Table) Room(runner string, calls int, now time.Time) bool {
 	if !t.nonEmpty.Load() {
@@ -95,8 +95,8 @@
 	l := t.limits[runner]
 	fraction := t.share(runner, l, now)
 	if fraction == 0 {
-		// This gateway has no share, but another gateway may have room. The wait is estimated as if that one
-		// used nothing in the meantime.
+		// This gateway has no share, but another one may have room. The wait is estimated at the full rate,
+		// for a gateway that sends nothing in the meantime.
 		fraction = 1
 	}
 	return l.after(calls, fraction)
--- a/pkg/runnerlimit/runnerlimit.go
+++ b/pkg/runnerlimit/runnerlimit.go
@@ -1,10 +1,10 @@
-// Package runnerlimit enforces the rate limits that overloaded runners name: a number of requests per second
-// from all gateways together, in force for as long as the runner's responses name it. The package does no
-// I/O; callers pass in the time.
+// Package runnerlimit enforces the rate limits that overloaded runners name: a number of HTTP requests
+// (calls) per second from all gateways together, in force for as long as the runner's responses name it. The
+// package does no I/O; callers pass in the time.
 //
 // A limit is shared by some of the gateways (its users), chosen by rendezvous hashing; the other gateways
 // send nothing to the runner. Each user counts the calls of all users in a token bucket: its own at once,
-// those of the others when it receives their reports. docs/design/runner-limits.md lists the alternatives
+// those of the others when it receives their reports. docs/design/runner-limits.md describes the alternatives
 // that were considered.
 package runnerlimit
 
@@ -15,8 +15,8 @@
 	"time"
 )
 
-// Kind is the kind of a call to a runner. A limit named in responses to calls of one kind ends when a
-// response to the same kind no longer names it, because responses to other kinds may never have named it.
+// Kind is the kind of a call to a runner. A limit named in the response to a call ends when the response to a
+// later call of the same kind doesn't name it. Responses to calls of other kinds may never have named it.
 type Kind uint8
 
 // The kinds of calls.
@@ -34,8 +34,8 @@
 	Kind Kind
 	// Asked is when the call was sent.
 	Asked time.Time
-	// Named is set if the response names a limit, PerSecond is the limit. Unreadable is set if the response
-	// has a value that is not a valid limit.
+	// Named is set if the response names a valid limit, which is PerSecond in calls per second. Unreadable is
+	// set if the response has a value that is not a valid limit.
 	Named      bool
 	PerSecond  float64
 	Unreadable bool
@@ -71,7 +71,7 @@
 }
 
 const (
-	// logChange is the relative change since the last report to Changed from which on a limit is reported
+	// logChange is the relative change since the last report to Changed above which a limit is reported
 	// again.
 	logChange = 0.2
 	// retention is how long a limit is kept after the last response that named or ended it. A silent gateway
--- a/pkg/runnerlimit/runnerlimit_test.go
+++ b/pkg/runnerlimit/runnerlimit_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// recordChanges returns a table and the list of the changes that it reports.
+// recordChanges returns t and the list of the changes that t reports.
 func recordChanges(t *Table) (*Table, *[]string) {
 	var out []string
 	t.Changed = func(c Change) { out = append(out, c.What+" "+c.From) }
@@ -109,8 +109,8 @@
 	g.Expect(*changes).To(HaveLen(2))
 }
 
-// A restarted gateway counts from zero. The first report of a gateway is charged for no more than the limit
-// allowed since this gateway learned of the limit.
+// A restarted gateway counts from zero. In its first report a gateway is charged for no more calls than the
+// limit allowed since the receiver learned of the limit.
 func TestCallsOfAnotherGatewayAreCountedOnce(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
--- a/pkg/runnerlimit/simulation_test.go
+++ b/pkg/runnerlimit/simulation_test.go
@@ -39,7 +39,7 @@
 	// demand is the number of requests per second that would go to the runner if it named no limit.
 	demand float64
 	// partition is the part of the network that the gateway is in: only gateways in the same part exchange
-	// datagrams. The gateway is suspended until frozenUntil.
+	// datagrams. The gateway's process is frozen until frozenUntil.
 	partition    int
 	frozenUntil  time.Time
 	sentRevision map[string]uint64
--- a/pkg/runnerlimit/status.go
+++ b/pkg/runnerlimit/status.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Status is this gateway's state of a runner's limit.
+// Status is the state of a runner's limit at this gateway.
 type Status struct {
 	Runner    string
 	PerSecond float64
--- a/pkg/runnerlimit/users.go
+++ b/pkg/runnerlimit/users.go
@@ -16,12 +16,12 @@
 	// may send at the same moment, before they learn of each other's calls. The rest is for gateways whose
 	// membership lists differ, and for reports that are lost once.
 	raceFraction = 0.75
-	// reachableTimeout is how long a user counts as reachable after the last message from it: at least three
-	// of the datagrams that users send each other.
+	// reachableTimeout is how long a user counts as reachable after the last message from it. At least three
+	// of the datagrams that users send each other fit into it.
 	reachableTimeout = time.Second
 )
 
-// members are the gateways of the membership list.
+// members is the membership list of the gateways.
 type members struct {
 	*subset.Subset
 	// lastReceived is the time of the last message from each gateway.
