--- a/pkg/enginepool/demand.go
+++ b/pkg/enginepool/demand.go
@@ -5,75 +5,77 @@
 	"time"
 )
 
-// demand learns how an engine's time divides between prefill and decode, from what is
-// served: it is a property of the requests, whatever number of engines serves them.
+// demand learns from the requests served how an engine's time divides between prefill and
+// decode. The ratio is a property of the requests, whatever number of engines serves them.
 type demand struct {
-	// prefill is the time of an engine that prompts take, decode that of an engine's
-	// memory that answers take, both weighted; in seconds.
+	// prefill is the engine time that prompts take, in seconds. decode is the time for
+	// which responses occupy memory, in seconds of one engine's whole memory. Both are
+	// exponentially decayed sums.
 	prefill, decode float64
-	// answers is how many answers were seen, weighted; at is when the last one began.
-	answers float64
-	at      time.Time
+	// responses is the decayed number of responses; at is when the last one began.
+	responses float64
+	at        time.Time
 }
 
 const (
-	// demandFor is the time in which what was seen falls to a third: long beside a
-	// burst, short beside a change of the load that lasts.
-	demandFor = 30 * time.Second
-	// leastAnswers is how many answers must have been seen for a share to count: the
-	// mean of so many differs by a fifth from that of all, where lengths spread by 0.7.
-	leastAnswers = 12
+	// demandDecayTime is the time in which the weight of a response falls to a third (1/e):
+	// long compared with a burst, short compared with a lasting change of the load.
+	demandDecayTime = 30 * time.Second
+	// minResponses is the least decayed number of responses for which share returns a value:
+	// the mean of 12 differs by a fifth from the true mean if the logarithm of the lengths
+	// has a standard deviation of 0.7.
+	minResponses = 12
 )
 
-// add records an answer that begins, with the times that its prompt and its stay in
-// memory are expected to take of an engine.
+// add records a response that begins, with the expected engine time of its prompt and the
+// expected occupation of memory, both in seconds.
 func (d *demand) add(prefill, decode float64, now time.Time) {
-	keep := 1.0
+	decay := 1.0
 	if !d.at.IsZero() {
-		keep = math.Exp(-max(0, now.Sub(d.at).Seconds()) / demandFor.Seconds())
+		decay = math.Exp(-max(0, now.Sub(d.at).Seconds()) / demandDecayTime.Seconds())
 	}
-	d.prefill = d.prefill*keep + prefill
-	d.decode = d.decode*keep + decode
-	d.answers = d.answers*keep + 1
+	d.prefill = d.prefill*decay + prefill
+	d.decode = d.decode*decay + decode
+	d.responses = d.responses*decay + 1
 	d.at = now
 }
 
-// share returns the part of the engines' time that prefill takes, false while too
-// little was seen.
+// share returns the fraction of the engines' time that prefill takes, false if fewer than
+// minResponses responses count.
 func (d *demand) share() (float64, bool) {
-	if d.answers < leastAnswers || d.prefill+d.decode <= 0 {
+	if d.responses < minResponses || d.prefill+d.decode <= 0 {
 		return 0, false
 	}
 	return d.prefill / (d.prefill + d.decode), true
 }
 
-// PrefillShare returns the part of the engines' time that prefill takes, by what this
-// gateway has served lately; false while that is too little.
+// PrefillShare returns the fraction of the engines' time that prefill takes, learned from
+// the requests that this gateway served recently; false if they are too few.
 func (p *Pool) PrefillShare() (float64, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.demand.share()
 }
 
-// learnDemand learns from an answer that begins. One that is over would say more, but
-// short answers are over first. The caller holds the lock.
+// learnDemand records a response that begins. The length of a finished response would be
+// exact, but short responses finish first and would bias the mean. The caller holds the lock.
 func (p *Pool) learnDemand(j Job, now time.Time) {
-	made := j.Length.Expected(0)
-	// The answer grows evenly: half of it is there in the mean.
-	memory := (float64(j.Prompt) + made/2) / float64(max(1, p.capacity()))
-	p.demand.add(float64(j.Prompt)/p.meanPace(), memory*made/p.rate, now)
+	generated := j.Length.Expected(0)
+	// The response grows at an even rate, so that on average half of it occupies memory.
+	memory := (float64(j.Prompt) + generated/2) / float64(max(1, p.capacity()))
+	p.demand.add(float64(j.Prompt)/p.meanPrefillRate(), memory*generated/p.rate, now)
 }
 
-// meanPace returns what a prefill runner reads in a second, by those that were learned.
-// The caller holds the lock.
-func (p *Pool) meanPace() float64 {
+// meanPrefillRate returns the mean of the learned rates of the prefill runners, in tokens
+// per second. The caller holds the lock.
+func (p *Pool) meanPrefillRate() float64 {
 	sum, n := 0.0, 0
-	for _, r := range p.readers {
-		sum += r.pace
+	for _, r := range p.prefillRunners {
+		sum += r.rate
 		n++
 	}
 	if n == 0 {
-		return firstPace
+		return initialPrefillRate
 	}
 	return sum / float64(n)
 }
--- a/pkg/enginepool/demand_test.go
+++ b/pkg/enginepool/demand_test.go
@@ -7,9 +7,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// serve lets an engine begin answers to n prompts of a length, which clients guess to
-// be so long.
-func serve(p *Pool, n, prompt, guess int, now time.Time) {
+// recordResponses begins and ends n requests on an engine, with prompts of a length in tokens
+// and a guessed length of the response.
+func recordResponses(p *Pool, n, prompt, guess int, now time.Time) {
 	for i := range n {
 		id := "job" + string(rune('a'+i%26))
 		e := p.engine("d1")
@@ -19,11 +19,11 @@
 	}
 }
 
-func TestTheShareOfPrefillFollowsTheRequests(t *testing.T) {
+func TestPrefillShareDependsOnPromptAndResponseLengths(t *testing.T) {
 	g := NewWithT(t)
 	share := func(prompt, guess int) float64 {
 		p, _ := pool(2, 1, 40000)
-		serve(p, 2*leastAnswers, prompt, guess, time.Now())
+		recordResponses(p, 2*minResponses, prompt, guess, time.Now())
 		s, known := p.PrefillShare()
 		g.Expect(known).To(BeTrue())
 		return s
@@ -34,19 +34,19 @@
 	g.Expect(usual).To(And(BeNumerically(">", 0), BeNumerically("<", 1)))
 }
 
-func TestTheShareIsUnknownAtFirstAndFollowsAChange(t *testing.T) {
+func TestPrefillShareIsUnknownAtFirstAndFollowsLoadChange(t *testing.T) {
 	g := NewWithT(t)
 	p, _ := pool(2, 1, 40000)
 	now := time.Now()
 	_, known := p.PrefillShare()
 	g.Expect(known).To(BeFalse())
-	serve(p, leastAnswers-1, 3000, 600, now)
+	recordResponses(p, minResponses-1, 3000, 600, now)
 	_, known = p.PrefillShare()
 	g.Expect(known).To(BeFalse())
-	serve(p, 100, 3000, 600, now)
+	recordResponses(p, 100, 3000, 600, now)
 	before, _ := p.PrefillShare()
-	serve(p, 20, 9000, 150, now.Add(5*demandFor))
+	recordResponses(p, 20, 9000, 150, now.Add(5*demandDecayTime))
 	after, known := p.PrefillShare()
 	g.Expect(known).To(BeTrue())
-	g.Expect(after).To(BeNumerically(">", 1.5*before), "what is long past hardly counts")
+	g.Expect(after).To(BeNumerically(">", 1.5*before), "old requests hardly count")
 }
--- a/pkg/enginepool/enginepool_bench_test.go
+++ b/pkg/enginepool/enginepool_bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/hopwell/hopwell/pkg/runners"
 )
 
-// BenchmarkPlace tells what one choice of a decode runner costs, with ten answers on
-// each runner, where all have room and where none has.
+// BenchmarkPlace measures the choice of a decode runner with ten requests on each runner, with
+// room on all runners and on none.
 func BenchmarkPlace(b *testing.B) {
 	for _, c := range []struct{ runners, memory int }{{12, 37745}, {64, 37745}, {730, 37745}, {730, 26000}} {
 		n := c.runners
@@ -40,10 +40,10 @@
 	}
 }
 
-// BenchmarkStateOfAll tells what a gateway's looks at all engines cost, of which it uses 240 and
-// reserved on a few: everything for another gateway (for each period in which one is due), and the
-// state for the log (once a second).
-func BenchmarkStateOfAll(b *testing.B) {
+// BenchmarkFullSnapshotAndStatus measures the iterations of a gateway over all engines: a full snapshot for
+// another gateway (in each period in which one is due), and the status for the log (once a
+// second). A gateway uses 240 of these engines and has reservations on a few.
+func BenchmarkFullSnapshotAndStatus(b *testing.B) {
 	for _, n := range []int{300, 3000} {
 		d := runners.NewDirectory("a")
 		for i := range n {
@@ -70,9 +70,9 @@
 	}
 }
 
-// BenchmarkReceiveEverything tells what everything that another gateway reserved costs to take, on 8
-// of a number of engines. Each gateway sends it every few seconds to each other.
-func BenchmarkReceiveEverything(b *testing.B) {
+// BenchmarkReceiveFullSnapshot measures the receipt of another gateway's full snapshot, with load on
+// 8 of a number of engines. Each gateway sends one to each other every few seconds.
+func BenchmarkReceiveFullSnapshot(b *testing.B) {
 	for _, n := range []int{300, 3000} {
 		b.Run(fmt.Sprintf("%d engines", n), func(b *testing.B) {
 			p := New("llm", runners.NewDirectory("a"), Options{Fill: 1})
--- a/pkg/enginepool/enginepool_test.go
+++ b/pkg/enginepool/enginepool_test.go
@@ -32,8 +32,8 @@
 	return p, d
 }
 
-// exact is an estimate without spread.
-func exact(tokens int) Estimate { return Estimate{median: float64(tokens), spread: leastSpread} }
+// exact is an estimate with the least spread.
+func exact(tokens int) Estimate { return Estimate{median: float64(tokens), spread: minSpread} }
 
 func job(id string, prompt, out int) Job { return Job{ID: id, Prompt: prompt, Length: exact(out)} }
 
@@ -43,7 +43,7 @@
 	return p.Wait(ctx, p.Join(j, rank))
 }
 
-func TestWaitTakesTheRunnerWithTheMostRoom(t *testing.T) {
+func TestWaitChoosesRunnerWithMostRoom(t *testing.T) {
 	g := NewWithT(t)
 	p, _ := pool(2, 0, 10000)
 	first, err := wait(p, job("a", 1000, 100), Fresh, time.Second)
@@ -53,9 +53,9 @@
 	g.Expect(second.ID).NotTo(Equal(first.ID))
 }
 
-// Work that has begun goes first and late work last, whatever is urgent; in between what operators
-// call more urgent goes before what returns, and that before what is asked for the first time.
-func TestTheMoreUrgentGoesFirst(t *testing.T) {
+// Begun work goes first and late work last, whatever the priority. Between them a lower priority
+// number goes first, and at the same priority returning requests go before fresh ones.
+func TestQueueOrdersByTierPriorityAndRank(t *testing.T) {
 	spectest.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		p, _ := pool(1, 0, 1000)
@@ -80,7 +80,7 @@
 	})
 }
 
-func TestWaitCountsWhatOtherGatewaysReserved(t *testing.T) {
+func TestWaitCountsReservationsOfOtherGateways(t *testing.T) {
 	g := NewWithT(t)
 	p, _ := pool(2, 0, 10000)
 	p.ReceiveSnapshot("other", oneLoad("d0", 9900, 50), time.Now())
@@ -91,12 +91,12 @@
 	}
 }
 
-// oneLoad is another gateway's report of one reservation.
+// oneLoad is another gateway's full snapshot with one reservation.
 func oneLoad(runner string, now, left int) Snapshot {
 	return Snapshot{Full: true, Engines: []EngineLoad{{Runner: runner, Loads: []Load{{Now: now, Left: left}}}}}
 }
 
-func TestWhatASilentGatewayReservedIsDropped(t *testing.T) {
+func TestDropGatewayFreesItsReservations(t *testing.T) {
 	g := NewWithT(t)
 	p, _ := pool(1, 0, 10000)
 	now := time.Now()
@@ -109,7 +109,7 @@
 	g.Expect(err).NotTo(HaveOccurred())
 }
 
-func TestRefusedRunnersAreLeftAloneForAMoment(t *testing.T) {
+func TestRefusedRunnerIsSkippedBriefly(t *testing.T) {
 	g := NewWithT(t)
 	p, _ := pool(1, 0, 10000)
 	now := time.Now()
@@ -122,7 +122,7 @@
 	g.Expect(p.place(&Waiter{job: job("b", 1, 1)}, now.Add(time.Second))).NotTo(BeNil())
 }
 
-func TestReturningGoBeforeFresh(t *testing.T) {
+func TestReturningJobGoesBeforeFreshJob(t *testing.T) {
 	g := NewWithT(t)
 	p, _ := pool(1, 0, 1000)
 	s, err := wait(p, job("first", 900, 50), Fresh, time.Second)
@@ -135,7 +135,7 @@
 	g.Expect(fresh.granted).NotTo(Receive())
 }
 
-func TestNothingLargerPassesWhatWaitsFirst(t *testing.T) {
+func TestLargerJobDoesNotPassFirstWaiter(t *testing.T) {
 	g := NewWithT(t)
 	p, _ := pool(1, 0, 1000)
 	_, err := wait(p, job("first", 400, 50), Fresh, time.Second)
@@ -150,7 +150,7 @@
 	g.Expect(larger.granted).NotTo(Receive())
 }
 
-func TestAWaiterThatLeavesTakesNothingWithIt(t *testing.T) {
+func TestWaiterThatTimesOutHoldsNoMemory(t *testing.T) {
 	g := NewWithT(t)
 	p, _ := pool(1, 0, 1000)
 	s, _ := wait(p, job("first", 900, 50), Fresh, time.Second)
@@ -161,16 +161,16 @@
 	g.Expect(err).NotTo(HaveOccurred())
 }
 
-// The peak is that of a simulation in small steps, never below it.
-func TestPeakIsThatOfASimulation(t *testing.T) {
+// Compares peak with a simulation in steps of one token.
+func TestPeakMatchesSimulation(t *testing.T) {
 	spectest.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		n := rapid.IntRange(0, 8).Draw(t, "n")
-		var stays []part
+		var stays []footprint
 		for range n {
-			stays = append(stays, part{now: float64(rapid.IntRange(1, 500).Draw(t, "now")), left: float64(rapid.IntRange(0, 200).Draw(t, "left"))})
+			stays = append(stays, footprint{now: float64(rapid.IntRange(1, 500).Draw(t, "now")), left: float64(rapid.IntRange(0, 200).Draw(t, "left"))})
 		}
-		add := part{now: float64(rapid.IntRange(1, 500).Draw(t, "prompt")), left: float64(rapid.IntRange(0, 200).Draw(t, "out"))}
+		add := footprint{now: float64(rapid.IntRange(1, 500).Draw(t, "prompt")), left: float64(rapid.IntRange(0, 200).Draw(t, "out"))}
 		most := 0.0
 		for at := 0; at <= 200; at++ {
 			sum := 0.0
@@ -185,7 +185,7 @@
 	})
 }
 
-func TestPrefillTakesTheShortestWait(t *testing.T) {
+func TestPrefillChoosesRunnerWithShortestWait(t *testing.T) {
 	g := NewWithT(t)
 	p, _ := pool(0, 2, 1000)
 	now := time.Now()
@@ -196,8 +196,8 @@
 	g.Expect(expected).To(BeNumerically("~", 100*time.Millisecond, time.Millisecond))
 }
 
-// A KV cache that could not be fetched counts as its prefill runner's failure.
-func TestPrefillLeavesRunnersWhoseHandlesLapse(t *testing.T) {
+// A KV cache that could not be fetched counts as a failure of its prefill runner.
+func TestPrefillAvoidsFailingAndExcludedRunners(t *testing.T) {
 	g := NewWithT(t)
 	p, d := pool(0, 2, 1000)
 	now := time.Now()
@@ -210,7 +210,7 @@
 	g.Expect(err).To(BeAssignableToTypeOf(none))
 }
 
-func TestPrefillLearnsThePace(t *testing.T) {
+func TestPrefillLearnsRate(t *testing.T) {
 	g := NewWithT(t)
 	p, _ := pool(0, 1, 1000)
 	now := time.Now()
@@ -220,10 +220,10 @@
 		now = now.Add(300 * time.Millisecond)
 		p.EndPrefill("p0", "a", true, now)
 	}
-	g.Expect(p.readers["p0"].pace).To(BeNumerically("~", 10000, 200))
+	g.Expect(p.prefillRunners["p0"].rate).To(BeNumerically("~", 10000, 200))
 }
 
-func TestLengthsLearnTheErrorOfGuesses(t *testing.T) {
+func TestLengthsLearnBiasOfGuesses(t *testing.T) {
 	g := NewWithT(t)
 	l := NewLengths()
 	before := l.Estimate(500, 0).Expected(0)
@@ -236,13 +236,13 @@
 	g.Expect(after.Expected(0)).To(BeNumerically("~", 1000, 50))
 }
 
-// What is expected is never below what was made, never above the most, and does
-// not fall as an answer grows.
-func TestExpectedGrowsWithWhatWasMade(t *testing.T) {
+// The expected length is never below the number of generated tokens, never above the limit, and
+// does not fall while a response grows.
+func TestExpectedLengthGrowsWithGeneratedTokens(t *testing.T) {
 	spectest.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		most := rapid.IntRange(100, 4000).Draw(t, "most")
-		b := Estimate{median: rapid.Float64Range(1, 4000).Draw(t, "median"), spread: rapid.Float64Range(leastSpread, 1).Draw(t, "spread"), most: float64(most)}
+		b := Estimate{median: rapid.Float64Range(1, 4000).Draw(t, "median"), spread: rapid.Float64Range(minSpread, 1).Draw(t, "spread"), maxTokens: float64(most)}
 		last := 0.0
 		for made := 0; made <= most; made += 1 + most/37 {
 			v := b.Expected(made)
@@ -253,7 +253,7 @@
 	})
 }
 
-func TestWhatIsLateGoesBehindWhatCanStillBeInTime(t *testing.T) {
+func TestLateJobGoesBehindJobsThatCanMeetDeadline(t *testing.T) {
 	g := NewWithT(t)
 	p, _ := pool(1, 0, 1000)
 	s, err := wait(p, job("first", 900, 50), Fresh, time.Second)
@@ -277,9 +277,9 @@
 	}
 }
 
-// With a free choice the emptiest runner is taken, and the prefill runner that will have
-// read first, however many gateways there are: what they reserve is known at once.
-func TestTheEmptiestRunnerIsTaken(t *testing.T) {
+// All runners are sampled here: the decode runner with the most room and the prefill runner with
+// the shortest backlog are chosen, by the load that another gateway reported.
+func TestLeastLoadedRunnerIsChosen(t *testing.T) {
 	g := NewWithT(t)
 	p, _ := pool(8, 8, 10000)
 	var loads []EngineLoad
@@ -300,10 +300,10 @@
 	}
 }
 
-// A choice among many runners looks at a bounded number of them, and still finds room
-// that one in four has. The runners have no order, so that one look in 15,000 meets none of these: who
-// waits looks again at the next pulse, and two looks in a row meet one.
-func TestAChoiceAmongManyRunnersFindsRoom(t *testing.T) {
+// A choice samples a limited number of runners, and still finds room if one runner in four has
+// it. The sample is random: one in 15,000 contains no such runner. A waiting job is tried again
+// at the next periodic dispatch, and one of two consecutive samples contains a runner with room.
+func TestSampleOfManyRunnersFindsRoom(t *testing.T) {
 	g := NewWithT(t)
 	d := runners.NewDirectory("a")
 	var full []EngineLoad
@@ -323,7 +323,7 @@
 	defer p.mu.Unlock()
 	missed := 0
 	for i := range 50 {
-		g.Expect(len(p.look(runners.Decode, nil, now))).To(Equal(maxLooked))
+		g.Expect(len(p.sample(runners.Decode, nil, now))).To(Equal(maxSampled))
 		w := &Waiter{job: job(fmt.Sprint(i), 100, 10)}
 		placed := p.place(w, now)
 		if placed == nil {
@@ -332,26 +332,25 @@
 		}
 		g.Expect(placed).NotTo(BeNil())
 	}
-	g.Expect(missed).To(BeNumerically("<=", 1), "of 50 looks")
+	g.Expect(missed).To(BeNumerically("<=", 1), "of 50 samples")
 }
 
-// A runner that was taken out of a stage is not chosen for it a moment later, although
-// shares are kept for a while.
-func TestAChangedRunnerIsNotChosen(t *testing.T) {
+// A runner that changed its stage is not chosen for the old one, although subsets are cached.
+func TestRunnerIsNotChosenForItsFormerStage(t *testing.T) {
 	g := NewWithT(t)
 	p, d := pool(1, 0, 10000)
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	g.Expect(p.look(runners.Decode, nil, now)).To(HaveLen(1))
+	g.Expect(p.sample(runners.Decode, nil, now)).To(HaveLen(1))
 	d.Put(runners.Runner{ID: "d0", Service: "llm", Domain: "z0", Stage: runners.Prefill}, time.Now())
-	g.Expect(p.look(runners.Decode, nil, now)).To(BeEmpty())
-	g.Expect(p.look(runners.Prefill, nil, now)).To(HaveLen(1))
+	g.Expect(p.sample(runners.Decode, nil, now)).To(BeEmpty())
+	g.Expect(p.sample(runners.Prefill, nil, now)).To(HaveLen(1))
 }
 
-// A job that is bound to some failure domains is placed and read there only, also where this
-// gateway's own share of the engines has none there.
-func TestABoundJobRunsOnlyWhereItMay(t *testing.T) {
+// A job that is bound to some failure domains is placed and prefilled only there, even if the
+// gateway's subset has too few engines in them.
+func TestJobRunsOnlyInAllowedDomains(t *testing.T) {
 	g := NewWithT(t)
 	d, now := runners.NewDirectory("a"), time.Now()
 	for i := range 20 {
@@ -378,7 +377,7 @@
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(s.Domain).To(Equal("home"))
 		} else {
-			g.Expect(err).To(BeAssignableToTypeOf(&ErrNoRoom{}), "the domains where it may run are full")
+			g.Expect(err).To(BeAssignableToTypeOf(&ErrNoRoom{}), "the allowed domains are full")
 		}
 		r, _, err := p.BeginPrefill(Prompt{ID: id, Tokens: 100, Domain: "away", Allows: home}, now)
 		g.Expect(err).NotTo(HaveOccurred())
@@ -388,9 +387,9 @@
 	g.Expect(err).To(BeAssignableToTypeOf(&ErrNoRunner{}))
 }
 
-// A cold runner has the most room of all, being empty; it gets no more jobs than this gateway may
-// send there.
-func TestAColdRunnerIsChosenWithinItsShare(t *testing.T) {
+// A cold runner is empty and so has the most room. It gets no more jobs than this gateway
+// may send to it.
+func TestColdRunnerGetsNoMoreThanItsShare(t *testing.T) {
 	g := NewWithT(t)
 	d, now := runners.NewDirectory("a"), time.Now()
 	d.ColdShare = func(runners.Runner) (int, bool) { return 2, true }
@@ -410,66 +409,66 @@
 	p.End("cold", "r2", now)
 	s, err := p.Wait(context.Background(), p.Join(Job{ID: "next", Prompt: 100}, Fresh))
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(s.ID).To(Equal("cold"), "what was not sent there gave its place up")
+	g.Expect(s.ID).To(Equal("cold"), "ended jobs that were not sent release their claims")
 }
 
-// Guards against engines that are filled up to the expected lengths of answers and run out of memory. The
-// figures are those of an engine of a deployment with 46.
-func TestEnginesAreFilledSoThatAnswersFewRunOutOfMemory(t *testing.T) {
+// Guards against engines that are filled up to the expected lengths of responses and run out of
+// memory. The figures are those of an engine in a deployment of 46 engines.
+func TestMemoryMarginPreventsPreemption(t *testing.T) {
 	g := NewWithT(t)
 	const memory, prompt, guess = 73000, 5000, 3500
-	// run keeps an engine full of other gateways' requests for a while, each reported when it begins
-	// and every three seconds. It returns how many requests were put back for each that ended, and
-	// how many ran on average.
-	run := func(deviations float64) (putBack, running float64) {
+	// run keeps an engine full of other gateways' requests for a while. Each request is reported when
+	// it begins and every three seconds. run returns the number of preempted requests per completed
+	// request, and the mean number of running requests.
+	run := func(deviations float64) (preempted, running float64) {
 		const steps, step, rate, reportEvery = 6000, 20 * time.Millisecond, 1000, 3 * time.Second
 		r := rand.New(rand.NewPCG(5, 6))
 		lengths := NewLengths()
-		e := &engine{capacity: int(DefaultOptions().Fill * memory), slots: 16, own: map[string]*reservation{}, others: map[string]peerLoads{}}
+		e := &engine{capacity: int(DefaultOptions().Fill * memory), slots: 16, own: map[string]*reservation{}, peers: map[string]peerLoads{}}
 		type request struct {
 			reservation
-			length int
-			told   time.Time
+			length     int
+			reportedAt time.Time
 		}
-		there := map[string]*request{}
-		ended, back, sum := 0, 0, 0
+		resident := map[string]*request{}
+		ended, preemptions, sum := 0, 0, 0
 		now := time.Time{}.Add(time.Hour)
 		for i := range steps {
 			now = now.Add(step)
 			job := Job{ID: fmt.Sprint(i), Prompt: prompt, Length: lengths.Estimate(guess, 0)}
 			if e.room(job, now, rate, lengths.Spread(), deviations) >= 0 {
-				there[job.ID] = &request{reservation: reservation{job: job}, length: int(guess * math.Exp(priorSpread*r.NormFloat64()))}
+				resident[job.ID] = &request{reservation: reservation{job: job}, length: int(guess * math.Exp(priorSpread*r.NormFloat64()))}
 			}
 			taken, newest := 0, ""
-			for id, q := range there {
-				if q.made += int(rate * step.Seconds()); q.made >= q.length {
-					delete(there, id)
-					delete(e.others, id)
+			for id, q := range resident {
+				if q.generated += int(rate * step.Seconds()); q.generated >= q.length {
+					delete(resident, id)
+					delete(e.peers, id)
 					ended++
 					continue
 				}
-				if now.Sub(q.told) >= reportEvery {
-					q.told = now
-					e.others[id] = peerLoads{loads: []Load{{Now: prompt + q.made, Left: q.remaining()}}, at: now}
+				if now.Sub(q.reportedAt) >= reportEvery {
+					q.reportedAt = now
+					e.peers[id] = peerLoads{loads: []Load{{Now: prompt + q.generated, Left: q.remaining()}}, at: now}
 				}
-				taken += prompt + q.made
-				if newest == "" || q.made < there[newest].made {
+				taken += prompt + q.generated
+				if newest == "" || q.generated < resident[newest].generated {
 					newest = id
 				}
 			}
-			if taken > memory { // The newest is put back.
-				delete(there, newest)
-				delete(e.others, newest)
-				back++
+			if taken > memory { // The newest request is preempted.
+				delete(resident, newest)
+				delete(e.peers, newest)
+				preemptions++
 			}
-			sum += len(there)
+			sum += len(resident)
 		}
-		return float64(back) / float64(ended), float64(sum) / steps
+		return float64(preemptions) / float64(ended), float64(sum) / steps
 	}
 	before, many := run(0)
 	after, fewer := run(DefaultOptions().Deviations)
-	t.Logf("put back for each that ended: %.3f with %.1f running, %.3f with %.1f", before, many, after, fewer)
-	g.Expect(before).To(BeNumerically(">", 2*after), "the pattern")
+	t.Logf("preempted per completed request: %.3f with %.1f running without a margin, %.3f with %.1f running with it", before, many, after, fewer)
+	g.Expect(before).To(BeNumerically(">", 2*after), "the test load must cause preemption")
 	g.Expect(after).To(BeNumerically("<", 0.05))
-	g.Expect(fewer).To(BeNumerically(">=", many-1.5), "places left empty")
+	g.Expect(fewer).To(BeNumerically(">=", many-1.5), "mean number of running requests")
 }
--- a/pkg/enginepool/length.go
+++ b/pkg/enginepool/length.go
@@ -6,28 +6,28 @@
 )
 
 const (
-	// priorWeight is how many answers the first estimate of guesses counts as.
+	// priorWeight is the weight of the initial estimate, in responses.
 	priorWeight = 12
-	// priorSpread is the first estimate of the spread of the logarithm of the
-	// answer's length around the estimate.
+	// priorSpread is the initial standard deviation of the logarithm of the response
+	// length around the estimate.
 	priorSpread = 0.45
-	// forget is the weight that older answers keep with each new one.
-	forget = 0.99
-	// leastSpread bounds the learned spread from below.
-	leastSpread = 0.05
+	// decayFactor multiplies the weight of older responses with each new one.
+	decayFactor = 0.99
+	// minSpread is the lower bound of the learned spread.
+	minSpread = 0.05
 )
 
-// Lengths learns how long answers are from how long clients guessed them to be:
-// the logarithm of the length is a line of that of the guess, plus an error. It
-// is safe for concurrent use.
+// Lengths learns to predict the length of a response from the length that the client
+// guessed, by a linear regression of the logarithm of the length on that of the guess.
+// It is safe for concurrent use.
 type Lengths struct {
 	mu sync.Mutex
-	// weighted sums over past answers: of the weights, of x (log of the guess),
+	// Weighted sums over past responses: of the weights, of x (log of the guess),
 	// y (log of the length), their products, and of squared errors.
 	n, x, y, xx, xy, ee float64
 }
 
-// NewLengths returns a learner that takes guesses for right in the median.
+// NewLengths returns a learner that initially predicts the guess as the median length.
 func NewLengths() *Lengths {
 	l := &Lengths{}
 	for _, guess := range []float64{100, 300, 900, 1800} {
@@ -43,27 +43,27 @@
 	return l
 }
 
-// line returns the estimated line: intercept, slope and spread. The caller holds the
-// lock.
-func (l *Lengths) line() (a, b, spread float64) {
+// fit returns the intercept, the slope and the spread of the regression line. The caller
+// holds the lock.
+func (l *Lengths) fit() (a, b, spread float64) {
 	det := l.n*l.xx - l.x*l.x
 	if det <= 0 {
 		return 0, 1, priorSpread
 	}
 	b = (l.n*l.xy - l.x*l.y) / det
 	a = (l.y - b*l.x) / l.n
-	return a, b, max(leastSpread, math.Sqrt(l.ee/l.n))
+	return a, b, max(minSpread, math.Sqrt(l.ee/l.n))
 }
 
-// Spread returns that of the logarithm of lengths around the estimates.
+// Spread returns the standard deviation of the logarithm of lengths around the estimates.
 func (l *Lengths) Spread() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_, _, spread := l.line()
+	_, _, spread := l.fit()
 	return spread
 }
 
-// Learn records an answer's guess and its length, in tokens.
+// Learn records the guessed and the actual length of a response, in tokens.
 func (l *Lengths) Learn(guess, length int) {
 	if guess <= 0 || length <= 0 {
 		return
@@ -71,10 +71,10 @@
 	x, y := math.Log(float64(guess)), math.Log(float64(length))
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	a, b, _ := l.line()
+	a, b, _ := l.fit()
 	err := y - a - b*x
 	for _, sum := range []*float64{&l.n, &l.x, &l.y, &l.xx, &l.xy, &l.ee} {
-		*sum *= forget
+		*sum *= decayFactor
 	}
 	l.n++
 	l.x += x
@@ -84,51 +84,52 @@
 	l.ee += err * err
 }
 
-// Estimate is what is known of one answer's length before it begins.
+// Estimate is the distribution of one response's length, estimated before it begins.
 type Estimate struct {
-	// median is the length that is exceeded as often as not, spread that of the
-	// logarithm around it; most is the longest possible.
-	median, spread, most float64
+	// median is the median length and spread the standard deviation of its logarithm;
+	// maxTokens is the longest possible length, 0 for no limit.
+	median, spread, maxTokens float64
 }
 
-// Estimate returns what a guess says of a length of at most most tokens; 0 for no
-// bound.
-func (l *Lengths) Estimate(guess, most int) Estimate {
+// Estimate returns the estimate for a guessed length and a limit of the length, both in
+// tokens; a maxTokens of 0 means no limit.
+func (l *Lengths) Estimate(guess, maxTokens int) Estimate {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	a, b, spread := l.line()
-	out := Estimate{median: math.Exp(a + b*math.Log(max(1, float64(guess)))), spread: spread, most: float64(most)}
-	if most > 0 {
-		out.median = min(out.median, out.most)
+	a, b, spread := l.fit()
+	out := Estimate{median: math.Exp(a + b*math.Log(max(1, float64(guess)))), spread: spread, maxTokens: float64(maxTokens)}
+	if maxTokens > 0 {
+		out.median = min(out.median, out.maxTokens)
 	}
 	return out
 }
 
-// Expected returns the mean length, in tokens, of an answer that has made tokens
-// and goes on: that of the part of a log-normal distribution above made.
-func (b Estimate) Expected(made int) float64 {
-	above := func(shift float64) float64 {
-		if made <= 0 {
+// Expected returns the mean total length, in tokens, of a response that has generated
+// tokens already and is not complete: the mean of a log-normal distribution truncated
+// below at that number.
+func (b Estimate) Expected(generated int) float64 {
+	fractionAbove := func(shift float64) float64 {
+		if generated <= 0 {
 			return 1
 		}
-		z := (math.Log(float64(made)/b.median) - shift) / b.spread
+		z := (math.Log(float64(generated)/b.median) - shift) / b.spread
 		return math.Erfc(z/math.Sqrt2) / 2
 	}
-	rest := above(0)
-	if rest < 1e-6 {
-		return b.bounded(float64(made) * tailFactor)
+	tail := fractionAbove(0)
+	if tail < 1e-6 {
+		return b.bounded(float64(generated) * tailFactor)
 	}
-	mean := b.median * math.Exp(b.spread*b.spread/2) * above(b.spread*b.spread) / rest
-	return b.bounded(max(mean, float64(made)))
+	mean := b.median * math.Exp(b.spread*b.spread/2) * fractionAbove(b.spread*b.spread) / tail
+	return b.bounded(max(mean, float64(generated)))
 }
 
-// tailFactor is how much longer than it is an answer is expected to get that is
-// far above the estimate.
+// tailFactor is the ratio of the expected to the current length of a response that is far
+// longer than estimated.
 const tailFactor = 1.1
 
 func (b Estimate) bounded(v float64) float64 {
-	if b.most > 0 {
-		return min(v, b.most)
+	if b.maxTokens > 0 {
+		return min(v, b.maxTokens)
 	}
 	return v
 }
--- a/pkg/enginepool/pool.go
+++ b/pkg/enginepool/pool.go
@@ -1,7 +1,7 @@
-// Package enginepool decides where the generations of a service run: it reserves
-// memory on decode runners before a prompt is read, orders what waits for it,
-// and picks the prefill runner. It does no I/O; a reservation is confirmed by the
-// caller with a reservation at the runner itself.
+// Package enginepool decides on which engines the requests of a service run. It reserves
+// memory on a decode runner before the prompt is processed, orders the jobs that wait for
+// memory, and chooses the prefill runner. It does no I/O; the caller confirms a
+// reservation by a hold at the runner itself.
 package enginepool
 
 import (
@@ -13,69 +13,69 @@
 	"github.com/hopwell/hopwell/pkg/runners"
 )
 
-// Spec is what all engines of a service have in common.
+// Spec holds the properties that all engines of a service share.
 type Spec struct {
-	// Memory is an engine's KV cache, in tokens, Slots its largest batch.
+	// Memory is the size of an engine's KV cache, in tokens; Slots is its largest batch.
 	Memory, Slots int
 }
 
-// Options are a pool's settings.
+// Options are the settings of a pool.
 type Options struct {
-	// Fill is the part of the memory that is reserved.
+	// Fill is the fraction of an engine's memory that may be reserved.
 	Fill float64
-	// Deviations is for how many standard deviations of what answers will still take room is
-	// kept; see engine.room.
+	// Deviations is the margin of memory that is kept free for responses longer than
+	// expected, in standard deviations; see engine.room.
 	Deviations float64
-	// Refused is how long a runner that refused a reservation is skipped.
+	// Refused is how long a runner is skipped after it refused a reservation.
 	Refused time.Duration
-	// Uses reports whether this gateway uses a runner, where gateways share them out
-	// among themselves; nil for all.
+	// Uses reports whether a runner is in this gateway's subset; nil uses all runners.
 	Uses func(runner string) bool
-	// Changed is called, with the pool locked, after a change that other gateways
-	// should learn of at once; nil for none.
+	// Changed is called, with the pool locked, after a change that should be reported to
+	// other gateways at once; nil for none.
 	Changed func()
 	// Domain is the gateway's failure domain, empty for none.
 	Domain string
-	// Connected reports whether a connection to an address is idle; nil for no matter.
+	// Connected reports whether an idle connection to an address exists; nil if that
+	// does not matter.
 	Connected func(address string) bool
-	// Pick returns a random number from 0 to n-1; nil takes math/rand's.
+	// Pick returns a random number from 0 to n-1; nil uses math/rand/v2.
 	Pick func(n int) int
 }
 
-// DefaultOptions are those of a gateway.
+// DefaultOptions returns the options that a gateway uses.
 func DefaultOptions() Options {
-	return Options{Fill: 0.98, Deviations: keptDeviations, Refused: 60 * time.Millisecond}
+	return Options{Fill: 0.98, Deviations: defaultDeviations, Refused: 60 * time.Millisecond}
 }
 
-// keptDeviations is Options.Deviations: without it engines put requests back, and read long prompts anew;
-// with more, places stay empty.
-const keptDeviations = 2
+// defaultDeviations is the default of Options.Deviations: with no margin engines preempt
+// requests and prefill long prompts again, with a larger one slots stay empty.
+const defaultDeviations = 2
 
-// Pool is the engines of one service as this gateway sees them.
+// Pool is this gateway's model of the engines of one service.
 type Pool struct {
 	service   string
 	directory *runners.Directory
 	options   Options
 
-	mu      sync.Mutex
-	spec    Spec
-	engines map[string]*engine
-	readers map[string]*reader
-	shares  map[runners.Stage]share
-	waiting []*Waiter
-	serial  uint64
-	// others are the gateways that reported, with the jobs that wait there.
-	others map[string]int
-	// reported are the engines that each of them has something on: of thousands a gateway
-	// uses few, and all that it reported is replaced every few seconds.
-	reported map[string]map[string]*engine
-	// revision counts the changes of own reservations and prefills.
+	mu             sync.Mutex
+	spec           Spec
+	engines        map[string]*engine
+	prefillRunners map[string]*prefillRunner
+	subsets        map[runners.Stage]stageSubset
+	waiting        []*Waiter
+	serial         uint64
+	// peerWaiting is the number of jobs that wait at each gateway that reported.
+	peerWaiting map[string]int
+	// peerEngines holds the engines on which each other gateway reported load. A gateway
+	// uses few of thousands, and its whole report is replaced every few seconds.
+	peerEngines map[string]map[string]*engine
+	// revision counts the changes of this gateway's own reservations and prefills.
 	revision uint64
-	// rate is the tokens a second of one answer; learned.
+	// rate is the learned speed of one response, in tokens per second.
 	rate float64
-	// Lengths learns from the answers.
+	// Lengths learns the lengths of responses.
 	Lengths *Lengths
-	// demand learns what they cost.
+	// demand learns how the requests divide the engines' time between prefill and decode.
 	demand demand
 }
 
@@ -84,10 +84,10 @@
 	if o.Pick == nil {
 		o.Pick = rand.IntN
 	}
-	return &Pool{service: service, directory: d, options: o, engines: map[string]*engine{}, readers: map[string]*reader{}, shares: map[runners.Stage]share{}, others: map[string]int{}, reported: map[string]map[string]*engine{}, rate: firstRate, Lengths: NewLengths()}
+	return &Pool{service: service, directory: d, options: o, engines: map[string]*engine{}, prefillRunners: map[string]*prefillRunner{}, subsets: map[runners.Stage]stageSubset{}, peerWaiting: map[string]int{}, peerEngines: map[string]map[string]*engine{}, rate: initialRate, Lengths: NewLengths()}
 }
 
-// Configure sets what the engines have in common.
+// Configure sets the properties that all engines share.
 func (p *Pool) Configure(s Spec) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -99,7 +99,7 @@
 
 func (p *Pool) capacity() int { return int(p.options.Fill * float64(p.spec.Memory)) }
 
-// ErrNoRunner reports that no runner of a stage is known to take work.
+// ErrNoRunner reports that no runner of a stage can take the work.
 type ErrNoRunner struct {
 	Service string
 	Stage   runners.Stage
@@ -110,23 +110,23 @@
 	return fmt.Sprintf("no runner: service=%s stage=%s", e.Service, e.Stage)
 }
 
-// engine returns the model of a runner. The caller holds the lock.
+// engine returns the model of an engine, creating it if needed. The caller holds the lock.
 func (p *Pool) engine(id string) *engine {
 	e := p.engines[id]
 	if e == nil {
-		e = &engine{id: id, capacity: p.capacity(), slots: p.spec.Slots, own: map[string]*reservation{}, others: map[string]peerLoads{}, reading: map[string]int{}}
+		e = &engine{id: id, capacity: p.capacity(), slots: p.spec.Slots, own: map[string]*reservation{}, peers: map[string]peerLoads{}, prefillTokens: map[string]int{}}
 		p.engines[id] = e
 	}
 	return e
 }
 
-// place reserves memory for a job on the runner that it prefers, or else on the decode
-// runner with the most room of those that are compared; nil for none. The caller holds
-// the lock.
+// place reserves memory for a job on its preferred runner if that has room, otherwise on
+// the decode runner with the highest score of those compared; nil if none fits. The
+// caller holds the lock.
 func (p *Pool) place(w *Waiter, now time.Time) *runners.State {
 	runner := p.preferred(w, now)
 	if runner == nil {
-		fit := p.fitting(w, now)
+		fit := p.candidates(w, now)
 		if len(fit) == 0 {
 			return nil
 		}
@@ -137,12 +137,12 @@
 	}
 	e := p.engine(runner.ID)
 	e.own[w.job.ID] = &reservation{job: w.job}
-	p.change(e)
+	p.recordChange(e)
 	return runner
 }
 
-// preferred returns the runner that a job prefers, nil if it has no room. The caller
-// holds the lock.
+// preferred returns the runner that a job prefers, nil if there is none or it has no
+// room. The caller holds the lock.
 func (p *Pool) preferred(w *Waiter, now time.Time) *runners.State {
 	if w.prefer == "" {
 		return nil
@@ -151,29 +151,30 @@
 	if s == nil || s.Stage != runners.Decode || !s.Usable(now) || s.Resting(now) {
 		return nil
 	}
-	if _, fits := p.merit(s, w, now); !fits {
+	if _, fits := p.score(s, w, now); !fits {
 		return nil
 	}
 	return s
 }
 
-// fitting returns runners with room for a job. The caller holds the lock.
-func (p *Pool) fitting(w *Waiter, now time.Time) []candidate {
+// candidates returns runners with room for a job. The caller holds the lock.
+func (p *Pool) candidates(w *Waiter, now time.Time) []candidate {
 	var out []candidate
-	for _, s := range p.look(runners.Decode, w.job.Allows, now) {
-		if merit, fits := p.merit(s, w, now); fits {
-			out = append(out, candidate{s, merit})
+	for _, s := range p.sample(runners.Decode, w.job.Allows, now) {
+		if score, fits := p.score(s, w, now); fits {
+			out = append(out, candidate{s, score})
 		}
-		if len(out) == compared {
+		if len(out) == maxCandidates {
 			break
 		}
 	}
 	return out
 }
 
-// merit returns how good a runner is for a job, false if it has no room: the room in
-// tokens, less where the runner fails requests. The caller holds the lock.
-func (p *Pool) merit(s *runners.State, w *Waiter, now time.Time) (float64, bool) {
+// score rates a runner for a job and returns false if the job does not fit. The score is
+// the room in tokens, less a penalty for failed requests, plus bonuses for the gateway's
+// own failure domain and for an idle connection. The caller holds the lock.
+func (p *Pool) score(s *runners.State, w *Waiter, now time.Time) (float64, bool) {
 	e := p.engine(s.ID)
 	if w.avoid[s.ID] || now.Before(e.refusedUntil) || !w.job.allows(s.Domain) || !s.Room(now) {
 		return 0, false
@@ -182,47 +183,47 @@
 	if room < 0 {
 		return 0, false
 	}
-	merit := room - failureCost*s.Failures(now)*float64(e.capacity)
+	score := room - failurePenalty*s.Failures(now)*float64(e.capacity)
 	if s.Domain == p.options.Domain {
-		merit += sameDomainBonus * float64(e.capacity)
+		score += sameDomainBonus * float64(e.capacity)
 	}
 	if p.connected(s) {
-		merit += connectedBonus * float64(e.capacity)
+		score += connectedBonus * float64(e.capacity)
 	}
-	return merit, true
+	return score, true
 }
 
-// connected reports whether a connection to a runner is idle.
+// connected reports whether an idle connection to a runner exists.
 func (p *Pool) connected(s *runners.State) bool {
 	return p.options.Connected != nil && p.options.Connected(s.Address)
 }
 
-// failureCost is the part of its memory by which a runner that fails all
-// requests ranks below another.
-const failureCost = 3
+// failurePenalty is what is subtracted from the score of a runner that fails all
+// requests, as a multiple of its memory.
+const failurePenalty = 3
 
-// sameDomainBonus is the part of its memory by which a runner in the gateway's failure
-// domain ranks above another: its answers cross no domain.
+// sameDomainBonus is what is added to the score of a runner in the gateway's failure
+// domain, as a fraction of its memory: its responses stay within the domain.
 const sameDomainBonus = 0.1
 
-// connectedBonus is the part of its memory by which a runner to which a connection is
-// idle ranks above another: a new one takes a round trip, and a slot of the runner for a
-// moment.
+// connectedBonus is what is added to the score of a runner with an idle connection, as a
+// fraction of its memory: a new connection takes a round trip, and briefly a slot of the
+// runner.
 const connectedBonus = 0.1
 
-// Refused takes a reservation back because the runner had no room after all, and
-// skips the runner for a moment.
+// Refused removes a reservation that the runner refused for lack of room, and skips the
+// runner for Options.Refused.
 func (p *Pool) Refused(runner, id string, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	e := p.engine(runner)
 	delete(e.own, id)
 	p.release(runner, id)
-	p.change(e)
+	p.recordChange(e)
 	e.refusedUntil = now.Add(p.options.Refused)
 }
 
-// Made records that an answer has so many tokens now.
+// Made records how many tokens of a response have been received so far.
 func (p *Pool) Made(runner, id string, tokens int, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -230,14 +231,14 @@
 	if b == nil {
 		return
 	}
-	if b.begun.IsZero() {
-		b.begun = now
+	if b.firstTokenAt.IsZero() {
+		b.firstTokenAt = now
 		p.learnDemand(b.job, now)
 	}
-	b.made = tokens
+	b.generated = tokens
 }
 
-// End takes a reservation back: the generation is over.
+// End removes the reservation of a request that ended.
 func (p *Pool) End(runner, id string, now time.Time) {
 	p.mu.Lock()
 	e := p.engine(runner)
@@ -245,13 +246,13 @@
 		p.learnRate(b, now)
 		delete(e.own, id)
 		p.release(runner, id)
-		p.change(e)
+		p.recordChange(e)
 	}
 	p.mu.Unlock()
 	p.Dispatch(now)
 }
 
-// release gives up the place at a runner that a job was not sent to.
+// release gives up the claim of a job that was not sent to the runner.
 func (p *Pool) release(runner, id string) {
 	if s := p.directory.Find(runner); s != nil {
 		s.Release(id)
@@ -259,39 +260,39 @@
 }
 
 const (
-	// firstRate is an answer's tokens a second before any was seen.
-	firstRate = 150
-	// rateWeight is the weight of the newest answer in the learned rate, and
-	// leastLearned the tokens from which an answer counts.
-	rateWeight   = 0.1
-	leastLearned = 50
+	// initialRate is assumed before a response was measured, in tokens per second.
+	initialRate = 150
+	// rateWeight is the weight of the newest response in the learned rate.
+	// minLearnedTokens is the least length of a response that is measured.
+	rateWeight       = 0.1
+	minLearnedTokens = 50
 )
 
-// learnRate learns from an answer how fast answers grow. The caller holds the lock.
+// learnRate updates the learned rate from a finished response. The caller holds the lock.
 func (p *Pool) learnRate(b *reservation, now time.Time) {
-	took := now.Sub(b.begun).Seconds()
-	if b.begun.IsZero() || b.made < leastLearned || took <= 0 {
+	took := now.Sub(b.firstTokenAt).Seconds()
+	if b.firstTokenAt.IsZero() || b.generated < minLearnedTokens || took <= 0 {
 		return
 	}
-	p.rate += (float64(b.made)/took - p.rate) * rateWeight
+	p.rate += (float64(b.generated)/took - p.rate) * rateWeight
 }
 
-// Sweep drops runners that are gone.
+// Sweep removes the models of runners that left the directory and have no requests.
 func (p *Pool) Sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	known := map[string]bool{}
+	listed := map[string]bool{}
 	for _, s := range p.directory.All(p.service) {
-		known[s.ID] = true
+		listed[s.ID] = true
 	}
 	for id, e := range p.engines {
-		if !known[id] && len(e.own) == 0 && len(e.others) == 0 {
+		if !listed[id] && len(e.own) == 0 && len(e.peers) == 0 {
 			delete(p.engines, id)
 		}
 	}
-	for id, r := range p.readers {
-		if !known[id] && len(r.jobs) == 0 {
-			delete(p.readers, id)
+	for id, r := range p.prefillRunners {
+		if !listed[id] && len(r.jobs) == 0 {
+			delete(p.prefillRunners, id)
 		}
 	}
 }
--- a/pkg/enginepool/prefill.go
+++ b/pkg/enginepool/prefill.go
@@ -6,37 +6,36 @@
 	"github.com/hopwell/hopwell/pkg/runners"
 )
 
-// reader is the model of one prefill runner.
-type reader struct {
-	jobs map[string]reading
-	// pace is what the runner reads, in tokens a second; learned.
-	pace float64
+// prefillRunner is this gateway's model of one prefill runner.
+type prefillRunner struct {
+	jobs map[string]prefillJob
+	// rate is the learned speed of prefill, in tokens per second.
+	rate float64
 }
 
-// reading is a prompt on a prefill runner.
-type reading struct {
+// prefillJob is a prompt on a prefill runner.
+type prefillJob struct {
 	tokens int
 	since  time.Time
 	ahead  int
 }
 
 const (
-	// firstPace is assumed before anything was learned, in tokens a second.
-	firstPace = 30000
-	// paceWeight is the weight of the newest measurement.
-	paceWeight = 0.2
-	// otherDomain is how much longer a prompt may wait for a runner in the domain
-	// of its decode runner.
-	otherDomain = 150 * time.Millisecond
-	// newConnection is how much longer a prompt may wait for a runner to which a
-	// connection is idle: a new one takes a round trip, and a slot of the runner for a
-	// moment.
-	newConnection = 20 * time.Millisecond
-	// lostPrefill is what a prefill costs that is lost.
-	lostPrefill = 1500 * time.Millisecond
+	// initialPrefillRate is assumed before a prefill was measured, in tokens per second.
+	initialPrefillRate = 30000
+	// prefillRateWeight is the weight of the newest measurement in the learned rate.
+	prefillRateWeight = 0.2
+	// crossDomainPenalty is how much longer a prompt may wait for a runner in the failure
+	// domain of its decode runner.
+	crossDomainPenalty = 150 * time.Millisecond
+	// newConnectionPenalty is how much longer a prompt may wait for a runner with an idle
+	// connection: a new connection takes a round trip, and briefly a slot of the runner.
+	newConnectionPenalty = 20 * time.Millisecond
+	// lostPrefillPenalty is the cost of a prefill that is lost.
+	lostPrefillPenalty = 1500 * time.Millisecond
 )
 
-func (r *reader) backlog() int {
+func (r *prefillRunner) backlog() int {
 	n := 0
 	for _, j := range r.jobs {
 		n += j.tokens
@@ -44,39 +43,40 @@
 	return n
 }
 
-// reader returns the model of a prefill runner. The caller holds the lock.
-func (p *Pool) reader(id string) *reader {
-	r := p.readers[id]
+// prefillRunner returns the model of a prefill runner, creating it if needed. The caller
+// holds the lock.
+func (p *Pool) prefillRunner(id string) *prefillRunner {
+	r := p.prefillRunners[id]
 	if r == nil {
-		r = &reader{jobs: map[string]reading{}, pace: firstPace}
-		p.readers[id] = r
+		r = &prefillRunner{jobs: map[string]prefillJob{}, rate: initialPrefillRate}
+		p.prefillRunners[id] = r
 	}
 	return r
 }
 
-// Prompt is what a prefill runner is wanted for.
+// Prompt is a prompt that needs a prefill runner.
 type Prompt struct {
-	// ID is the request's.
+	// ID is the ID of the request.
 	ID     string
 	Tokens int
 	// Domain is the failure domain of the decode runner.
 	Domain string
-	// Avoid are runners that are not taken, by ID.
+	// Avoid holds the IDs of runners that must not be chosen.
 	Avoid map[string]bool
-	// Allows reports whether the prompt may be read in a failure domain; nil for all.
+	// Allows reports whether the prompt may be processed in a failure domain; nil allows all.
 	Allows func(domain string) bool
 }
 
-// BeginPrefill assigns a prompt to the prefill runner that will have read it first
-// of those that are compared, and returns how long that will take.
-// It fails with *ErrNoRunner.
+// BeginPrefill assigns a prompt to the prefill runner with the lowest estimated cost of
+// those compared, and returns how long the prefill is expected to take there, including
+// the prompts ahead of it. It fails with *ErrNoRunner.
 func (p *Pool) BeginPrefill(w Prompt, now time.Time) (*runners.State, time.Duration, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var fit []candidate
-	for _, s := range p.look(runners.Prefill, w.Allows, now) {
-		if !w.Avoid[s.ID] && len(fit) < compared && s.Room(now) {
-			fit = append(fit, candidate{s, -p.readCost(s, w.Tokens, w.Domain, now).Seconds()})
+	for _, s := range p.sample(runners.Prefill, w.Allows, now) {
+		if !w.Avoid[s.ID] && len(fit) < maxCandidates && s.Room(now) {
+			fit = append(fit, candidate{s, -p.prefillCost(s, w.Tokens, w.Domain, now).Seconds()})
 		}
 	}
 	if len(fit) == 0 {
@@ -89,72 +89,76 @@
 	return chosen, p.assign(chosen, w.ID, w.Tokens, now), nil
 }
 
-// RepeatPrefill assigns a prompt again to the prefill runner whose answer was lost, and
-// returns how long reading it would take; the runner most likely has done so.
+// RepeatPrefill assigns a prompt again to the prefill runner whose response was lost, and
+// returns how long the prefill is expected to take at most: most likely the runner has
+// completed it already.
 func (p *Pool) RepeatPrefill(runner *runners.State, id string, tokens int, now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.assign(runner, id, tokens, now)
 }
 
-// assign notes a prompt at a runner, and returns how long it will take. The caller holds
-// the lock.
+// assign records a prompt at a runner, and returns how long its prefill is expected to
+// take. The caller holds the lock.
 func (p *Pool) assign(runner *runners.State, id string, tokens int, now time.Time) time.Duration {
-	expected := p.readTime(runner.ID, tokens)
-	p.reader(runner.ID).jobs[id] = reading{tokens: tokens, since: now, ahead: p.backlog(runner.ID)}
-	p.change(p.engine(runner.ID))
+	expected := p.prefillTime(runner.ID, tokens)
+	p.prefillRunner(runner.ID).jobs[id] = prefillJob{tokens: tokens, since: now, ahead: p.backlog(runner.ID)}
+	p.recordChange(p.engine(runner.ID))
 	return expected
 }
 
-// readCost estimates when a runner will have read a prompt.
-func (p *Pool) readCost(s *runners.State, tokens int, domain string, now time.Time) time.Duration {
-	cost := p.readTime(s.ID, tokens)
+// prefillCost estimates when a runner will have processed a prompt, plus penalties for
+// another failure domain, a new connection and failures.
+func (p *Pool) prefillCost(s *runners.State, tokens int, domain string, now time.Time) time.Duration {
+	cost := p.prefillTime(s.ID, tokens)
 	if s.Domain != domain {
-		cost += otherDomain
+		cost += crossDomainPenalty
 	}
 	if !p.connected(s) {
-		cost += newConnection
+		cost += newConnectionPenalty
 	}
-	cost += time.Duration(s.Failures(now) * float64(lostPrefill))
+	cost += time.Duration(s.Failures(now) * float64(lostPrefillPenalty))
 	return cost
 }
 
-// readTime estimates how long a runner takes to read what waits there and a
-// prompt more. The caller holds the lock.
-func (p *Pool) readTime(id string, tokens int) time.Duration {
-	return time.Duration(float64(p.backlog(id)+tokens) / p.reader(id).pace * float64(time.Second))
+// prefillTime estimates how long a runner takes to process its backlog and one more
+// prompt. The caller holds the lock.
+func (p *Pool) prefillTime(id string, tokens int) time.Duration {
+	return time.Duration(float64(p.backlog(id)+tokens) / p.prefillRunner(id).rate * float64(time.Second))
 }
 
-// backlog returns the tokens that wait at a runner. The caller holds the lock.
+// backlog returns the prompt tokens of all gateways that wait or are being processed at a
+// runner. The caller holds the lock.
 func (p *Pool) backlog(id string) int {
-	n := p.reader(id).backlog()
-	for _, tokens := range p.engine(id).reading {
+	n := p.prefillRunner(id).backlog()
+	for _, tokens := range p.engine(id).prefillTokens {
 		n += tokens
 	}
 	return n
 }
 
-// ownReading returns the tokens that this gateway has under way at a runner. The
-// caller holds the lock.
-func (p *Pool) ownReading(id string) int {
-	if r := p.readers[id]; r != nil {
+// ownPrefillTokens returns the prompt tokens that this gateway has assigned to a runner
+// and that are not finished. The caller holds the lock.
+func (p *Pool) ownPrefillTokens(id string) int {
+	if r := p.prefillRunners[id]; r != nil {
 		return r.backlog()
 	}
 	return 0
 }
 
-// EndPrefill takes a prompt off its runner and learns the pace if it was read.
+// EndPrefill removes a prompt from its runner. It updates the learned rate if the prompt was
+// processed.
 func (p *Pool) EndPrefill(runner, id string, read bool, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.release(runner, id)
-	r := p.reader(runner)
+	r := p.prefillRunner(runner)
 	j, ok := r.jobs[id]
 	delete(r.jobs, id)
-	p.change(p.engine(runner))
+	p.recordChange(p.engine(runner))
 	took := now.Sub(j.since).Seconds()
 	if !ok || !read || took <= 0 {
 		return
 	}
-	r.pace += (float64(j.tokens+j.ahead)/took - r.pace) * paceWeight
+	r.rate += (float64(j.tokens+j.ahead)/took - r.rate) * prefillRateWeight
 }
--- a/pkg/enginepool/queue.go
+++ b/pkg/enginepool/queue.go
@@ -10,18 +10,19 @@
 	"github.com/hopwell/hopwell/pkg/runners"
 )
 
-// Rank orders what waits and is equally urgent: the lower goes first.
+// Rank orders waiting jobs of the same priority: the lower rank goes first. Begun and Late
+// take precedence over priority, see tier.
 type Rank int
 
-// The ranks.
 const (
-	// Begun work has cost something already.
+	// Begun is for work on which engines have already spent time.
 	Begun Rank = iota
-	// Returning requests were refused once and come back as they were told.
+	// Returning is for requests that were refused once and sent again as instructed by
+	// Retry-After.
 	Returning
-	// Fresh requests are asked for the first time.
+	// Fresh is for requests received for the first time.
 	Fresh
-	// Late requests can't be in time any more.
+	// Late is for requests that can no longer meet their deadline.
 	Late
 )
 
@@ -31,22 +32,22 @@
 	rank   Rank
 	serial uint64
 	avoid  map[string]bool
-	// prefer is the runner that is taken if it has room; may be empty.
+	// prefer is the ID of the runner that is chosen if it has room; empty for none.
 	prefer string
 	// granted receives the runner on which memory is reserved.
 	granted chan *runners.State
-	// lateAt is from when the job can't be in time; zero for never.
+	// lateAt is when the job can no longer meet its deadline; zero for never.
 	lateAt time.Time
 }
 
-// LateFrom ranks a job last from a moment on. It must be called before Wait.
+// LateFrom sets the time from which a job is ranked Late. It must be called before Wait.
 func (w *Waiter) LateFrom(at time.Time) { w.lateAt = at }
 
-// ErrNoRoom reports that a job found no room on a decode runner in its time.
+// ErrNoRoom reports that a job got no memory on a decode runner before its context ended.
 type ErrNoRoom struct {
 	ID     string
 	Waited time.Duration
-	// Ahead is how many jobs were before it.
+	// Ahead is how many jobs were ahead of it in the queue.
 	Ahead int
 }
 
@@ -55,7 +56,7 @@
 	return fmt.Sprintf("no room on any decode runner: request=%s waited=%s ahead=%d", e.ID, e.Waited, e.Ahead)
 }
 
-// Join queues a job. It must be left with Leave, and asked with Wait.
+// Join returns a waiter for a job. Wait adds it to the queue.
 func (p *Pool) Join(j Job, rank Rank) *Waiter {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -64,14 +65,14 @@
 	return w
 }
 
-// Avoid keeps a job away from a runner that failed it.
+// Avoid excludes a runner that failed the job.
 func (w *Waiter) Avoid(runner string) { w.avoid[runner] = true }
 
-// Prefer takes a runner if it has room, whatever room others have.
+// Prefer sets the runner that is chosen if it has room, even if others have more.
 func (w *Waiter) Prefer(runner string) { w.prefer = runner }
 
-// Wait returns the decode runner on which memory is reserved for the job, once there
-// is room. It fails with *ErrNoRoom at the end of the context.
+// Wait returns the decode runner on which memory is reserved for the job, as soon as
+// there is room. It fails with *ErrNoRoom when the context ends first.
 func (p *Pool) Wait(ctx context.Context, w *Waiter) (*runners.State, error) {
 	began := time.Now()
 	p.enqueue(w)
@@ -93,8 +94,8 @@
 	return nil, &ErrNoRoom{ID: w.job.ID, Waited: time.Since(began), Ahead: ahead}
 }
 
-// tier orders what no priority passes: work that has begun goes before all other, and what can't
-// be in time any more behind it.
+// tier groups ranks into classes that take precedence over priority: begun work goes
+// before all other work, and late work after it.
 func (r Rank) tier() int {
 	switch r {
 	case Begun:
@@ -105,8 +106,8 @@
 	return 1
 }
 
-// before orders two waiters: within a tier the more urgent first, then those that return.
-func before(a, b *Waiter) int {
+// compareWaiters orders two waiters by tier, priority, rank and time of arrival.
+func compareWaiters(a, b *Waiter) int {
 	return cmp.Or(cmp.Compare(a.rank.tier(), b.rank.tier()), cmp.Compare(a.job.Priority, b.job.Priority),
 		cmp.Compare(a.rank, b.rank), cmp.Compare(a.serial, b.serial))
 }
@@ -114,12 +115,12 @@
 func (p *Pool) enqueue(w *Waiter) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	at, _ := slices.BinarySearchFunc(p.waiting, w, before)
+	at, _ := slices.BinarySearchFunc(p.waiting, w, compareWaiters)
 	p.waiting = slices.Insert(p.waiting, at, w)
 }
 
-// leave takes a waiter out. If it was granted a runner at the same moment, that
-// is returned.
+// leave removes a waiter and returns how many were ahead of it. It returns the runner
+// instead if one was granted at the same moment.
 func (p *Pool) leave(w *Waiter) (int, *runners.State) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -136,24 +137,24 @@
 	}
 }
 
-// Dispatch reserves for those that wait, in order, where there is room. What does not
-// fit does not hold up what does, but for the first one's sake nothing larger
-// passes it.
+// Dispatch reserves memory for waiting jobs, in order. A job that does not fit is
+// skipped, and smaller jobs may pass it. Jobs of the same or a larger size than the first
+// job that does not fit wait too, so that they do not starve it.
 func (p *Pool) Dispatch(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.demote(now)
 	left := p.waiting[:0]
-	stuck := 0
+	blockedSize := 0
 	for _, w := range p.waiting {
-		if stuck > 0 && w.job.size() >= stuck {
+		if blockedSize > 0 && w.job.size() >= blockedSize {
 			left = append(left, w)
 			continue
 		}
 		s := p.place(w, now)
 		if s == nil {
-			if stuck == 0 {
-				stuck = w.job.size()
+			if blockedSize == 0 {
+				blockedSize = w.job.size()
 			}
 			left = append(left, w)
 			continue
@@ -164,7 +165,7 @@
 	p.waiting = left
 }
 
-// demote ranks those last that have become late. The caller holds the lock.
+// demote moves waiting jobs that have become late to the end. The caller holds the lock.
 func (p *Pool) demote(now time.Time) {
 	changed := false
 	for _, w := range p.waiting {
@@ -174,16 +175,17 @@
 		}
 	}
 	if changed {
-		slices.SortStableFunc(p.waiting, before)
+		slices.SortStableFunc(p.waiting, compareWaiters)
 	}
 }
 
-// Waiting returns how many jobs wait here, and at all gateways that reported.
+// Waiting returns how many jobs wait at this gateway, and at all gateways that reported
+// including this one.
 func (p *Pool) Waiting() (here, all int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	all = len(p.waiting)
-	for _, n := range p.others {
+	for _, n := range p.peerWaiting {
 		all += n
 	}
 	return len(p.waiting), all
--- a/pkg/enginepool/snapshot.go
+++ b/pkg/enginepool/snapshot.go
@@ -2,97 +2,99 @@
 
 import "time"
 
-// Snapshot is one gateway's reservations and prefills, as it reports them to others.
+// Snapshot holds one gateway's reservations and prefills, as reported to other gateways.
 type Snapshot struct {
-	// Full says that the snapshot holds all engines; others hold those that changed.
+	// Full means that the snapshot holds all engines with load, otherwise only those that
+	// changed.
 	Full    bool
 	Engines []EngineLoad
-	// Waiting is how many jobs wait there.
+	// Waiting is how many jobs wait at the reporting gateway.
 	Waiting int
 }
 
-// EngineLoad is what one gateway has on one engine.
+// EngineLoad is the load that one gateway has on one engine.
 type EngineLoad struct {
-	// Runner is the engine's ID.
+	// Runner is the ID of the engine.
 	Runner string
 	Loads  []Load
-	// Reading is the prompt tokens that it computes for the gateway.
+	// Reading is the number of prompt tokens that the engine prefills for the gateway.
 	Reading int
 }
 
-// Snapshot returns what changed after a revision, everything for 0, and the revision
-// that it reaches.
+// Snapshot returns the engines that changed after a revision, all with load for 0, and
+// the current revision.
 func (p *Pool) Snapshot(since uint64) (Snapshot, uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := Snapshot{Full: since == 0, Waiting: len(p.waiting)}
 	for id, e := range p.engines {
-		load := EngineLoad{Runner: id, Reading: p.ownReading(id)}
+		load := EngineLoad{Runner: id, Reading: p.ownPrefillTokens(id)}
 		for _, b := range e.own {
-			load.Loads = append(load.Loads, Load{Now: b.job.Prompt + b.made, Left: b.remaining()})
+			load.Loads = append(load.Loads, Load{Now: b.job.Prompt + b.generated, Left: b.remaining()})
 		}
-		if out.Full && (len(load.Loads) > 0 || load.Reading > 0) || !out.Full && e.changed > since {
+		if out.Full && (len(load.Loads) > 0 || load.Reading > 0) || !out.Full && e.changedRevision > since {
 			out.Engines = append(out.Engines, load)
 		}
 	}
 	return out, p.revision
 }
 
-// ReceiveSnapshot takes over what another gateway reported.
+// ReceiveSnapshot replaces what another gateway reported before.
 func (p *Pool) ReceiveSnapshot(gateway string, s Snapshot, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s.Full {
-		p.clear(gateway)
+		p.clearPeer(gateway)
 	}
-	p.others[gateway] = s.Waiting
-	reported := p.reported[gateway]
+	p.peerWaiting[gateway] = s.Waiting
+	reported := p.peerEngines[gateway]
 	if reported == nil {
 		reported = map[string]*engine{}
-		p.reported[gateway] = reported
+		p.peerEngines[gateway] = reported
 	}
 	for _, l := range s.Engines {
 		e := p.engine(l.Runner)
-		e.forget(gateway)
+		e.dropGateway(gateway)
 		delete(reported, l.Runner)
 		if len(l.Loads) > 0 {
-			e.others[gateway] = peerLoads{loads: l.Loads, at: now}
+			e.peers[gateway] = peerLoads{loads: l.Loads, at: now}
 			reported[l.Runner] = e
 		}
 		if l.Reading > 0 {
-			e.reading[gateway] = l.Reading
+			e.prefillTokens[gateway] = l.Reading
 			reported[l.Runner] = e
 		}
 	}
 }
 
-// forget drops what another gateway has on the engine.
-func (e *engine) forget(gateway string) {
-	delete(e.others, gateway)
-	delete(e.reading, gateway)
+// dropGateway removes another gateway's reservations and prefills from the engine.
+func (e *engine) dropGateway(gateway string) {
+	delete(e.peers, gateway)
+	delete(e.prefillTokens, gateway)
 }
 
-// DropGateway drops the reservations of a gateway that has fallen silent.
+// DropGateway removes all that a gateway reported which no longer sends reports.
 func (p *Pool) DropGateway(gateway string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.clear(gateway)
-	delete(p.others, gateway)
+	p.clearPeer(gateway)
+	delete(p.peerWaiting, gateway)
 }
 
-// clear drops the reservations of another gateway. The caller holds the lock.
-func (p *Pool) clear(gateway string) {
-	for _, e := range p.reported[gateway] {
-		e.forget(gateway)
+// clearPeer removes the reservations and prefills of another gateway. The caller holds
+// the lock.
+func (p *Pool) clearPeer(gateway string) {
+	for _, e := range p.peerEngines[gateway] {
+		e.dropGateway(gateway)
 	}
-	delete(p.reported, gateway)
+	delete(p.peerEngines, gateway)
 }
 
-// change records that own reservations or prefills at an engine changed. The caller
-// holds the lock.
-func (p *Pool) change(e *engine) {
+// recordChange records a change of this gateway's own reservations or prefills on an
+// engine. The caller holds the lock.
+func (p *Pool) recordChange(e *engine) {
 	p.revision++
-	e.changed = p.revision
+	e.changedRevision = p.revision
 	if p.options.Changed != nil {
 		p.options.Changed()
 	}
--- a/pkg/enginepool/snapshot_test.go
+++ b/pkg/enginepool/snapshot_test.go
@@ -12,9 +12,8 @@
 	"github.com/hopwell/hopwell/pkg/spectest"
 )
 
-// Whatever a gateway does, one that gets all its changes knows what one that gets
-// everything knows.
-func TestChangesAddUpToEverything(t *testing.T) {
+// A gateway that receives all deltas has the same state as one that receives a full snapshot.
+func TestDeltasMatchFullSnapshot(t *testing.T) {
 	spectest.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		p, _ := pool(3, 2, 100000)
@@ -54,28 +53,28 @@
 		whole.ReceiveSnapshot("a", all, now)
 		for _, id := range []string{"d0", "d1", "d2", "p0", "p1"} {
 			g.Expect(changes.engine(id).running()).To(Equal(whole.engine(id).running()), id)
-			g.Expect(changes.engine(id).used(now, 0)).To(Equal(whole.engine(id).used(now, 0)), id)
+			g.Expect(changes.engine(id).usedShare(now, 0)).To(Equal(whole.engine(id).usedShare(now, 0)), id)
 			g.Expect(changes.backlog(id)).To(Equal(whole.backlog(id)), id)
 		}
 	})
 }
 
-// Between two reports the answers of other gateways go on: memory that they take grows,
-// but not beyond what they were expected to take.
-func TestReportedAnswersGrowUntilTheNextReport(t *testing.T) {
+// Responses of other gateways grow between two reports. The memory that they take grows with
+// them, but not beyond the expected length.
+func TestReportedResponsesGrowUntilNextReport(t *testing.T) {
 	g := NewWithT(t)
 	p, _ := pool(1, 0, 10000)
 	now := time.Now()
 	p.ReceiveSnapshot("other", oneLoad("d0", 1000, 300), now)
 	e := p.engine("d0")
-	g.Expect(e.used(now, 100)).To(BeNumerically("~", 0.1, 1e-9))
-	g.Expect(e.used(now.Add(time.Second), 100)).To(BeNumerically("~", 0.11, 1e-9))
-	g.Expect(e.used(now.Add(time.Minute), 100)).To(BeNumerically("~", 0.13, 1e-9))
+	g.Expect(e.usedShare(now, 100)).To(BeNumerically("~", 0.1, 1e-9))
+	g.Expect(e.usedShare(now.Add(time.Second), 100)).To(BeNumerically("~", 0.11, 1e-9))
+	g.Expect(e.usedShare(now.Add(time.Minute), 100)).To(BeNumerically("~", 0.13, 1e-9))
 }
 
-// A gateway chooses among its share of the runners, and among all where its share has
-// hardly any.
-func TestAGatewayUsesItsShare(t *testing.T) {
+// A gateway chooses from its subset of the runners, and from all if the subset has too few usable
+// ones.
+func TestGatewayUsesItsSubset(t *testing.T) {
 	g := NewWithT(t)
 	p, _ := pool(8, 0, 10000)
 	share := map[string]bool{"d0": true, "d2": true, "d4": true, "d6": true}
@@ -83,7 +82,7 @@
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	g.Expect(p.look(runners.Decode, nil, now)).To(HaveLen(4))
+	g.Expect(p.sample(runners.Decode, nil, now)).To(HaveLen(4))
 	delete(share, "d0")
-	g.Expect(p.look(runners.Decode, nil, now.Add(2*shareFor))).To(HaveLen(8))
+	g.Expect(p.sample(runners.Decode, nil, now.Add(2*subsetTTL))).To(HaveLen(8))
 }
