--- a/pkg/staging/staging_test.go
+++ b/pkg/staging/staging_test.go
@@ -26,9 +26,9 @@
 	return dir.Present("s", time.Now())
 }
 
-// Whatever the parts are, an exact plan leads to those that are wanted, takes no
-// engine twice, leaves one of each part, and then nothing is left to plan.
-func TestAnExactPlanLeadsToWhatIsWanted(t *testing.T) {
+// An exact plan leads to the wanted stages, changes no engine twice and leaves one engine in each
+// stage. A second plan is empty.
+func TestExactPlanLeadsToWantedStages(t *testing.T) {
 	spectest.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		p := DefaultPolicy()
@@ -49,7 +49,7 @@
 			c.Runner.BeginStageChange(c.Stage, time.Minute, now)
 		}
 		total := prefill + decode
-		g.Expect(p.Plan(Situation{Engines: all, Exact: true}, now)).To(BeEmpty(), "engines on their way count as having arrived")
+		g.Expect(p.Plan(Situation{Engines: all, Exact: true}, now)).To(BeEmpty(), "changing engines count in their new stage")
 		g.Expect(after).To(And(BeNumerically(">=", 1), BeNumerically("<", total)))
 		if total >= 2*p.Least {
 			g.Expect(after).To(Equal(p.Wanted(total, 0)))
@@ -57,8 +57,9 @@
 	})
 }
 
-// Guards against a stage that is left without an engine, since one engine too few is tolerated under load.
-func TestNoStageIsLeftWithoutAnEngine(t *testing.T) {
+// Guards against a stage that is left without an engine because one engine too few is tolerated
+// under load.
+func TestPlanLeavesNoStageWithoutEngine(t *testing.T) {
 	spectest.Check(t, func(t *rapid.T) {
 		p, now := DefaultPolicy(), time.Now()
 		prefill, decode := rapid.IntRange(0, 12).Draw(t, "prefill"), rapid.IntRange(0, 12).Draw(t, "decode")
@@ -80,8 +81,8 @@
 	})
 }
 
-// An engine that may get no order counts in its stage, and another one is ordered.
-func TestAnEngineThatAdmitsNothingGetsNoOrder(t *testing.T) {
+// An engine that may get no stage change counts in its stage, and another engine is changed.
+func TestEngineThatIsNotAdmittedIsNotChanged(t *testing.T) {
 	g := NewWithT(t)
 	all := engines(4, 1)
 	x := Situation{Engines: all, Exact: true, Admits: func(s *runners.State) bool { return s.ID != "e00" }}
@@ -92,7 +93,7 @@
 	}
 }
 
-func TestASmallDifferenceIsLeftOnceThereIsLoad(t *testing.T) {
+func TestSmallDifferenceIsToleratedUnderLoad(t *testing.T) {
 	g := NewWithT(t)
 	p := DefaultPolicy()
 	now := time.Now()
@@ -101,7 +102,7 @@
 	g.Expect(p.Plan(Situation{Engines: engines(1, 9), Exact: false}, now)).NotTo(BeEmpty())
 }
 
-func TestEnginesAreTakenFromTheFullestDomains(t *testing.T) {
+func TestEnginesAreTakenFromLargestDomains(t *testing.T) {
 	g := NewWithT(t)
 	domains := map[string]int{}
 	for _, c := range DefaultPolicy().Plan(Situation{Engines: engines(7, 5), Exact: true}, time.Now()) {
@@ -110,20 +111,20 @@
 	g.Expect(domains).To(HaveLen(3))
 }
 
-// Under load a difference is taken back as far as it is not tolerated, and no further.
-func TestUnderLoadStagesChangeNoFurtherThanTolerated(t *testing.T) {
+// Under load only the part of a difference beyond the tolerance is corrected.
+func TestChangesUnderLoadStopAtTolerance(t *testing.T) {
 	g := NewWithT(t)
 	p, now := DefaultPolicy(), time.Now()
 	g.Expect(p.Wanted(12, 0)).To(Equal(4))
 	g.Expect(p.Plan(Situation{Engines: engines(2, 10), Exact: false}, now)).To(HaveLen(1))
 	g.Expect(p.Plan(Situation{Engines: engines(7, 5), Exact: false}, now)).To(HaveLen(2))
 	g.Expect(p.Wanted(4, 0)).To(Equal(p.Least))
-	g.Expect(p.Plan(Situation{Engines: engines(1, 3), Exact: false}, now)).To(HaveLen(1), "the least number is kept")
+	g.Expect(p.Plan(Situation{Engines: engines(1, 3), Exact: false}, now)).To(HaveLen(1), "the minimum is ensured")
 }
 
-// An engine that was ordered to change gets no second order, and one whose order was
-// lost is planned for again.
-func TestAnEngineOnItsWayGetsNoSecondOrder(t *testing.T) {
+// An engine with a stage change under way gets no second one. It is planned for again if the
+// change was lost.
+func TestChangingEngineGetsNoSecondChange(t *testing.T) {
 	g := NewWithT(t)
 	p, now := DefaultPolicy(), time.Now()
 	all := engines(1, 5)
@@ -134,9 +135,9 @@
 	g.Expect(p.Plan(Situation{Engines: all, Exact: true}, now.Add(2*time.Second))).To(HaveLen(1))
 }
 
-// The more engines share the load, the smaller a part of them prefills: 4 of 12
-// and 6 of 18 were measured best, and 0.20 to 0.28 of 47 and 55.
-func TestLargePoolsNeedASmallerPartForTheirPeaks(t *testing.T) {
+// The more engines share the load, the smaller the fraction that prefills: the best numbers were 4
+// of 12, 6 of 18, and 0.20 to 0.28 of 47 and 55.
+func TestLargePoolsNeedSmallerMarginForPeaks(t *testing.T) {
 	g := NewWithT(t)
 	p := DefaultPolicy()
 	for engines, wanted := range map[int]int{3: 1, 4: 2, 12: 4, 18: 6, 47: 12, 55: 14} {
@@ -144,9 +145,9 @@
 	}
 }
 
-// Prompts that take most of the engines' time get more engines, long answers fewer;
-// what was learned from the usual load changes nothing, whatever the number of engines.
-func TestALearnedShareCountsWhereItIsClearlyDifferent(t *testing.T) {
+// A larger share of prefill time gets more prefill engines, a smaller one fewer. Shares learned from
+// the usual load change nothing, for any number of engines.
+func TestLearnedShareCountsIfClearlyDifferent(t *testing.T) {
 	g := NewWithT(t)
 	p := DefaultPolicy()
 	for _, engines := range []int{9, 12, 38, 180} {
@@ -158,12 +159,12 @@
 		g.Expect(p.Wanted(engines, 0.001)).To(BeNumerically(">=", p.Least))
 	}
 	g.Expect(p.Wanted(9, 0.54)).To(Equal(5))
-	g.Expect(p.Plan(Situation{Engines: engines(3, 6), Learned: 0.54, Exact: false}, time.Now())).To(HaveLen(1), "under load as far as it is not tolerated")
+	g.Expect(p.Plan(Situation{Engines: engines(3, 6), Learned: 0.54, Exact: false}, time.Now())).To(HaveLen(1), "under load only beyond the tolerance")
 	g.Expect(p.Plan(Situation{Engines: engines(3, 6), Learned: 0.54, Exact: true}, time.Now())).To(HaveLen(2))
 }
 
-// Of the engines of the fullest domain the one with the least to finish changes.
-func TestTheEngineThatIsEmptiedSoonestChanges(t *testing.T) {
+// The engine with the least work changes first within the domain with the most engines.
+func TestEngineWithLeastLoadChangesFirst(t *testing.T) {
 	g := NewWithT(t)
 	all := engines(0, 9)
 	loads := map[string]float64{}
@@ -181,8 +182,8 @@
 	}
 }
 
-// pickOneByOne is what take must come to: at each step the engine with the least load of the domain
-// that has most left.
+// pickOneByOne is a reference implementation of pick: each step takes the engine with the least
+// load in the domain with the most engines left.
 func pickOneByOne(s Situation, from []*runners.State, n int) []string {
 	left := slices.Clone(from)
 	var out []string
@@ -200,7 +201,7 @@
 	return out
 }
 
-func TestEnginesAreTakenFromTheFullestDomainsByLoad(t *testing.T) {
+func TestPickMatchesReferenceImplementation(t *testing.T) {
 	spectest.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		dir := runners.NewDirectory("a")
@@ -213,7 +214,7 @@
 		x := Situation{Load: func(r *runners.State) float64 { return loads[r.ID] }}
 		from, n := dir.Present("s", time.Now()), rapid.IntRange(0, 30).Draw(t, "n")
 		var got []string
-		for _, c := range x.take(from, n, Change{Stage: runners.Prefill}) {
+		for _, c := range x.pick(from, n, Change{Stage: runners.Prefill}) {
 			g.Expect(c.Stage).To(Equal(runners.Prefill))
 			got = append(got, c.Runner.ID)
 		}
@@ -221,7 +222,7 @@
 	})
 }
 
-// BenchmarkPlan plans for 3,000 engines that all decode, so that some 600 are to change.
+// BenchmarkPlan plans for 3,000 decode engines, of which some 600 change.
 func BenchmarkPlan(b *testing.B) {
 	dir := runners.NewDirectory("a")
 	for i := range 3000 {
