--- a/pkg/subset/subset.go
+++ b/pkg/subset/subset.go
@@ -1,7 +1,7 @@
-// Package subset bounds which gateways use an engine, so that the cost of knowing
-// each other does not grow with their number: an engine is used by a few gateways,
-// which report to each other what they have reserved there. All gateways that know
-// the same members come to the same subsets without asking.
+// Package subset limits how many gateways use an engine, so that the cost of exchanging
+// reports between gateways does not grow with their number. Each engine is used by a few
+// gateways, which report to each other what they have reserved there. All gateways with
+// the same membership list compute the same subsets without communication.
 package subset
 
 import (
@@ -12,14 +12,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Users is how many gateways use one engine. Below it all use all. A gateway reports
-// a change to one fewer, and has, of E engines among G gateways, some E·Users/G to
-// choose from.
+// Users is how many gateways use one engine. If there are fewer gateways, all use all
+// engines. A gateway reports a change to Users-1 others, and with E engines and G gateways
+// has about E·Users/G engines to choose from.
 const Users = 24
 
-// Subset is the view of one gateway. It is safe for concurrent use.
+// Subset computes subsets from one gateway's membership list. It is safe for concurrent use.
 type Subset struct {
-	// gateways are the names of all, the own one first, and hashes those of the names.
+	// gateways holds the names of all gateways, this one first; hashes holds the hashes of
+	// the names.
 	gateways []string
 	hashes   []uint64
 
@@ -27,7 +28,7 @@
 	users map[string][]string
 }
 
-// New returns the view of a gateway that knows others.
+// New returns the subsets as seen by gateway self, with the names of the others.
 func New(self string, others []string) *Subset {
 	s := &Subset{gateways: append([]string{self}, others...), users: map[string][]string{}}
 	s.hashes = make([]uint64, len(s.gateways))
@@ -37,11 +38,12 @@
 	return s
 }
 
-// Gateways returns how many gateways there are.
+// Gateways returns the number of gateways, including this one.
 func (s *Subset) Gateways() int { return len(s.gateways) }
 
-// Uses reports whether this gateway uses an engine. It is asked for all engines whenever
-// a gateway comes or goes, and counts those before this one without ordering them.
+// Uses reports whether this gateway uses an engine. It is called for all engines whenever
+// the set of gateways changes, so it counts the gateways that rank before this one without
+// sorting them.
 func (s *Subset) Uses(engine string) bool {
 	if len(s.gateways) <= Users {
 		return true
@@ -72,8 +74,8 @@
 	return list
 }
 
-// Chosen returns the gateways that a key falls to, as many as use one engine; nothing of it is
-// kept, so that keys may be any number.
+// Chosen returns the gateways that rank first for a key, as many as use one engine. The
+// result is not cached, so that the number of keys is not limited.
 func (s *Subset) Chosen(key string) []string {
 	if len(s.gateways) <= Users {
 		return s.gateways
@@ -81,7 +83,7 @@
 	return s.First(key, Users)
 }
 
-// ranked is a gateway's place in the order of an engine's users.
+// ranked is a gateway with its hash for a key, which determines its rank.
 type ranked struct {
 	name string
 	hash uint64
@@ -91,7 +93,7 @@
 	return cmp.Or(cmp.Compare(b.hash, a.hash), cmp.Compare(a.name, b.name))
 }
 
-// mix spreads the bits of two hashes that were joined: the finalizer of MurmurHash3.
+// mix spreads the bits of two hashes combined by XOR: the finalizer of MurmurHash3.
 func mix(h uint64) uint64 {
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
@@ -100,8 +102,9 @@
 	return h ^ h>>33
 }
 
-// First returns the n gateways that a key falls to first, all if they are fewer, by rendezvous hashing:
-// when a gateway comes or goes, only the keys that it had change, by one gateway each.
+// First returns the n gateways that rank first for a key by rendezvous hashing, all if
+// there are fewer. If a gateway is added or removed, only the keys that it has change, by
+// one gateway each.
 func (s *Subset) First(key string, n int) []string {
 	if len(s.gateways) <= n {
 		return s.gateways
--- a/pkg/subset/subset_test.go
+++ b/pkg/subset/subset_test.go
@@ -19,7 +19,7 @@
 	return out
 }
 
-// view returns the view of the i-th of some gateways.
+// view returns the subsets as seen by the i-th of the gateways.
 func view(all []string, i int) *Subset {
 	return New(all[i], slices.Delete(slices.Clone(all), i, i+1))
 }
@@ -31,9 +31,8 @@
 	g.Expect(s.Of("e")).To(HaveLen(Users))
 }
 
-// All gateways agree on who uses an engine, in whatever order they learned of each
-// other.
-func TestGatewaysAgree(t *testing.T) {
+// All gateways compute the same users of an engine, in whatever order they learned of each other.
+func TestGatewaysComputeSameSubsets(t *testing.T) {
 	spectest.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		all := names(rapid.IntRange(Users+1, 60).Draw(t, "gateways"))
@@ -51,8 +50,8 @@
 	})
 }
 
-// A gateway that goes changes only the engines that it used, each by one user.
-func TestALossChangesLittle(t *testing.T) {
+// Removing a gateway changes only the engines that it used, each by one user.
+func TestRemovedGatewayChangesOnlyItsEngines(t *testing.T) {
 	g := NewWithT(t)
 	all := names(100)
 	before, after := view(all, 0), view(all[:99], 0)
@@ -72,8 +71,8 @@
 	}
 }
 
-// Engines spread evenly: no gateway has far more or fewer than its share.
-func TestEnginesSpread(t *testing.T) {
+// No gateway uses more than twice or less than half of its mean number of engines.
+func TestEnginesSpreadEvenly(t *testing.T) {
 	g := NewWithT(t)
 	all := names(420)
 	counts := map[string]int{}
@@ -97,8 +96,8 @@
 	}
 }
 
-// Fewer gateways share a key the fewer are asked for, and the first stay the first.
-func TestTheFirstOfMoreAreTheFirstOfFewer(t *testing.T) {
+// A smaller n returns a prefix of the list for a larger n.
+func TestFirstReturnsPrefixOfLargerResult(t *testing.T) {
 	g := NewWithT(t)
 	s := view(names(40), 0)
 	g.Expect(s.First("e", 40)).To(ConsistOf(names(40)))
