--- a/pkg/enginepool/enginepool_test.go
+++ b/pkg/enginepool/enginepool_test.go
@@ -253,7 +253,7 @@
 	})
 }
 
-func TestLateJobGoesBehindJobsThatCanMeetDeadline(t *testing.T) {
+func TestLateJobGoesBehindJobsThatCanMeetTarget(t *testing.T) {
 	g := NewWithT(t)
 	p, _ := pool(1, 0, 1000)
 	s, err := wait(p, job("first", 900, 50), Fresh, time.Second)
--- a/pkg/enginepool/queue.go
+++ b/pkg/enginepool/queue.go
@@ -22,7 +22,7 @@
 	Returning
 	// Fresh is for requests received for the first time.
 	Fresh
-	// Late is for requests that can no longer meet their deadline.
+	// Late is for requests that can no longer meet their latency target.
 	Late
 )
 
@@ -36,7 +36,7 @@
 	prefer string
 	// granted receives the runner on which memory is reserved.
 	granted chan *runners.State
-	// lateAt is when the job can no longer meet its deadline; zero for never.
+	// lateAt is when the job can no longer meet its latency target; zero for never.
 	lateAt time.Time
 }
 
