--- a/pkg/peers/assured.go
+++ b/pkg/peers/assured.go
@@ -27,17 +27,17 @@
 	return c.base + uint64(max(1, now.Sub(c.began).Microseconds()))
 }
 
-// time returns when a stamp was given, false if it is not one of this process.
-func (c *stampClock) time(stamp uint64, now time.Time) (time.Time, bool) {
+// timeOf returns when a stamp was given, false if it is not one of this process.
+func (c *stampClock) timeOf(stamp uint64, now time.Time) (time.Time, bool) {
 	if stamp <= c.base || stamp > c.stamp(now) {
 		return time.Time{}, false
 	}
 	return c.began.Add(time.Duration(stamp-c.base) * time.Microsecond), true
 }
 
-// assure adds to an update for a subscriber what tells it how old the update is. The caller
+// stampUpdate adds to an update for a subscriber what tells it how old the update is. The caller
 // holds the lock.
-func (x *Exchange) assure(u *wirepb.StoreUpdate, subscriber string, assured time.Time) {
+func (x *Exchange) stampUpdate(u *wirepb.StoreUpdate, subscriber string, assured time.Time) {
 	if assured.IsZero() {
 		return
 	}
@@ -51,18 +51,18 @@
 	u.AssuredUs = uint64(max(0, now.Sub(assured).Microseconds()) + 1)
 }
 
-// assured returns the moment of the own clock for which an update says how the store was,
+// confirmedAt returns the moment of the own clock for which an update says how the store was,
 // zero if it says none.
-func (x *Exchange) assured(u *wirepb.StoreUpdate) time.Time {
+func (x *Exchange) confirmedAt(u *wirepb.StoreUpdate) time.Time {
 	if u.Stamp == 0 {
 		return time.Time{}
 	}
 	now := boottime.Now()
-	given, own := x.clock.time(u.Stamp, now)
+	stamped, own := x.clock.timeOf(u.Stamp, now)
 	if !own {
 		return time.Time{}
 	}
-	at := given.Add(time.Duration(u.HeldUs) * time.Microsecond).Add(-time.Duration(u.AssuredUs) * time.Microsecond)
+	at := stamped.Add(time.Duration(u.HeldUs) * time.Microsecond).Add(-time.Duration(u.AssuredUs) * time.Microsecond)
 	if at.After(now) {
 		return time.Time{}
 	}
--- a/pkg/peers/assured_test.go
+++ b/pkg/peers/assured_test.go
@@ -18,51 +18,51 @@
 // What a gateway learns of the store's age through a chain of relays is never younger than it
 // is, however long each message and each process stands still, whichever messages are lost
 // or come twice; and without any of that it is known to some round trips.
-func TestAnAssuranceIsNeverYoungerThanItIs(t *testing.T) {
+func TestConfirmedTimeIsNeverTooRecent(t *testing.T) {
 	spectest.Check(t, func(rt *rapid.T) {
 		synctest.Test(t, func(*testing.T) {
 			g := NewWithT(rt)
 			const hops = 3
 			chain := make([]*Exchange, hops)
-			known := make([]time.Time, hops)
+			confirmed := make([]time.Time, hops)
 			for i := range chain {
-				chain[i] = subscribed()
+				chain[i] = newStampExchange()
 				time.Sleep(time.Duration(rapid.IntRange(0, 5000).Draw(rt, "start")) * time.Millisecond)
 			}
-			pause := func(what string) {
+			delay := func(what string) {
 				time.Sleep(time.Duration(rapid.SampledFrom([]int{0, 1, 40, 3000}).Draw(rt, what)) * time.Millisecond)
 			}
-			var late []func()
+			var deliveries []func()
 			for range rapid.IntRange(1, 40).Draw(rt, "steps") {
 				i := rapid.IntRange(1, hops-1).Draw(rt, "gateway")
 				relay, self := chain[i-1], chain[i]
 				switch rapid.IntRange(0, 3).Draw(rt, "what") {
 				case 0:
-					known[0] = time.Now()
+					confirmed[0] = time.Now()
 				case 1:
 					stamp := self.clock.stamp(time.Now())
-					pause("subscription")
+					delay("subscription")
 					relay.subscribers.Subscribe("self", 1, readsAll, time.Now())
 					relay.subscribers.Stamp("self", stamp, time.Now())
 				case 2:
 					u := &wirepb.StoreUpdate{}
-					relay.assure(u, "self", known[i-1])
-					made, truth := time.Now(), known[i-1]
+					relay.stampUpdate(u, "self", confirmed[i-1])
+					sentAt, actual := time.Now(), confirmed[i-1]
 					deliver := func() {
-						at := self.assured(u)
-						g.Expect(at.After(truth)).To(BeFalse(), "sent at %s", made)
-						if at.After(known[i]) {
-							known[i] = at
+						at := self.confirmedAt(u)
+						g.Expect(at.After(actual)).To(BeFalse(), "sent at %s", sentAt)
+						if at.After(confirmed[i]) {
+							confirmed[i] = at
 						}
 					}
-					late = append(late, deliver)
-					pause("update")
+					deliveries = append(deliveries, deliver)
+					delay("update")
 					if rapid.Bool().Draw(rt, "arrives") {
 						deliver()
 					}
 				default:
-					if len(late) > 0 {
-						rapid.SampledFrom(late).Draw(rt, "again")()
+					if len(deliveries) > 0 {
+						rapid.SampledFrom(deliveries).Draw(rt, "again")()
 					}
 				}
 			}
@@ -70,10 +70,10 @@
 	})
 }
 
-func TestAnAssuranceCostsOneRoundTrip(t *testing.T) {
+func TestConfirmedTimeIsAccurateToOneRoundTrip(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		relay, self := subscribed(), subscribed()
+		relay, self := newStampExchange(), newStampExchange()
 		time.Sleep(time.Second)
 		stamp := self.clock.stamp(time.Now())
 		time.Sleep(2 * time.Millisecond)
@@ -82,17 +82,17 @@
 		time.Sleep(800 * time.Millisecond)
 		read := time.Now().Add(-100 * time.Millisecond)
 		u := &wirepb.StoreUpdate{}
-		relay.assure(u, "self", read)
+		relay.stampUpdate(u, "self", read)
 		time.Sleep(2 * time.Millisecond)
-		g.Expect(read.Sub(self.assured(u))).To(BeNumerically("~", 2*time.Millisecond, 100*time.Microsecond))
+		g.Expect(read.Sub(self.confirmedAt(u))).To(BeNumerically("~", 2*time.Millisecond, 100*time.Microsecond))
 	})
 }
 
 // A relay that is suspended between a subscription and its answer, or before it, says as much, and
 // so does the age at a gateway that is suspended itself.
-func TestAnAssuranceAgesOverSuspensions(t *testing.T) {
+func TestConfirmedTimeCountsSuspensions(t *testing.T) {
 	g := NewWithT(t)
-	relay, self := subscribed(), subscribed()
+	relay, self := newStampExchange(), newStampExchange()
 	suspended := func() { t.Cleanup(boottime.Suspend(3 * time.Second)) }
 	read := boottime.Now()
 	suspended()
@@ -101,29 +101,29 @@
 	relay.subscribers.Stamp("self", stamp, boottime.Now())
 	suspended()
 	u := &wirepb.StoreUpdate{}
-	relay.assure(u, "self", read)
+	relay.stampUpdate(u, "self", read)
 	suspended()
-	g.Expect(boottime.Since(self.assured(u))).To(BeNumerically(">=", 9*time.Second))
+	g.Expect(boottime.Since(self.confirmedAt(u))).To(BeNumerically(">=", 9*time.Second))
 }
 
 // A process that starts again under the same name may be sent the stamp of the one before.
-func TestTheStampOfAnEarlierProcessSaysNothing(t *testing.T) {
+func TestStampOfEarlierProcessIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		relay, before := subscribed(), subscribed()
+		relay, before := newStampExchange(), newStampExchange()
 		time.Sleep(time.Second)
 		relay.subscribers.Subscribe("self", 1, readsAll, time.Now())
 		relay.subscribers.Stamp("self", before.clock.stamp(time.Now()), time.Now())
-		after := subscribed()
+		after := newStampExchange()
 		time.Sleep(time.Second)
 		u := &wirepb.StoreUpdate{}
-		relay.assure(u, "self", time.Now())
-		g.Expect(after.assured(u).IsZero()).To(BeTrue())
-		g.Expect(before.assured(u).IsZero()).To(BeFalse())
+		relay.stampUpdate(u, "self", time.Now())
+		g.Expect(after.confirmedAt(u).IsZero()).To(BeTrue())
+		g.Expect(before.confirmedAt(u).IsZero()).To(BeFalse())
 	})
 }
 
-// subscribed returns as much of an exchange as assurances need.
-func subscribed() *Exchange {
+// newStampExchange returns as much of an exchange as assurances need.
+func newStampExchange() *Exchange {
 	return &Exchange{clock: newStampClock(), subscribers: relay.NewSubscribers(pace)}
 }
--- a/pkg/peers/convert.go
+++ b/pkg/peers/convert.go
@@ -10,8 +10,8 @@
 	"github.com/hopwell/hopwell/pkg/wire/wirepb"
 )
 
-// encode puts snapshots into a message.
-func encode(snapshots map[string]enginepool.Snapshot) *wirepb.GatewayState {
+// encodeSnapshots puts snapshots into a message.
+func encodeSnapshots(snapshots map[string]enginepool.Snapshot) *wirepb.GatewayState {
 	state := &wirepb.GatewayState{}
 	for service, s := range snapshots {
 		pool := &wirepb.GatewayPool{Service: service, Waiting: uint32(s.Waiting), Full: s.Full}
@@ -28,9 +28,9 @@
 	return state
 }
 
-// decode takes snapshots out of a message, by service. Loads whose two lists differ in
+// decodeSnapshots takes snapshots out of a message, by service. Loads whose two lists differ in
 // length are left out.
-func decode(s *wirepb.GatewayState) map[string]enginepool.Snapshot {
+func decodeSnapshots(s *wirepb.GatewayState) map[string]enginepool.Snapshot {
 	out := map[string]enginepool.Snapshot{}
 	for _, pool := range s.Pools {
 		p := enginepool.Snapshot{Full: pool.Full, Waiting: int(pool.Waiting)}
--- a/pkg/peers/limits.go
+++ b/pkg/peers/limits.go
@@ -8,9 +8,9 @@
 	"github.com/hopwell/hopwell/pkg/wire/wirepb"
 )
 
-// sharedEvery is the time between two datagrams to a gateway that shares a runner's limit. The share of a
+// sharedLimitInterval is the time between two datagrams to a gateway that shares a runner's limit. The share of a
 // gateway from which no datagrams arrive stays unused.
-const sharedEvery = 300 * time.Millisecond
+const sharedLimitInterval = 300 * time.Millisecond
 
 // addLimits adds to a datagram what its receiver has not been told of runners' limits: everything
 // where the datagram has everything else. The caller holds the lock.
@@ -19,24 +19,24 @@
 		return
 	}
 	if state.Address != "" {
-		m.limits = 0
+		m.limitsRevision = 0
 	}
 	var reports []runnerlimit.Report
-	reports, m.limits = x.options.Limits.Since(m.name, m.limits, now)
+	reports, m.limitsRevision = x.options.Limits.Since(m.name, m.limitsRevision, now)
 	state.Limits = encodeLimits(reports)
 }
 
 // limitsDue reports whether a gateway should be told of runners' limits at once. The caller holds the
 // lock.
 func (x *Exchange) limitsDue(m *member) bool {
-	return x.options.Limits != nil && x.options.Limits.Due(m.name, m.limits)
+	return x.options.Limits != nil && x.options.Limits.Due(m.name, m.limitsRevision)
 }
 
-// shares reports whether a gateway that shares a limit has not been told anything for long. The
+// sharedLimitDue reports whether a gateway that sharedLimitDue a limit has not been told anything for long. The
 // caller holds the lock.
-func (x *Exchange) shares(m *member, now time.Time) bool {
+func (x *Exchange) sharedLimitDue(m *member, now time.Time) bool {
 	l := x.options.Limits
-	return l != nil && m.alive && now.Sub(m.lastSent) >= sharedEvery && l.Shares(m.name)
+	return l != nil && m.alive && now.Sub(m.lastSent) >= sharedLimitInterval && l.Shares(m.name)
 }
 
 // receiveLimits takes what another gateway told.
@@ -50,14 +50,14 @@
 	}
 }
 
-// limitMembers says which gateways share limits. The caller holds the lock.
-func (x *Exchange) limitMembers() {
-	if x.options.Limits == nil || x.limitsToldMembers == x.memberships {
+// updateLimitMembers says which gateways share limits. The caller holds the lock.
+func (x *Exchange) updateLimitMembers() {
+	if x.options.Limits == nil || x.limitMemberships == x.memberships {
 		return
 	}
-	x.limitsToldMembers = x.memberships
+	x.limitMemberships = x.memberships
 	names := make([]string, 0, len(x.members))
-	for _, m := range x.sorted() {
+	for _, m := range x.sortedMembers() {
 		names = append(names, m.name)
 	}
 	x.options.Limits.Members(names)
@@ -74,8 +74,8 @@
 	return out
 }
 
-// maxCalls bounds how many calls a request is believed to take at a runner.
-const maxCalls = 16
+// maxCallsPerRequest bounds how many calls a request is believed to take at a runner.
+const maxCallsPerRequest = 16
 
 // decodeLimits takes reports out of a message. One without a runner, or whose limit is no number of
 // 0 or more, is left out.
@@ -87,7 +87,7 @@
 		}
 		out = append(out, runnerlimit.Report{
 			Runner: r.Runner, Sent: r.Sent, Over: r.Over,
-			Statement: runnerlimit.Statement{Kind: runnerlimit.Kind(r.Kind), Named: true, PerSecond: r.PerSecond, Calls: int(min(max(r.Calls, 1), maxCalls))},
+			Statement: runnerlimit.Statement{Kind: runnerlimit.Kind(r.Kind), Named: true, PerSecond: r.PerSecond, Calls: int(min(max(r.Calls, 1), maxCallsPerRequest))},
 			NamedAgo:  time.Duration(r.NamedAgoMs) * time.Millisecond, EndedAgo: time.Duration(r.EndedAgoMs) * time.Millisecond,
 		})
 	}
--- a/pkg/peers/limits_test.go
+++ b/pkg/peers/limits_test.go
@@ -11,7 +11,7 @@
 	"github.com/hopwell/hopwell/pkg/wire/wirepb"
 )
 
-func TestRunnersLimitsTravelInDatagrams(t *testing.T) {
+func TestRunnerLimitsSurviveEncoding(t *testing.T) {
 	g := NewWithT(t)
 	reports := []runnerlimit.Report{
 		{Runner: "r", Statement: runnerlimit.Statement{Kind: runnerlimit.Read, Named: true, PerSecond: 2.9, Calls: 2}, NamedAgo: 40 * time.Millisecond, Sent: 7},
--- a/pkg/peers/members.go
+++ b/pkg/peers/members.go
@@ -22,13 +22,13 @@
 	// sent counts the datagrams to it; lastSent and lastFull are when the last one,
 	// and the last one with everything, was sent. wantFull is set when it lacks
 	// something; missing when something of its own was lost.
-	sent               uint64
-	lastSent, lastFull time.Time
-	wantFull, missing  bool
-	// spending is the revision of the own spending up to which it was told.
-	spending uint64
-	// limits is the revision of the runners' limits up to which it was told.
-	limits uint64
+	sent                uint64
+	lastSent, lastFull  time.Time
+	needsFull, lostData bool
+	// spendingRevision is the revision of the own spendingRevision up to which it was told.
+	spendingRevision uint64
+	// limitsRevision is the revision of the runners' limitsRevision up to which it was told.
+	limitsRevision uint64
 }
 
 // Add records the address of another gateway.
@@ -43,7 +43,7 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.members[name] == nil {
-		x.members[name] = &member{name: name, address: at, lastSeen: time.Now(), wantFull: true}
+		x.members[name] = &member{name: name, address: at, lastSeen: time.Now(), needsFull: true}
 		x.memberships++
 	}
 	return nil
@@ -60,7 +60,7 @@
 func (x *Exchange) Names() []string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	list := x.sorted()
+	list := x.sortedMembers()
 	out := make([]string, 0, len(list))
 	for _, m := range list {
 		out = append(out, m.name)
@@ -99,7 +99,7 @@
 func (x *Exchange) Addresses() []string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	list := slices.Clone(x.sorted())
+	list := slices.Clone(x.sortedMembers())
 	slices.SortStableFunc(list, func(a, b *member) int { return int(b.version) - int(a.version) })
 	out := make([]string, 0, len(list))
 	for _, m := range list {
@@ -122,9 +122,9 @@
 // Uses reports whether this gateway uses an engine; see package subset.
 func (x *Exchange) Uses(engine string) bool { return x.subset.Load().Uses(engine) }
 
-// sorted returns the members by name, in a list that must not be changed. The caller holds the
+// sortedMembers returns the members by name, in a list that must not be changed. The caller holds the
 // lock.
-func (x *Exchange) sorted() []*member {
+func (x *Exchange) sortedMembers() []*member {
 	if x.byNameAt == x.memberships && x.byName != nil {
 		return x.byName
 	}
@@ -137,12 +137,12 @@
 	return list
 }
 
-// regroup makes the subsets anew after a gateway has come or gone. The caller holds
+// updateSubset makes the subsets anew after a gateway has come or gone. The caller holds
 // the lock.
-func (x *Exchange) regroup() {
-	x.alive = nil
+func (x *Exchange) updateSubset() {
+	x.aliveNames = nil
 	var others []string
-	for _, m := range x.sorted() {
+	for _, m := range x.sortedMembers() {
 		if m.alive {
 			others = append(others, m.name)
 		}
@@ -153,11 +153,11 @@
 // heartbeat returns the time between two datagrams to a gateway without news: it grows
 // with the number of gateways, so that what all cost together does not.
 func (x *Exchange) heartbeat() time.Duration {
-	share := heartbeatShare
+	share := heartbeatPerGateway
 	if x.options.Quota != nil && x.options.Quota.Limited() {
-		share = limitedShare
+		share = limitedHeartbeatPerGateway
 	}
-	return max(leastHeartbeat, time.Duration(len(x.members))*share)
+	return max(minHeartbeat, time.Duration(len(x.members))*share)
 }
 
 // sweep notes which gateways have fallen silent, and drops those that were silent for
@@ -165,24 +165,24 @@
 func (x *Exchange) sweep(now time.Time) {
 	var silent []string
 	x.mu.Lock()
-	aliveFor := max(leastAlive, heartbeatsAlive*x.heartbeat())
+	aliveFor := max(minAliveTime, aliveHeartbeats*x.heartbeat())
 	for name, m := range x.members {
-		quiet := now.Sub(m.lastSeen)
-		if m.alive && quiet > aliveFor {
+		silentFor := now.Sub(m.lastSeen)
+		if m.alive && silentFor > aliveFor {
 			m.alive = false
 			silent = append(silent, name)
 		}
-		if quiet > RememberFor {
+		if silentFor > RememberFor {
 			delete(x.members, name)
 			x.memberships++
 		}
 	}
 	if len(silent) > 0 {
-		x.regroup()
+		x.updateSubset()
 	}
 	known := len(x.members)
-	x.quotaMembers(now)
-	x.limitMembers()
+	x.updateQuotaMembers(now)
+	x.updateLimitMembers()
 	x.mu.Unlock()
 	for _, name := range silent {
 		x.options.Changed(name, Silent, known)
--- a/pkg/peers/notices_test.go
+++ b/pkg/peers/notices_test.go
@@ -13,7 +13,7 @@
 
 // Guards against a notice that stays with the gateway that had the answer: the others then learn of it
 // from the store alone, which may be away.
-func TestGatewaysTellEachOtherWhichRunnersLeave(t *testing.T) {
+func TestLeavingRunnersAreReportedAndForwarded(t *testing.T) {
 	g := NewWithT(t)
 	a, b := start(t, "a", 1), start(t, "b", 2)
 	g.Expect(a.Add("b", b.address)).To(Succeed())
@@ -25,7 +25,7 @@
 }
 
 // Guards against datagrams that grow with the number of runners that leave.
-func TestADatagramNamesABoundedNumberOfRunnersThatLeave(t *testing.T) {
+func TestLeavingRunnersPerDatagramAreBounded(t *testing.T) {
 	g := NewWithT(t)
 	a := newGateway(t, "a", 1)
 	now := time.Now()
--- a/pkg/peers/peers.go
+++ b/pkg/peers/peers.go
@@ -24,40 +24,40 @@
 )
 
 const (
-	// gather is how long changes are let come together before they are sent. A
+	// batchDelay is how long changes are let come together before they are sent. A
 	// reservation and the prefill that follows it are some 5 ms apart.
-	gather = 10 * time.Millisecond
-	// period is the time between two looks at who is due a datagram.
-	period = 60 * time.Millisecond
-	// leastHeartbeat is the least time between two datagrams to a gateway without
+	batchDelay = 10 * time.Millisecond
+	// sendInterval is the time between two looks at who is due a datagram.
+	sendInterval = 60 * time.Millisecond
+	// minHeartbeat is the least time between two datagrams to a gateway without
 	// news; heartbeatShare is what each gateway adds to it: 33 heartbeats a second
 	// go out from each gateway at most, some 1.5 KB.
-	leastHeartbeat = 300 * time.Millisecond
-	heartbeatShare = 30 * time.Millisecond
-	// limitedShare takes its place where workspaces have limits: what belongs to a gateway
+	minHeartbeat        = 300 * time.Millisecond
+	heartbeatPerGateway = 30 * time.Millisecond
+	// limitedHeartbeatPerGateway takes its place where workspaces have limits: what belongs to a gateway
 	// that is not heard of is not spent by others, so that most must be heard of soon.
-	limitedShare = 10 * time.Millisecond
-	// A gateway counts as alive for heartbeatsAlive heartbeats after its last
+	limitedHeartbeatPerGateway = 10 * time.Millisecond
+	// A gateway counts as alive for aliveHeartbeats heartbeats after its last
 	// datagram, leastAlive at least: datagrams are lost now and then.
-	heartbeatsAlive = 5
-	leastAlive      = 1500 * time.Millisecond
-	// fullEvery is the time between two datagrams with everything to one gateway: estimates
+	aliveHeartbeats = 5
+	minAliveTime    = 1500 * time.Millisecond
+	// minFullInterval is the time between two datagrams with everything to one gateway: estimates
 	// of what answers take drift apart. Each gateway adds heartbeatShare to it, so that
 	// of many no more come than of a hundred.
-	fullEvery = 3 * time.Second
+	minFullInterval = 3 * time.Second
 	// RememberFor is how long a silent peer is kept and sent to.
 	RememberFor = 60 * time.Second
 	// maxDatagram bounds a datagram, in bytes.
 	maxDatagram = 16 << 10
-	// namedPeers is how many others a datagram with everything names.
-	namedPeers = 4
+	// peersPerDatagram is how many others a datagram with everything names.
+	peersPerDatagram = 4
 	// outcomesEvery is how many periods pass between reports of runners' outcomes.
 	outcomesEvery = 4
 	// maxOutcomes bounds the runners that one report names, some 20 bytes each. Of more
 	// than subset.Users gateways each report goes to fewer the more there are, to
 	// leastReceivers at least: each gets as many reports a second whatever their number.
-	maxOutcomes    = 32
-	leastReceivers = 4
+	maxOutcomes  = 32
+	minReceivers = 4
 )
 
 // What happens to another gateway.
@@ -144,44 +144,44 @@
 
 	mu      sync.Mutex
 	members map[string]*member
-	// memberships counts how often a gateway was added or dropped, toldMembers up to which
+	// memberships counts how often a gateway was added or dropped, quotaMemberships up to which
 	// of these the quota knows, toldGrace how long it was told to take others to be there.
-	memberships, toldMembers uint64
-	toldGrace                time.Duration
-	// limitsToldMembers is up to which membership the runners' limits know.
-	limitsToldMembers uint64
+	memberships, quotaMemberships uint64
+	quotaGrace                    time.Duration
+	// limitMemberships is up to which membership the runners' limits know.
+	limitMemberships uint64
 	// byName is the members by name at byNameAt memberships; alive the names of the living
 	// ones with the own one, nil if they must be listed anew, first whether the own one is
 	// among the first of these, chosen when relays were chosen last. Each is kept since a
 	// period would else sort all gateways several times: 4 ms at 300 of them.
-	byName   []*member
-	byNameAt uint64
-	alive    []string
-	first    bool
-	chosen   time.Time
-	// reached is the revisions up to which changes were sent, by service.
-	reached map[string]uint64
-	periods uint64
+	byName         []*member
+	byNameAt       uint64
+	aliveNames     []string
+	defaultRelay   bool
+	relaysChosenAt time.Time
+	// sentRevisions is the revisions up to which changes were sent, by service.
+	sentRevisions map[string]uint64
+	periods       uint64
 	// sources are the relays of this gateway; subscribers are those that it is a relay
 	// for, relayed is what it may send them.
-	sources     *relay.Sources
-	subscribers *relay.Subscribers
-	relayed     allowance
-	clock       stampClock
-	// turn counts the gateways that outcomes were sent to, in turn.
-	turn int
+	sources        *relay.Sources
+	subscribers    *relay.Subscribers
+	relayAllowance allowance
+	clock          stampClock
+	// nextReceiver counts the gateways that outcomes were sent to, in nextReceiver.
+	nextReceiver int
 }
 
 // New returns an exchange that knows nobody.
 func New(o Options) *Exchange {
-	x := &Exchange{options: o, incarnation: uint64(time.Now().UnixNano()), members: map[string]*member{}, changed: make(chan struct{}, 1), reached: map[string]uint64{}}
+	x := &Exchange{options: o, incarnation: uint64(time.Now().UnixNano()), members: map[string]*member{}, changed: make(chan struct{}, 1), sentRevisions: map[string]uint64{}}
 	if o.Pace == (relay.Pace{}) {
 		o.Pace = relay.PaceFor(relay.ShortestBound)
 		x.options.Pace = o.Pace
 	}
 	x.sources, x.clock = relay.NewSources(o.Name, o.Pace), newStampClock()
 	x.subscribers = relay.NewSubscribers(o.Pace)
-	x.regroup()
+	x.updateSubset()
 	return x
 }
 
@@ -200,7 +200,7 @@
 	var reading sync.WaitGroup
 	reading.Go(func() { x.read(ctx) })
 	defer reading.Wait()
-	tick := time.NewTicker(period)
+	tick := time.NewTicker(sendInterval)
 	defer tick.Stop()
 	var due <-chan time.Time
 	for {
@@ -209,7 +209,7 @@
 			return
 		case <-x.changed:
 			if due == nil {
-				due = time.After(gather)
+				due = time.After(batchDelay)
 			}
 		case <-due:
 			due = nil
--- a/pkg/peers/peers_bench_test.go
+++ b/pkg/peers/peers_bench_test.go
@@ -22,7 +22,7 @@
 			}
 			bytes := 0
 			for b.Loop() {
-				data, err := proto.Marshal(encode(map[string]enginepool.Snapshot{"llm": p}))
+				data, err := proto.Marshal(encodeSnapshots(map[string]enginepool.Snapshot{"llm": p}))
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/pkg/peers/peers_test.go
+++ b/pkg/peers/peers_test.go
@@ -25,15 +25,15 @@
 	address  string
 	mu       sync.Mutex
 	received map[string]enginepool.Snapshot
-	// known is what it knows of the store.
-	known *storeKnown
+	// feed is what it knows of the store.
+	feed *fakeStoreFeed
 	// changes are the stage changes that were reported.
 	changes []runners.StageChange
-	// asked says for each call whether everything was asked for.
-	asked []bool
+	// fullRequested says for each call whether everything was fullRequested for.
+	fullRequested []bool
 }
 
-func (w *gateway) from(name string) (enginepool.Snapshot, bool) {
+func (w *gateway) receivedFrom(name string) (enginepool.Snapshot, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	p, ok := w.received[name]
@@ -47,7 +47,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &gateway{address: conn.LocalAddr().String(), received: map[string]enginepool.Snapshot{}, known: &storeKnown{}}
+	w := &gateway{address: conn.LocalAddr().String(), received: map[string]enginepool.Snapshot{}, feed: &fakeStoreFeed{}}
 	w.Exchange = New(Options{
 		Name: name, Address: w.address, Conn: conn, Version: func() uint64 { return uint64(load) },
 		Outcomes: func() []runners.Outcome { return nil },
@@ -59,7 +59,7 @@
 		Snapshots: func(since map[string]uint64) (map[string]enginepool.Snapshot, map[string]uint64) {
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			w.asked = append(w.asked, since == nil)
+			w.fullRequested = append(w.fullRequested, since == nil)
 			return map[string]enginepool.Snapshot{"llm": oneLoad(name+"-runner", load, 1)}, map[string]uint64{"llm": 1}
 		},
 		ReceiveSnapshot: func(from, _ string, snapshot enginepool.Snapshot) {
@@ -67,7 +67,7 @@
 			defer w.mu.Unlock()
 			w.received[from] = snapshot
 		},
-		Store: w.known, Notices: notice.New(),
+		Store: w.feed, Notices: notice.New(),
 		Changed: func(string, string, int) {}, Failed: func(err error) { t.Log(err) },
 	})
 	return w
@@ -90,7 +90,7 @@
 }
 
 // Three gateways of which each knows one other learn of all.
-func TestGatewaysFindEachOtherThroughOthers(t *testing.T) {
+func TestGatewaysDiscoverEachOtherThroughPeers(t *testing.T) {
 	g := NewWithT(t)
 	a, b, c := start(t, "a", 10), start(t, "b", 20), start(t, "c", 30)
 	g.Expect(b.Add("a", a.address)).To(Succeed())
@@ -101,7 +101,7 @@
 		load int
 	}{{a, "b", 20}, {a, "c", 30}, {b, "a", 10}, {b, "c", 30}, {c, "a", 10}, {c, "b", 20}} {
 		g.Eventually(func() int {
-			p, ok := pair.at.from(pair.from)
+			p, ok := pair.at.receivedFrom(pair.from)
 			if !ok || len(p.Engines) == 0 {
 				return 0
 			}
@@ -114,36 +114,36 @@
 	g.Expect(c.Rank()).To(Equal(2))
 }
 
-func TestOldDatagramsAreLeft(t *testing.T) {
+func TestOldDatagramsAreIgnored(t *testing.T) {
 	g := NewWithT(t)
 	a := start(t, "a", 1)
 	from := &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 1}
-	say := func(incarnation, sequence uint64, load uint32) {
+	receive := func(incarnation, sequence uint64, load uint32) {
 		a.receive(&wirepb.GatewayState{Name: "z", Address: "127.0.0.1:1", Incarnation: incarnation, Sequence: sequence,
 			Pools: []*wirepb.GatewayPool{{Service: "llm", Engines: []*wirepb.EngineLoad{{Runner: "r", Now: []uint32{load}, Left: []uint32{0}}}}}}, from, time.Now())
 	}
-	now := func() int { p, _ := a.from("z"); return p.Engines[0].Loads[0].Now }
-	say(5, 2, 100)
-	say(5, 1, 50)
-	g.Expect(now()).To(Equal(100))
-	say(6, 1, 7)
-	g.Expect(now()).To(Equal(7))
-	say(5, 9, 100)
-	g.Expect(now()).To(Equal(7))
+	currentLoad := func() int { p, _ := a.receivedFrom("z"); return p.Engines[0].Loads[0].Now }
+	receive(5, 2, 100)
+	receive(5, 1, 50)
+	g.Expect(currentLoad()).To(Equal(100))
+	receive(6, 1, 7)
+	g.Expect(currentLoad()).To(Equal(7))
+	receive(5, 9, 100)
+	g.Expect(currentLoad()).To(Equal(7))
 }
 
-func TestSilentPeersAreForgottenLate(t *testing.T) {
+func TestSilentPeersAreRemovedAfterRememberFor(t *testing.T) {
 	g := NewWithT(t)
 	a := start(t, "a", 1)
 	g.Expect(a.Add("z", "127.0.0.1:1")).To(Succeed())
 	now := time.Now()
-	a.sweep(now.Add(2 * leastAlive))
+	a.sweep(now.Add(2 * minAliveTime))
 	g.Expect(a.Known()).To(Equal(1))
 	a.sweep(now.Add(2 * RememberFor))
 	g.Expect(a.Known()).To(Equal(0))
 }
 
-func TestWhatIsSentIsWhatIsReceived(t *testing.T) {
+func TestSnapshotsSurviveEncoding(t *testing.T) {
 	spectest.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		s := enginepool.Snapshot{Full: rapid.Bool().Draw(t, "full"), Waiting: rapid.IntRange(0, 9).Draw(t, "waiting")}
@@ -154,28 +154,28 @@
 			}
 			s.Engines = append(s.Engines, e)
 		}
-		g.Expect(decode(encode(map[string]enginepool.Snapshot{"llm": s}))["llm"]).To(Equal(s))
+		g.Expect(decodeSnapshots(encodeSnapshots(map[string]enginepool.Snapshot{"llm": s}))["llm"]).To(Equal(s))
 	})
 }
 
 // A change goes out at once, in a datagram with what changed alone.
-func TestAChangeIsSentAtOnce(t *testing.T) {
+func TestChangesAreSentAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	a, b := start(t, "a", 10), start(t, "b", 20)
 	g.Expect(b.Add("a", a.address)).To(Succeed())
-	g.Eventually(func() bool { _, ok := a.from("b"); return ok }, "20s").Should(BeTrue())
+	g.Eventually(func() bool { _, ok := a.receivedFrom("b"); return ok }, "20s").Should(BeTrue())
 	a.mu.Lock()
 	clear(a.received)
 	a.mu.Unlock()
 	b.Notify()
-	g.Eventually(func() bool { _, ok := a.from("b"); return ok }, "20s").Should(BeTrue())
+	g.Eventually(func() bool { _, ok := a.receivedFrom("b"); return ok }, "20s").Should(BeTrue())
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	g.Expect(b.asked).To(ContainElement(false))
+	g.Expect(b.fullRequested).To(ContainElement(false))
 }
 
 // Whoever finds a gap in what it received asks for everything, until it comes.
-func TestWhatIsLostIsAskedFor(t *testing.T) {
+func TestSequenceGapRequestsFullState(t *testing.T) {
 	g := NewWithT(t)
 	a := newGateway(t, "a", 1)
 	from := &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 1}
@@ -185,7 +185,7 @@
 			s.Address = "127.0.0.1:1"
 		}
 		a.receive(s, from, time.Now())
-		return a.members["z"].missing
+		return a.members["z"].lostData
 	}
 	g.Expect(receive(1, true)).To(BeFalse())
 	g.Expect(receive(2, false)).To(BeFalse())
@@ -193,12 +193,12 @@
 	g.Expect(receive(5, false)).To(BeTrue())
 	g.Expect(receive(6, true)).To(BeFalse())
 	a.receive(&wirepb.GatewayState{Name: "z", Incarnation: 5, Sequence: 7, WantFull: true}, from, time.Now())
-	g.Expect(a.members["z"].wantFull).To(BeTrue())
+	g.Expect(a.members["z"].needsFull).To(BeTrue())
 }
 
 // Where gateways are many, a change goes to the few that use the engine, and all of a
 // gateway's heartbeats together stay the same.
-func TestTheCostStaysFlatWithManyGateways(t *testing.T) {
+func TestChangesAndHeartbeatsAreBoundedWithManyGateways(t *testing.T) {
 	g := NewWithT(t)
 	a := newGateway(t, "a", 1)
 	for i := range 400 {
@@ -206,10 +206,10 @@
 		g.Expect(a.Add(name, fmt.Sprintf("127.0.0.1:%d", 1000+i))).To(Succeed())
 		a.members[name].alive = true
 	}
-	a.regroup()
+	a.updateSubset()
 	receivers := 0
 	for name := range a.members {
-		if len(a.partFor(name, map[string]enginepool.Snapshot{"llm": {Engines: []enginepool.EngineLoad{{Runner: "e"}}}})) > 0 {
+		if len(a.changesFor(name, map[string]enginepool.Snapshot{"llm": {Engines: []enginepool.EngineLoad{{Runner: "e"}}}})) > 0 {
 			receivers++
 		}
 	}
@@ -225,43 +225,43 @@
 		if unmarshal(data, &s) != nil {
 			return
 		}
-		decode(&s)
+		decodeSnapshots(&s)
 	})
 }
 
 // What a gateway saw of a failing runner reaches the others, with its failure
 // domain.
-func TestOutcomesTravelBetweenGateways(t *testing.T) {
+func TestOutcomesReachOtherGateways(t *testing.T) {
 	g := NewWithT(t)
 	reported := []runners.Outcome{{Runner: "r", Failed: 1.5, Total: 4}}
-	state := encode(nil)
+	state := encodeSnapshots(nil)
 	state.Outcomes = encodeOutcomes(reported)
 	g.Expect(decodeOutcomes(state.Outcomes)).To(Equal(reported))
 
 	var from string
-	var near bool
+	var fromSameDomain bool
 	var received []runners.Outcome
 	x := New(Options{
 		Name: "a", Domain: "east", Failed: func(error) {}, ReceiveSnapshot: func(string, string, enginepool.Snapshot) {}, Changed: func(string, string, int) {},
 		ReceiveOutcomes: func(gateway string, sameDomain bool, list []runners.Outcome) {
-			from, near, received = gateway, sameDomain, list
+			from, fromSameDomain, received = gateway, sameDomain, list
 		},
 	})
 	state.Name, state.Address, state.Incarnation, state.Sequence, state.Domain = "b", "127.0.0.1:1", 1, 1, "east"
 	x.receive(state, nil, time.Now())
 	g.Expect(from).To(Equal("b"))
-	g.Expect(near).To(BeTrue())
+	g.Expect(fromSameDomain).To(BeTrue())
 	g.Expect(received).To(Equal(reported))
 }
 
 // An order to an engine is reported at once, to each gateway, also by one without load.
-func TestStageChangesTravelBetweenGateways(t *testing.T) {
+func TestStageChangesReachAllGateways(t *testing.T) {
 	g := NewWithT(t)
 	a, b, c := start(t, "a", 1), start(t, "b", 1), start(t, "c", 1)
 	g.Expect(b.Add("a", a.address)).To(Succeed())
 	g.Expect(c.Add("a", a.address)).To(Succeed())
 	for _, w := range []*gateway{b, c} {
-		g.Eventually(func() bool { _, ok := a.from(w.options.Name); return ok }, "20s").Should(BeTrue())
+		g.Eventually(func() bool { _, ok := a.receivedFrom(w.options.Name); return ok }, "20s").Should(BeTrue())
 	}
 	changes := []runners.StageChange{{Runner: "e", To: runners.Prefill, Left: 1500 * time.Millisecond}}
 	a.SendStageChanges(changes, time.Now())
@@ -272,14 +272,14 @@
 
 // What a gateway sends of outcomes in a second is bounded whatever fails, and hardly
 // grows with the number of gateways; each gateway gets its turn.
-func TestOutcomesCostTheSameWithManyGateways(t *testing.T) {
+func TestOutcomeReportsAreBoundedWithManyGateways(t *testing.T) {
 	g := NewWithT(t)
 	a := newGateway(t, "a", 1)
 	var all []runners.Outcome
 	for i := range 3000 {
 		all = append(all, runners.Outcome{Runner: fmt.Sprintf("i-%010d", i), Failed: float64(i % 7), Total: 8, Unusable: i == 1234, Stage: runners.Decode})
 	}
-	reported := worst(all)
+	reported := worstOutcomes(all)
 	g.Expect(reported).To(HaveLen(maxOutcomes))
 	g.Expect(reported[0].Unusable).To(BeTrue())
 	g.Expect(reported[1].Failed).To(Equal(6.0))
@@ -301,6 +301,6 @@
 			g.Expect(turns).To(Equal(1))
 		}
 	}
-	g.Expect(a.outcomeReceivers(true)).To(HaveLen(leastReceivers))
+	g.Expect(a.outcomeReceivers(true)).To(HaveLen(minReceivers))
 	g.Expect(a.outcomeReceivers(false)).To(BeEmpty())
 }
--- a/pkg/peers/period_bench_test.go
+++ b/pkg/peers/period_bench_test.go
@@ -13,15 +13,15 @@
 	"github.com/hopwell/hopwell/pkg/wire/wirepb"
 )
 
-// nowhere takes datagrams and has none.
-type nowhere struct{ net.PacketConn }
+// discardConn takes datagrams and has none.
+type discardConn struct{ net.PacketConn }
 
-func (nowhere) WriteTo(p []byte, _ net.Addr) (int, error) { return len(p), nil }
+func (discardConn) WriteTo(p []byte, _ net.Addr) (int, error) { return len(p), nil }
 
-// crowd returns an exchange that knows n other living gateways.
-func crowd(n int, now time.Time) *Exchange {
+// newExchangeWithPeers returns an exchange that knows n other living gateways.
+func newExchangeWithPeers(n int, now time.Time) *Exchange {
 	x := New(Options{
-		Name: "self", Address: "10.0.0.1:1", Conn: nowhere{}, Store: &noStore{}, Quota: quota.New(quota.Allowance{}, quota.DefaultShares()),
+		Name: "self", Address: "10.0.0.1:1", Conn: discardConn{}, Store: &unchangingStore{}, Quota: quota.New(quota.Allowance{}, quota.DefaultShares()),
 		Snapshots: func(map[string]uint64) (map[string]enginepool.Snapshot, map[string]uint64) { return nil, nil },
 		Version:   func() uint64 { return 1 }, Outcomes: func() []runners.Outcome { return nil },
 		Changed: func(string, string, int) {}, Failed: func(err error) { panic(err) },
@@ -39,20 +39,20 @@
 	return x
 }
 
-// noStore is a gateway's knowledge of a store that never changes.
-type noStore struct{ StoreFeed }
+// unchangingStore is a gateway's knowledge of a store that never changes.
+type unchangingStore struct{ StoreFeed }
 
-func (noStore) Reached() store.Revision { return 7 }
+func (unchangingStore) Reached() store.Revision { return 7 }
 
-// BenchmarkPeriod measures what one period costs a gateway without any news: 17 of them are a
+// BenchmarkSendInterval measures what one period costs a gateway without any news: 17 of them are a
 // second.
-func BenchmarkPeriod(b *testing.B) {
+func BenchmarkSendInterval(b *testing.B) {
 	for _, n := range []int{30, 102, 299, 419} {
 		b.Run(fmt.Sprint(n, " others"), func(b *testing.B) {
 			now := time.Now()
-			x := crowd(n, now)
+			x := newExchangeWithPeers(n, now)
 			for b.Loop() {
-				now = now.Add(period)
+				now = now.Add(sendInterval)
 				for _, m := range x.members {
 					m.lastSeen = now
 				}
--- a/pkg/peers/receive.go
+++ b/pkg/peers/receive.go
@@ -18,7 +18,7 @@
 				return
 			}
 			x.options.Failed(&ErrDatagram{Err: err})
-			time.Sleep(period)
+			time.Sleep(sendInterval)
 			continue
 		}
 		var state wirepb.GatewayState
@@ -26,7 +26,7 @@
 			x.options.Failed(&ErrDatagram{Gateway: from.String(), Bytes: n, Err: err})
 			continue
 		}
-		count("in", &state, n)
+		countDatagram("in", &state, n)
 		x.receive(&state, from, time.Now())
 	}
 }
@@ -36,17 +36,17 @@
 	if s.Name == "" || s.Name == x.options.Name {
 		return
 	}
-	x.introduce(s, from)
+	x.addNamedGateways(s, from)
 	x.mu.Lock()
 	m := x.members[s.Name]
 	if m == nil || s.Incarnation < m.incarnation || s.Incarnation == m.incarnation && s.Sequence <= m.sequence {
 		x.mu.Unlock()
 		return
 	}
-	first := x.note(m, s, from, now)
-	known, sameDomain, inSync := len(x.members), m.domain == x.options.Domain, !m.missing
+	becameAlive := x.updateMember(m, s, from, now)
+	known, sameDomain, inSync := len(x.members), m.domain == x.options.Domain, !m.lostData
 	x.mu.Unlock()
-	if first {
+	if becameAlive {
 		x.options.Changed(s.Name, Alive, known)
 	}
 	if inSync {
@@ -68,16 +68,16 @@
 	}
 	if s.StoreUpdate != nil {
 		update := decodeStoreUpdate(s.StoreUpdate)
-		update.Assured = x.assured(s.StoreUpdate)
+		update.Assured = x.confirmedAt(s.StoreUpdate)
 		x.receiveUpdate(s.Name, update, now)
 	}
-	for service, snapshot := range decode(s) {
+	for service, snapshot := range decodeSnapshots(s) {
 		x.options.ReceiveSnapshot(s.Name, service, snapshot)
 	}
 }
 
-// introduce adds the gateways that a datagram names.
-func (x *Exchange) introduce(s *wirepb.GatewayState, from net.Addr) {
+// addNamedGateways adds the gateways that a datagram names.
+func (x *Exchange) addNamedGateways(s *wirepb.GatewayState, from net.Addr) {
 	address := s.Address
 	if address == "" && from != nil {
 		address = from.String()
@@ -89,18 +89,18 @@
 	}
 }
 
-// note records a datagram's head, and reports whether its gateway was not alive before.
+// updateMember records a datagram's head, and reports whether its gateway was not alive before.
 // A gap in the sequence is something lost: everything is asked for. The caller holds the
 // lock.
-func (x *Exchange) note(m *member, s *wirepb.GatewayState, from net.Addr, now time.Time) bool {
+func (x *Exchange) updateMember(m *member, s *wirepb.GatewayState, from net.Addr, now time.Time) bool {
 	if at, ok := from.(*net.UDPAddr); ok {
 		m.address = at
 	}
-	whole := s.Address != ""
+	full := s.Address != ""
 	lost := s.Incarnation != m.incarnation || s.Sequence != m.sequence+1
-	m.missing = !whole && (m.missing || lost)
-	m.wantFull = m.wantFull || s.WantFull || s.Incarnation != m.incarnation
-	if whole {
+	m.lostData = !full && (m.lostData || lost)
+	m.needsFull = m.needsFull || s.WantFull || s.Incarnation != m.incarnation
+	if full {
 		m.domain, m.version = s.Domain, s.ConfigVersion
 	}
 	m.incarnation, m.sequence, m.lastSeen = s.Incarnation, s.Sequence, now
@@ -108,6 +108,6 @@
 		return false
 	}
 	m.alive = true
-	x.regroup()
+	x.updateSubset()
 	return true
 }
--- a/pkg/peers/relay.go
+++ b/pkg/peers/relay.go
@@ -16,8 +16,8 @@
 	// watches bring what is left out.
 	relayRate  = 128 << 10
 	relayBurst = 1 << 20
-	// datagramHead is what a datagram takes besides its values, in bytes.
-	datagramHead = 80
+	// datagramOverhead is what a datagram takes besides its values, in bytes.
+	datagramOverhead = 80
 )
 
 // StoreFeed is what a gateway knows of the platform's store.
@@ -54,41 +54,41 @@
 	return true
 }
 
-// living returns the names of the living gateways, with the own one. The caller holds
+// aliveGateways returns the names of the aliveGateways gateways, with the own one. The caller holds
 // the lock, and must not change the list.
-func (x *Exchange) living() []string {
-	if x.alive != nil {
-		return x.alive
+func (x *Exchange) aliveGateways() []string {
+	if x.aliveNames != nil {
+		return x.aliveNames
 	}
-	x.alive = []string{x.options.Name}
+	x.aliveNames = []string{x.options.Name}
 	for name, m := range x.members {
 		if m.alive {
-			x.alive = append(x.alive, name)
+			x.aliveNames = append(x.aliveNames, name)
 		}
 	}
-	x.first = x.options.Pace.First(x.options.Name, x.alive)
-	x.chosen = time.Time{}
-	return x.alive
+	x.defaultRelay = x.options.Pace.First(x.options.Name, x.aliveNames)
+	x.relaysChosenAt = time.Time{}
+	return x.aliveNames
 }
 
-// isFirst reports whether this gateway is among the first of the living ones. The caller holds
+// isDefaultRelay reports whether this gateway is among the first of the living ones. The caller holds
 // the lock.
-func (x *Exchange) isFirst() bool {
-	x.living()
-	return x.first
+func (x *Exchange) isDefaultRelay() bool {
+	x.aliveGateways()
+	return x.defaultRelay
 }
 
-// choicesEach is how many choices of relays there are in a beat while no gateway comes or goes: a
+// choicesPerBeat is how many choices of relays there are in a beat while no gateway comes or goes: a
 // silent one is left after some beats.
-const choicesEach = 3
+const choicesPerBeat = 3
 
 // chooseRelays chooses relays anew when it is time. The caller holds the lock.
 func (x *Exchange) chooseRelays(now time.Time) {
-	living := x.living()
-	if x.sources.Any() && now.Sub(x.chosen) < x.options.Pace.Beat/choicesEach {
+	living := x.aliveGateways()
+	if x.sources.Any() && now.Sub(x.relaysChosenAt) < x.options.Pace.Beat/choicesPerBeat {
 		return
 	}
-	x.chosen = now
+	x.relaysChosenAt = now
 	x.sources.Choose(living, now)
 }
 
@@ -96,7 +96,7 @@
 func (x *Exchange) Relay(now time.Time) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.subscribers.Any(now) || x.isFirst()
+	return x.subscribers.Any(now) || x.isDefaultRelay()
 }
 
 // Coverage is how relays keep a gateway up to date with the store.
@@ -141,13 +141,13 @@
 			continue
 		}
 		for _, u := range x.options.Store.Since(at, x.subscribers.Reads(name), now) {
-			if !x.relayed.take(datagramHead+u.Bytes(), now) {
+			if !x.relayAllowance.take(datagramOverhead+u.Bytes(), now) {
 				break
 			}
 			x.subscribers.Sent(name, u.To, now)
 			message := encodeStoreUpdate(u)
-			x.assure(message, name, u.Assured)
-			out = append(out, x.datagram(m, &wirepb.GatewayState{StoreUpdate: message}, now))
+			x.stampUpdate(message, name, u.Assured)
+			out = append(out, x.newDatagram(m, &wirepb.GatewayState{StoreUpdate: message}, now))
 		}
 	}
 	return out
@@ -162,7 +162,7 @@
 	var out []datagram
 	for _, name := range x.sources.Due(now) {
 		if m := x.members[name]; m != nil && at > 0 {
-			out = append(out, x.datagram(m, &wirepb.GatewayState{StoreSubscription: &wirepb.StoreSubscription{At: uint64(at), Stamp: x.clock.stamp(boottime.Now()), Deltas: true, Eras: true}}, now))
+			out = append(out, x.newDatagram(m, &wirepb.GatewayState{StoreSubscription: &wirepb.StoreSubscription{At: uint64(at), Stamp: x.clock.stamp(boottime.Now()), Deltas: true, Eras: true}}, now))
 		}
 	}
 	x.mu.Unlock()
--- a/pkg/peers/relay_test.go
+++ b/pkg/peers/relay_test.go
@@ -12,8 +12,8 @@
 	"github.com/hopwell/hopwell/pkg/store"
 )
 
-// storeKnown is a StoreFeed that a test brings forward.
-type storeKnown struct {
+// fakeStoreFeed is a StoreFeed that a test brings forward.
+type fakeStoreFeed struct {
 	relay.History
 	mu         sync.Mutex
 	changes    []store.Event
@@ -22,12 +22,12 @@
 
 var pace = relay.PaceFor(relay.ShortestBound)
 
-func (k *storeKnown) Reached() store.Revision {
+func (k *fakeStoreFeed) Reached() store.Revision {
 	at, _ := k.History.Reached()
 	return at
 }
 
-func (k *storeKnown) Receive(u relay.Update) bool {
+func (k *fakeStoreFeed) Receive(u relay.Update) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	at := k.Reached()
@@ -43,13 +43,13 @@
 	return true
 }
 
-func (k *storeKnown) Subscribed() {
+func (k *fakeStoreFeed) Subscribed() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.subscribed++
 }
 
-func (k *storeKnown) received() []store.Event {
+func (k *fakeStoreFeed) received() []store.Event {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return append([]store.Event(nil), k.changes...)
@@ -67,7 +67,7 @@
 	var all []*gateway
 	for i := range n {
 		w := start(t, fmt.Sprintf("gateway-%d", i), 1)
-		w.known.Restart(at, time.Now())
+		w.feed.Restart(at, time.Now())
 		for _, other := range all {
 			if err := w.Add(other.options.Name, other.address); err != nil {
 				t.Fatal(err)
@@ -77,7 +77,7 @@
 	}
 	g := NewWithT(t)
 	for _, w := range all {
-		living := func() int { w.Exchange.mu.Lock(); defer w.Exchange.mu.Unlock(); return len(w.living()) }
+		living := func() int { w.Exchange.mu.Lock(); defer w.Exchange.mu.Unlock(); return len(w.aliveGateways()) }
 		g.Eventually(living).WithTimeout(20 * time.Second).Should(Equal(n))
 	}
 	return all
@@ -85,7 +85,7 @@
 
 // Each gateway that is no relay gets each change once, with nobody but the relays looking
 // at the store.
-func TestSubscribersGetEachChangeOnce(t *testing.T) {
+func TestSubscribersReceiveEachChangeOnce(t *testing.T) {
 	g := NewWithT(t)
 	all := startFleet(t, 15, 6)
 	var subscribed []*gateway
@@ -100,23 +100,23 @@
 	}).WithTimeout(20*time.Second).Should(Equal(len(all)-pace.Relays(len(all))), "nobody else is subscribed to while all relays answer")
 	for _, w := range all {
 		if w.Relay(time.Now()) {
-			w.known.Advance(7, []store.Event{storeChange("servers/a", 7, 10)}, time.Now())
+			w.feed.Advance(7, []store.Event{storeChange("servers/a", 7, 10)}, time.Now())
 			w.SendStoreUpdates(time.Now())
 		}
 	}
 	for _, w := range subscribed {
-		g.Eventually(w.known.received).WithTimeout(20*time.Second).Should(HaveLen(1), w.options.Name)
+		g.Eventually(w.feed.received).WithTimeout(20*time.Second).Should(HaveLen(1), w.options.Name)
 		g.Expect(w.Coverage(time.Now()).FreshUntil).To(BeTemporally(">", time.Now()))
 	}
 	time.Sleep(2 * pace.Beat)
 	for _, w := range subscribed {
-		g.Expect(w.known.received()).To(HaveLen(1), "known to come once, told by two relays")
+		g.Expect(w.feed.received()).To(HaveLen(1), "known to come once, told by two relays")
 	}
 }
 
 // A gateway whose update was lost asks for it again, without waiting for the next beat of
 // its relays.
-func TestALostUpdateIsAskedForAgain(t *testing.T) {
+func TestLostUpdateIsRequestedAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	all := startFleet(t, pace.Relays(1)+1, 6)
 	at := all[0]
@@ -129,16 +129,16 @@
 	for _, w := range all {
 		if w != at {
 			// The relays count the change as sent; it never arrived.
-			w.known.Advance(7, []store.Event{storeChange("servers/a", 7, 10)}, time.Now())
+			w.feed.Advance(7, []store.Event{storeChange("servers/a", 7, 10)}, time.Now())
 			w.Exchange.mu.Lock()
 			w.subscribers.Sent(at.options.Name, 7, time.Now())
 			w.Exchange.mu.Unlock()
 		}
 	}
-	g.Eventually(at.known.received).WithTimeout(20 * time.Second).Should(HaveLen(1))
+	g.Eventually(at.feed.received).WithTimeout(20 * time.Second).Should(HaveLen(1))
 }
 
-func TestFewGatewaysAreAllRelays(t *testing.T) {
+func TestSingleGatewayIsARelay(t *testing.T) {
 	g := NewWithT(t)
 	w := newGateway(t, "alone", 1)
 	defer w.options.Conn.Close()
@@ -146,7 +146,7 @@
 }
 
 // Whatever changes, a relay sends no more than its allowance.
-func TestARelaySendsNoMoreThanItsAllowance(t *testing.T) {
+func TestRelayStaysWithinItsAllowance(t *testing.T) {
 	g := NewWithT(t)
 	var a allowance
 	now := time.Now()
--- a/pkg/peers/send.go
+++ b/pkg/peers/send.go
@@ -25,24 +25,24 @@
 // runners' limits.
 func (x *Exchange) sendChanges(now time.Time) {
 	x.mu.Lock()
-	changed, reached := x.options.Snapshots(x.reached)
-	x.reached = reached
+	changed, reached := x.options.Snapshots(x.sentRevisions)
+	x.sentRevisions = reached
 	var out []datagram
 	for _, m := range x.members {
-		if !m.alive || m.wantFull {
+		if !m.alive || m.needsFull {
 			continue
 		}
-		if part := x.partFor(m.name, changed); len(part) > 0 || x.limitsDue(m) {
-			out = append(out, x.datagram(m, encode(part), now))
+		if part := x.changesFor(m.name, changed); len(part) > 0 || x.limitsDue(m) {
+			out = append(out, x.newDatagram(m, encodeSnapshots(part), now))
 		}
 	}
 	x.mu.Unlock()
 	x.write(out)
 }
 
-// partFor returns the part of changes that a gateway is interested in: those at engines
+// changesFor returns the part of changes that a gateway is interested in: those at engines
 // that it uses.
-func (x *Exchange) partFor(name string, changed map[string]enginepool.Snapshot) map[string]enginepool.Snapshot {
+func (x *Exchange) changesFor(name string, changed map[string]enginepool.Snapshot) map[string]enginepool.Snapshot {
 	subset := x.subset.Load()
 	out := map[string]enginepool.Snapshot{}
 	for service, s := range changed {
@@ -67,12 +67,12 @@
 	var all map[string]enginepool.Snapshot
 	x.mu.Lock()
 	heartbeat := x.heartbeat()
-	fullPause := max(fullEvery, time.Duration(len(x.members))*heartbeatShare)
-	informed := x.outcomeReceivers(len(outcomes)+len(leaving) > 0)
+	fullInterval := max(minFullInterval, time.Duration(len(x.members))*heartbeatPerGateway)
+	receivers := x.outcomeReceivers(len(outcomes)+len(leaving) > 0)
 	var out []datagram
 	for _, m := range x.members {
-		full := m.wantFull && now.Sub(m.lastFull) >= period || now.Sub(m.lastFull) >= fullPause
-		if !full && !m.missing && !informed[m.name] && !x.spendingDue(m, now) && !x.shares(m, now) && now.Sub(m.lastSent) < heartbeat {
+		full := m.needsFull && now.Sub(m.lastFull) >= sendInterval || now.Sub(m.lastFull) >= fullInterval
+		if !full && !m.lostData && !receivers[m.name] && !x.spendingDue(m, now) && !x.sharedLimitDue(m, now) && now.Sub(m.lastSent) < heartbeat {
 			continue
 		}
 		state := &wirepb.GatewayState{}
@@ -80,13 +80,13 @@
 			if all == nil {
 				all, _ = x.options.Snapshots(nil)
 			}
-			state = x.full(m, all, now)
+			state = x.fullState(m, all, now)
 		}
-		state.WantFull = m.missing
-		if informed[m.name] {
+		state.WantFull = m.lostData
+		if receivers[m.name] {
 			state.Outcomes, state.LeavingRunners = outcomes, leaving
 		}
-		out = append(out, x.datagram(m, state, now))
+		out = append(out, x.newDatagram(m, state, now))
 	}
 	x.mu.Unlock()
 	x.write(out)
@@ -98,12 +98,12 @@
 	if x.periods%outcomesEvery != 0 {
 		return nil, nil
 	}
-	return encodeOutcomes(worst(x.options.Outcomes())), x.leaving(now)
+	return encodeOutcomes(worstOutcomes(x.options.Outcomes())), x.leaving(now)
 }
 
-// worst returns the outcomes that say most: of runners that refused, and of those that
+// worstOutcomes returns the outcomes that say most: of runners that refused, and of those that
 // failed most requests.
-func worst(outcomes []runners.Outcome) []runners.Outcome {
+func worstOutcomes(outcomes []runners.Outcome) []runners.Outcome {
 	if len(outcomes) <= maxOutcomes {
 		return outcomes
 	}
@@ -121,19 +121,19 @@
 
 // outcomeReceivers returns the gateways that get outcomes now: all where they are few,
 // otherwise the next ones in turn. The caller holds the lock.
-func (x *Exchange) outcomeReceivers(news bool) map[string]bool {
+func (x *Exchange) outcomeReceivers(hasReports bool) map[string]bool {
 	out := map[string]bool{}
-	if !news {
+	if !hasReports {
 		return out
 	}
-	list := x.sorted()
+	list := x.sortedMembers()
 	n := len(list)
 	if n > subset.Users {
-		n = max(leastReceivers, subset.Users*subset.Users/n)
+		n = max(minReceivers, subset.Users*subset.Users/n)
 	}
 	for range n {
-		out[list[x.turn%len(list)].name] = true
-		x.turn++
+		out[list[x.nextReceiver%len(list)].name] = true
+		x.nextReceiver++
 	}
 	return out
 }
@@ -147,29 +147,29 @@
 	x.mu.Lock()
 	for _, m := range x.members {
 		if m.alive {
-			out = append(out, x.datagram(m, &wirepb.GatewayState{StageChanges: encoded}, now))
+			out = append(out, x.newDatagram(m, &wirepb.GatewayState{StageChanges: encoded}, now))
 		}
 	}
 	x.mu.Unlock()
 	x.write(out)
 }
 
-// full returns a message with everything that a gateway should know. The caller holds
+// fullState returns a message with everything that a gateway should know. The caller holds
 // the lock.
-func (x *Exchange) full(m *member, all map[string]enginepool.Snapshot, now time.Time) *wirepb.GatewayState {
-	state := encode(x.partFor(m.name, all))
+func (x *Exchange) fullState(m *member, all map[string]enginepool.Snapshot, now time.Time) *wirepb.GatewayState {
+	state := encodeSnapshots(x.changesFor(m.name, all))
 	state.Address, state.Domain, state.ConfigVersion = x.options.Address, x.options.Domain, x.options.Version()
-	list := x.sorted()
-	for i := range min(namedPeers, len(list)) {
+	list := x.sortedMembers()
+	for i := range min(peersPerDatagram, len(list)) {
 		p := list[(int(m.sent)+i)%len(list)]
 		state.Peers = append(state.Peers, &wirepb.GatewayPeer{Name: p.name, Address: p.address.String()})
 	}
-	m.lastFull, m.wantFull = now, false
+	m.lastFull, m.needsFull = now, false
 	return state
 }
 
-// datagram addresses a message. The caller holds the lock.
-func (x *Exchange) datagram(m *member, state *wirepb.GatewayState, now time.Time) datagram {
+// newDatagram addresses a message. The caller holds the lock.
+func (x *Exchange) newDatagram(m *member, state *wirepb.GatewayState, now time.Time) datagram {
 	x.addSpending(m, state)
 	x.addLimits(m, state, now)
 	m.sent++
@@ -183,7 +183,7 @@
 	for _, d := range out {
 		data, err := proto.Marshal(d.state)
 		if err == nil && len(data) <= maxDatagram {
-			count("out", d.state, len(data))
+			countDatagram("out", d.state, len(data))
 			_, err = x.options.Conn.WriteTo(data, d.to)
 		}
 		if err != nil || len(data) > maxDatagram {
--- a/pkg/peers/spending.go
+++ b/pkg/peers/spending.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// spendingEvery is the time after which a gateway is told what workspaces spent,
+	// spendingInterval is the time after which a gateway is told what workspaces spent,
 	// where nothing else is sent to it; what is spent of little is told after one period.
-	spendingEvery = 300 * time.Millisecond
+	spendingInterval = 300 * time.Millisecond
 	// maxSpenders bounds the workspaces that a datagram names, 12 bytes each.
 	maxSpenders = 1000
 	// graceFactor is how many heartbeats after a gateway was heard of its part of the
@@ -25,10 +25,10 @@
 		return
 	}
 	if state.Address != "" {
-		m.spending = 0
+		m.spendingRevision = 0
 	}
 	var spent []quota.Spending
-	spent, m.spending = x.options.Quota.Since(m.spending, maxSpenders)
+	spent, m.spendingRevision = x.options.Quota.Since(m.spendingRevision, maxSpenders)
 	for _, s := range spent {
 		state.Spenders = append(state.Spenders, uint64(s.Workspace))
 		state.Spent = append(state.Spent, s.Total)
@@ -43,10 +43,10 @@
 // holds the lock.
 func (x *Exchange) spendingDue(m *member, now time.Time) bool {
 	q := x.options.Quota
-	if q == nil || !m.alive || q.Revision() == m.spending {
+	if q == nil || !m.alive || q.Revision() == m.spendingRevision {
 		return false
 	}
-	return now.Sub(m.lastSent) >= spendingEvery || q.Pressed(m.spending)
+	return now.Sub(m.lastSent) >= spendingInterval || q.Pressed(m.spendingRevision)
 }
 
 // receiveSpending takes what another gateway told, where nothing of it was lost.
@@ -55,27 +55,27 @@
 		return
 	}
 	var spent []quota.Spending
-	whole := s.Address != "" && len(s.Levels) == len(s.Spenders)
+	full := s.Address != "" && len(s.Levels) == len(s.Spenders)
 	for i := range min(len(s.Spenders), len(s.Spent)) {
-		one := quota.Spending{Workspace: quota.Key(s.Spenders[i]), Total: s.Spent[i]}
-		if whole {
-			one.Level = s.Levels[i]
+		spending := quota.Spending{Workspace: quota.Key(s.Spenders[i]), Total: s.Spent[i]}
+		if full {
+			spending.Level = s.Levels[i]
 		}
-		spent = append(spent, one)
+		spent = append(spent, spending)
 	}
-	x.options.Quota.Heard(s.Name, s.Incarnation, spent, whole, s.Settled, now)
+	x.options.Quota.Heard(s.Name, s.Incarnation, spent, full, s.Settled, now)
 }
 
-// quotaMembers says which gateways share the limits. The caller holds the lock.
-func (x *Exchange) quotaMembers(now time.Time) {
+// updateQuotaMembers says which gateways share the limits. The caller holds the lock.
+func (x *Exchange) updateQuotaMembers(now time.Time) {
 	if x.options.Quota == nil {
 		return
 	}
 	grace := time.Duration(graceFactor * float64(x.heartbeat()))
-	if x.toldMembers == x.memberships && x.toldGrace == grace {
+	if x.quotaMemberships == x.memberships && x.quotaGrace == grace {
 		return
 	}
-	x.toldMembers, x.toldGrace = x.memberships, grace
+	x.quotaMemberships, x.quotaGrace = x.memberships, grace
 	names := make([]string, 0, len(x.members))
 	for name := range x.members {
 		names = append(names, name)
--- a/pkg/peers/spending_test.go
+++ b/pkg/peers/spending_test.go
@@ -12,37 +12,37 @@
 
 // Limits that come to a running fleet make heartbeats more frequent; the quota must take silence
 // for silence sooner then, although no gateway comes or goes.
-func TestLimitsThatComeLaterShortenTheGrace(t *testing.T) {
+func TestNewLimitShortensTheQuotaGrace(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
-	x := crowd(31, now)
+	x := newExchangeWithPeers(31, now)
 	x.sweep(now)
-	before := x.toldGrace
+	before := x.quotaGrace
 	w := &workspace.Workspace{Name: "w", Limit: workspace.Limit{Unit: workspace.Tokens, Rate: 1000}}
 	x.options.Quota.Configure([]*workspace.Workspace{w}, now)
-	x.sweep(now.Add(period))
-	g.Expect(x.toldGrace).To(BeNumerically("<", before))
-	g.Expect(x.toldGrace).To(Equal(time.Duration(graceFactor * float64(x.heartbeat()))))
+	x.sweep(now.Add(sendInterval))
+	g.Expect(x.quotaGrace).To(BeNumerically("<", before))
+	g.Expect(x.quotaGrace).To(Equal(time.Duration(graceFactor * float64(x.heartbeat()))))
 }
 
 // What a gateway spends goes out with the next datagram, once, and all of it where everything
 // else does.
-func TestSpendingTravelsOnceAndWholeWithEverything(t *testing.T) {
+func TestSpendingIsSentOnceAndInFullStates(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
-	x := crowd(2, now)
+	x := newExchangeWithPeers(2, now)
 	w := &workspace.Workspace{Name: "w", Limit: workspace.Limit{Unit: workspace.Tokens, Rate: 1000, Burst: 1000}}
 	x.options.Quota.Configure(nil, now)
 	x.options.Quota.Configure([]*workspace.Workspace{w}, now)
 	g.Expect(x.options.Quota.Admit(w, 300, now)).To(Succeed())
 	m := x.members["front-0"]
-	first := x.datagram(m, encode(nil), now).state
-	g.Expect(first.Spenders).To(Equal([]uint64{uint64(quota.KeyOf("w"))}))
-	g.Expect(first.Spent).To(Equal([]int64{300}))
-	g.Expect(x.datagram(m, encode(nil), now).state.Spenders).To(BeEmpty())
-	whole := encode(nil)
-	whole.Address = "10.0.0.1:1"
-	again := x.datagram(m, whole, now).state
-	g.Expect(again.Spent).To(Equal([]int64{300}))
-	g.Expect(again.Levels).To(HaveLen(1))
+	changes := x.newDatagram(m, encodeSnapshots(nil), now).state
+	g.Expect(changes.Spenders).To(Equal([]uint64{uint64(quota.KeyOf("w"))}))
+	g.Expect(changes.Spent).To(Equal([]int64{300}))
+	g.Expect(x.newDatagram(m, encodeSnapshots(nil), now).state.Spenders).To(BeEmpty())
+	full := encodeSnapshots(nil)
+	full.Address = "10.0.0.1:1"
+	fullState := x.newDatagram(m, full, now).state
+	g.Expect(fullState.Spent).To(Equal([]int64{300}))
+	g.Expect(fullState.Levels).To(HaveLen(1))
 }
--- a/pkg/peers/suspicion.go
+++ b/pkg/peers/suspicion.go
@@ -19,7 +19,7 @@
 	x.mu.Lock()
 	for _, m := range x.members {
 		if m.alive && (r.Left > 0 || slices.Contains(chosen, m.name)) {
-			out = append(out, x.datagram(m, &wirepb.GatewayState{Suspicions: encoded}, now))
+			out = append(out, x.newDatagram(m, &wirepb.GatewayState{Suspicions: encoded}, now))
 		}
 	}
 	x.mu.Unlock()
--- a/pkg/peers/traffic.go
+++ b/pkg/peers/traffic.go
@@ -8,10 +8,10 @@
 	"github.com/hopwell/hopwell/pkg/wire/wirepb"
 )
 
-// kinds are what datagrams are mainly for, in the order in which one is counted as it.
-var kinds = []struct {
-	name string
-	is   func(*wirepb.GatewayState) bool
+// datagramKinds are what datagrams are mainly for, in the order in which one is counted as it.
+var datagramKinds = []struct {
+	name    string
+	matches func(*wirepb.GatewayState) bool
 }{
 	{"everything", func(s *wirepb.GatewayState) bool { return s.Address != "" }},
 	{"store_update", func(s *wirepb.GatewayState) bool { return s.StoreUpdate != nil }},
@@ -25,11 +25,11 @@
 	{"heartbeat", func(*wirepb.GatewayState) bool { return true }},
 }
 
-// count counts a datagram that was sent or received, by what it is mainly for: which bytes grow
+// countDatagram counts a datagram that was sent or received, by what it is mainly for: which bytes grow
 // with the number of gateways shows nowhere else.
-func count(direction string, s *wirepb.GatewayState, bytes int) {
-	for _, k := range kinds {
-		if k.is(s) {
+func countDatagram(direction string, s *wirepb.GatewayState, bytes int) {
+	for _, k := range datagramKinds {
+		if k.matches(s) {
 			label := fmt.Sprintf("{kind=%q,direction=%q}", k.name, direction)
 			metrics.GetOrCreateCounter("hopwell_peers_datagrams_total" + label).Inc()
 			metrics.GetOrCreateCounter("hopwell_peers_bytes_total" + label).Add(bytes)
