--- a/pkg/peers/assured.go
+++ b/pkg/peers/assured.go
@@ -8,14 +8,14 @@
 	"github.com/hopwell/hopwell/pkg/wire/wirepb"
 )
 
-// A gateway that is told by a relay how the store is must know how old that is, although the
-// datagram, the relay or the gateway itself may have stood still on the way. So it sends a
-// stamp of its own clock with each subscription; the relay returns the newest with how long
-// it has had it. What the relay then says of the store held at the stamp's time, plus the
-// time that the relay had it, less the age that the relay states, or later.
+// A gateway must know how old a relay's report of the store is, although the datagram, the relay or
+// the gateway itself may have been delayed or suspended on the way. Each subscription therefore
+// carries a stamp of the subscriber's own clock, and each update of the relay returns the newest
+// stamp with the time since its arrival. The reported state of the store was current at the time of
+// the stamp, plus the time since its arrival, less the age that the relay states, or later.
 
-// stampClock gives stamps of boottime. They begin at random, so that those of an
-// earlier process of the same name are not taken for own ones.
+// stampClock issues stamps of boottime, in microseconds. They start at a random number, so that
+// stamps of an earlier process of the same name are not mistaken for own ones.
 type stampClock struct {
 	began time.Time
 	base  uint64
@@ -27,7 +27,7 @@
 	return c.base + uint64(max(1, now.Sub(c.began).Microseconds()))
 }
 
-// timeOf returns when a stamp was given, false if it is not one of this process.
+// timeOf returns the time at which a stamp was issued, and false if another process issued it.
 func (c *stampClock) timeOf(stamp uint64, now time.Time) (time.Time, bool) {
 	if stamp <= c.base || stamp > c.stamp(now) {
 		return time.Time{}, false
@@ -35,8 +35,8 @@
 	return c.began.Add(time.Duration(stamp-c.base) * time.Microsecond), true
 }
 
-// stampUpdate adds to an update for a subscriber what tells it how old the update is. The caller
-// holds the lock.
+// stampUpdate adds to an update the subscriber's newest stamp and the two durations from which the
+// subscriber derives the age of the update. The caller holds the lock.
 func (x *Exchange) stampUpdate(u *wirepb.StoreUpdate, subscriber string, assured time.Time) {
 	if assured.IsZero() {
 		return
@@ -51,8 +51,8 @@
 	u.AssuredUs = uint64(max(0, now.Sub(assured).Microseconds()) + 1)
 }
 
-// confirmedAt returns the moment of the own clock for which an update says how the store was,
-// zero if it says none.
+// confirmedAt returns the time, by this gateway's clock, at which the store is confirmed to have been in
+// the state that an update reports. It is zero if the update confirms nothing.
 func (x *Exchange) confirmedAt(u *wirepb.StoreUpdate) time.Time {
 	if u.Stamp == 0 {
 		return time.Time{}
--- a/pkg/peers/assured_test.go
+++ b/pkg/peers/assured_test.go
@@ -15,9 +15,9 @@
 	"github.com/hopwell/hopwell/pkg/wire/wirepb"
 )
 
-// What a gateway learns of the store's age through a chain of relays is never younger than it
-// is, however long each message and each process stands still, whichever messages are lost
-// or come twice; and without any of that it is known to some round trips.
+// The confirmed time that a gateway derives through a chain of relays must never be later than the
+// true one, whatever messages and processes are delayed and whichever messages are lost or
+// duplicated. Without such faults it is accurate to a few round trips.
 func TestConfirmedTimeIsNeverTooRecent(t *testing.T) {
 	spectest.Check(t, func(rt *rapid.T) {
 		synctest.Test(t, func(*testing.T) {
@@ -88,8 +88,8 @@
 	})
 }
 
-// A relay that is suspended between a subscription and its answer, or before it, says as much, and
-// so does the age at a gateway that is suspended itself.
+// The age of an update must include suspensions of the relay, before or after the subscription
+// arrives, and of the subscriber.
 func TestConfirmedTimeCountsSuspensions(t *testing.T) {
 	g := NewWithT(t)
 	relay, self := newStampExchange(), newStampExchange()
@@ -106,7 +106,7 @@
 	g.Expect(boottime.Since(self.confirmedAt(u))).To(BeNumerically(">=", 9*time.Second))
 }
 
-// A process that starts again under the same name may be sent the stamp of the one before.
+// A process that restarts under the same name may receive a stamp of the process before it.
 func TestStampOfEarlierProcessIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -123,7 +123,7 @@
 	})
 }
 
-// newStampExchange returns as much of an exchange as assurances need.
+// newStampExchange returns an exchange with only the fields that stamps need.
 func newStampExchange() *Exchange {
 	return &Exchange{clock: newStampClock(), subscribers: relay.NewSubscribers(pace)}
 }
--- a/pkg/peers/convert.go
+++ b/pkg/peers/convert.go
@@ -10,7 +10,7 @@
 	"github.com/hopwell/hopwell/pkg/wire/wirepb"
 )
 
-// encodeSnapshots puts snapshots into a message.
+// encodeSnapshots encodes snapshots as a message.
 func encodeSnapshots(snapshots map[string]enginepool.Snapshot) *wirepb.GatewayState {
 	state := &wirepb.GatewayState{}
 	for service, s := range snapshots {
@@ -28,8 +28,8 @@
 	return state
 }
 
-// decodeSnapshots takes snapshots out of a message, by service. Loads whose two lists differ in
-// length are left out.
+// decodeSnapshots returns the snapshots of a message, by service. It drops the loads of an engine
+// whose lists Now and Left differ in length.
 func decodeSnapshots(s *wirepb.GatewayState) map[string]enginepool.Snapshot {
 	out := map[string]enginepool.Snapshot{}
 	for _, pool := range s.Pools {
@@ -48,7 +48,7 @@
 	return out
 }
 
-// outcomeUnit is what outcomes are counted in on the wire.
+// outcomeUnit is the resolution of the counts of outcomes on the wire, which are multiples of it.
 const outcomeUnit = 1.0 / 16
 
 func encodeOutcomes(reported []runners.Outcome) []*wirepb.RunnerOutcome {
@@ -74,7 +74,7 @@
 	return out
 }
 
-// unmarshal reads one datagram.
+// unmarshal decodes one datagram.
 func unmarshal(data []byte, into *wirepb.GatewayState) error { return proto.Unmarshal(data, into) }
 
 func encodeStageChanges(changes []runners.StageChange) []*wirepb.StageChange {
--- a/pkg/peers/limits.go
+++ b/pkg/peers/limits.go
@@ -8,12 +8,12 @@
 	"github.com/hopwell/hopwell/pkg/wire/wirepb"
 )
 
-// sharedLimitInterval is the time between two datagrams to a gateway that shares a runner's limit. The share of a
-// gateway from which no datagrams arrive stays unused.
+// sharedLimitInterval is the time between two datagrams to a gateway that shares a runner's rate
+// limit. The share of a gateway from which no datagrams arrive stays unused.
 const sharedLimitInterval = 300 * time.Millisecond
 
-// addLimits adds to a datagram what its receiver has not been told of runners' limits: everything
-// where the datagram has everything else. The caller holds the lock.
+// addLimits adds to a datagram the runners' rate limits that its receiver lacks, or all of them if the
+// datagram holds the full state. The caller holds the lock.
 func (x *Exchange) addLimits(m *member, state *wirepb.GatewayState, now time.Time) {
 	if x.options.Limits == nil {
 		return
@@ -26,20 +26,20 @@
 	state.Limits = encodeLimits(reports)
 }
 
-// limitsDue reports whether a gateway should be told of runners' limits at once. The caller holds the
-// lock.
+// limitsDue reports whether a gateway lacks changes of runners' rate limits, which are sent at once.
+// The caller holds the lock.
 func (x *Exchange) limitsDue(m *member) bool {
 	return x.options.Limits != nil && x.options.Limits.Due(m.name, m.limitsRevision)
 }
 
-// sharedLimitDue reports whether a gateway that sharedLimitDue a limit has not been told anything for long. The
-// caller holds the lock.
+// sharedLimitDue reports whether a gateway shares a rate limit and was sent no datagram for
+// sharedLimitInterval. The caller holds the lock.
 func (x *Exchange) sharedLimitDue(m *member, now time.Time) bool {
 	l := x.options.Limits
 	return l != nil && m.alive && now.Sub(m.lastSent) >= sharedLimitInterval && l.Shares(m.name)
 }
 
-// receiveLimits takes what another gateway told.
+// receiveLimits records that another gateway is alive, and the rate limits that it reported.
 func (x *Exchange) receiveLimits(s *wirepb.GatewayState, now time.Time) {
 	if x.options.Limits == nil {
 		return
@@ -50,7 +50,8 @@
 	}
 }
 
-// updateLimitMembers says which gateways share limits. The caller holds the lock.
+// updateLimitMembers passes the names of the other gateways, which share the rate limits, to the
+// table of limits if they changed. The caller holds the lock.
 func (x *Exchange) updateLimitMembers() {
 	if x.options.Limits == nil || x.limitMemberships == x.memberships {
 		return
@@ -74,11 +75,11 @@
 	return out
 }
 
-// maxCallsPerRequest bounds how many calls a request is believed to take at a runner.
+// maxCallsPerRequest bounds the calls per request that another gateway may report for a runner.
 const maxCallsPerRequest = 16
 
-// decodeLimits takes reports out of a message. One without a runner, or whose limit is no number of
-// 0 or more, is left out.
+// decodeLimits returns the reports of a message. It drops a report that has no runner, or whose limit
+// is negative, infinite or not a number.
 func decodeLimits(list []*wirepb.RunnerLimit) []runnerlimit.Report {
 	out := make([]runnerlimit.Report, 0, len(list))
 	for _, r := range list {
--- a/pkg/peers/members.go
+++ b/pkg/peers/members.go
@@ -9,29 +9,29 @@
 	"github.com/hopwell/hopwell/pkg/subset"
 )
 
-// member is another gateway.
+// member is another gateway in the membership list.
 type member struct {
 	name    string
 	address *net.UDPAddr
-	// incarnation and sequence are those of the newest datagram.
+	// incarnation and sequence are those of the newest datagram from it.
 	incarnation, sequence uint64
 	version               uint64
 	lastSeen              time.Time
 	alive                 bool
 	domain                string
-	// sent counts the datagrams to it; lastSent and lastFull are when the last one,
-	// and the last one with everything, was sent. wantFull is set when it lacks
-	// something; missing when something of its own was lost.
+	// sent counts the datagrams to it. lastSent is the time of the last one, lastFull that of
+	// the last one with the full state. needsFull is set when it lacks data of this gateway,
+	// lostData when this gateway lost data of it.
 	sent                uint64
 	lastSent, lastFull  time.Time
 	needsFull, lostData bool
-	// spendingRevision is the revision of the own spendingRevision up to which it was told.
+	// spendingRevision is the revision up to which this gateway's spending was sent to it.
 	spendingRevision uint64
-	// limitsRevision is the revision of the runners' limitsRevision up to which it was told.
+	// limitsRevision is the revision up to which the runners' rate limits were sent to it.
 	limitsRevision uint64
 }
 
-// Add records the address of another gateway.
+// Add adds another gateway to the membership list, unless the list has it.
 func (x *Exchange) Add(name, address string) error {
 	if name == x.options.Name {
 		return nil
@@ -49,14 +49,14 @@
 	return nil
 }
 
-// Known returns how many other gateways are remembered, the silent ones too.
+// Known returns the number of other gateways in the membership list, including silent ones.
 func (x *Exchange) Known() int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return len(x.members)
 }
 
-// Names returns the names of the gateways that are remembered, the silent ones too.
+// Names returns the names of the other gateways in the membership list, including silent ones.
 func (x *Exchange) Names() []string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -68,7 +68,7 @@
 	return out
 }
 
-// Rank returns how many living gateways come before this one by name.
+// Rank returns the number of live gateways whose names sort before this gateway's name.
 func (x *Exchange) Rank() int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -81,7 +81,7 @@
 	return n
 }
 
-// Neighbours returns how many living gateways are in this one's failure domain.
+// Neighbours returns the number of other live gateways in this gateway's failure domain.
 func (x *Exchange) Neighbours() int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -94,8 +94,8 @@
 	return n
 }
 
-// Addresses returns the addresses of the known gateways, those with the newest
-// configuration first.
+// Addresses returns the addresses of the other gateways in the membership list, those with the
+// newest configuration first.
 func (x *Exchange) Addresses() []string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -122,8 +122,8 @@
 // Uses reports whether this gateway uses an engine; see package subset.
 func (x *Exchange) Uses(engine string) bool { return x.subset.Load().Uses(engine) }
 
-// sortedMembers returns the members by name, in a list that must not be changed. The caller holds the
-// lock.
+// sortedMembers returns the members sorted by name. The caller holds the lock, and must not modify
+// the list.
 func (x *Exchange) sortedMembers() []*member {
 	if x.byNameAt == x.memberships && x.byName != nil {
 		return x.byName
@@ -137,8 +137,8 @@
 	return list
 }
 
-// updateSubset makes the subsets anew after a gateway has come or gone. The caller holds
-// the lock.
+// updateSubset recomputes the subset of engines after a gateway became alive or silent. The caller
+// holds the lock.
 func (x *Exchange) updateSubset() {
 	x.aliveNames = nil
 	var others []string
@@ -150,8 +150,8 @@
 	x.subset.Store(subset.New(x.options.Name, others))
 }
 
-// heartbeat returns the time between two datagrams to a gateway without news: it grows
-// with the number of gateways, so that what all cost together does not.
+// heartbeat returns the time between two datagrams to a gateway without changes. It grows with the
+// number of gateways, so that the total rate of heartbeats does not.
 func (x *Exchange) heartbeat() time.Duration {
 	share := heartbeatPerGateway
 	if x.options.Quota != nil && x.options.Quota.Limited() {
@@ -160,8 +160,8 @@
 	return max(minHeartbeat, time.Duration(len(x.members))*share)
 }
 
-// sweep notes which gateways have fallen silent, and drops those that were silent for
-// long.
+// sweep marks gateways as silent when they time out, and removes those that were silent for
+// RememberFor.
 func (x *Exchange) sweep(now time.Time) {
 	var silent []string
 	x.mu.Lock()
--- a/pkg/peers/notices.go
+++ b/pkg/peers/notices.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// leavingFor is how long a start of a runner that leaves is reported: each gateway that hears of it
-	// reports it in turn, so that all know of it within a few rounds, also those that saw no answer and
-	// can't reach the store.
+	// leavingFor is how long an incarnation of a runner is reported as leaving. Each gateway that
+	// receives the report forwards it, so that it reaches all gateways within a few rounds, including
+	// those that received no response of the runner and can't reach the store.
 	leavingFor = 30 * time.Second
-	// maxLeaving bounds the starts that one datagram names, some 25 bytes each.
+	// maxLeaving bounds the leaving runners in one datagram, some 25 bytes each.
 	maxLeaving = 32
 )
 
-// leaving returns the runners that are reported as leaving now, the latest first.
+// leaving returns the runners to report as leaving, the latest first.
 func (x *Exchange) leaving(now time.Time) []string {
 	if x.options.Notices == nil {
 		return nil
@@ -24,7 +24,7 @@
 	return list[:min(len(list), maxLeaving)]
 }
 
-// receiveLeaving takes the runners that another gateway reported as leaving.
+// receiveLeaving records the runners that another gateway reported as leaving.
 func (x *Exchange) receiveLeaving(s *wirepb.GatewayState, now time.Time) {
 	if x.options.Notices != nil && len(s.LeavingRunners) > 0 {
 		x.options.Notices.Receive(s.Name, s.LeavingRunners[:min(len(s.LeavingRunners), maxLeaving)], now)
--- a/pkg/peers/notices_test.go
+++ b/pkg/peers/notices_test.go
@@ -11,8 +11,8 @@
 	"github.com/hopwell/hopwell/pkg/wire/wirepb"
 )
 
-// Guards against a notice that stays with the gateway that had the answer: the others then learn of it
-// from the store alone, which may be away.
+// A notice must not stay with the gateway that received it in a response: the other gateways would
+// learn of it from the store alone, which may be unavailable.
 func TestLeavingRunnersAreReportedAndForwarded(t *testing.T) {
 	g := NewWithT(t)
 	a, b := start(t, "a", 1), start(t, "b", 2)
@@ -21,10 +21,10 @@
 	g.Eventually(func() bool { return b.options.Notices.Leaves("r@1") }, "20s").Should(BeTrue())
 	c := start(t, "c", 3)
 	g.Expect(c.Add("b", b.address)).To(Succeed())
-	g.Eventually(func() bool { return c.options.Notices.Leaves("r@1") }, "20s").Should(BeTrue(), "from one that was told itself")
+	g.Eventually(func() bool { return c.options.Notices.Leaves("r@1") }, "20s").Should(BeTrue(), "forwarded by a gateway that only received a report")
 }
 
-// Guards against datagrams that grow with the number of runners that leave.
+// Datagrams must not grow with the number of leaving runners.
 func TestLeavingRunnersPerDatagramAreBounded(t *testing.T) {
 	g := NewWithT(t)
 	a := newGateway(t, "a", 1)
--- a/pkg/peers/peers.go
+++ b/pkg/peers/peers.go
@@ -1,8 +1,8 @@
-// Package peers exchanges between gateways what they have reserved on the engines, so
-// that all of them choose as one would. It sends small datagrams: what changed at
-// once to those that use the same engines, everything to one that lacks something, and
-// heartbeats. The other gateways' addresses come from the store once and from the
-// datagrams after that; nothing is agreed on.
+// Package peers exchanges engine reservations between gateways, so that each gateway chooses
+// engines with the reservations of all gateways in view. It sends small datagrams: changes
+// at once to the gateways that use the same engines, the full state to a gateway that lacks
+// data, and heartbeats. A gateway reads the addresses of the others from the store once and
+// from datagrams after that. No consensus is needed.
 package peers
 
 import (
@@ -24,43 +24,47 @@
 )
 
 const (
-	// batchDelay is how long changes are let come together before they are sent. A
+	// batchDelay is the time for which changes are batched before they are sent. A
 	// reservation and the prefill that follows it are some 5 ms apart.
 	batchDelay = 10 * time.Millisecond
-	// sendInterval is the time between two looks at who is due a datagram.
+	// sendInterval is the time between two checks for gateways that are due a datagram.
 	sendInterval = 60 * time.Millisecond
-	// minHeartbeat is the least time between two datagrams to a gateway without
-	// news; heartbeatShare is what each gateway adds to it: 33 heartbeats a second
-	// go out from each gateway at most, some 1.5 KB.
+	// minHeartbeat is the minimum time between two datagrams to a gateway without changes.
+	// The time is also at least heartbeatPerGateway for each member, so that a gateway
+	// sends at most 33 heartbeats a second, some 1.5 KB.
 	minHeartbeat        = 300 * time.Millisecond
 	heartbeatPerGateway = 30 * time.Millisecond
-	// limitedHeartbeatPerGateway takes its place where workspaces have limits: what belongs to a gateway
-	// that is not heard of is not spent by others, so that most must be heard of soon.
+	// limitedHeartbeatPerGateway replaces heartbeatPerGateway when workspaces have limits:
+	// the share of a gateway is not spent by others while no datagrams arrive from it, so
+	// that most gateways must be heard from at short intervals.
 	limitedHeartbeatPerGateway = 10 * time.Millisecond
-	// A gateway counts as alive for aliveHeartbeats heartbeats after its last
-	// datagram, leastAlive at least: datagrams are lost now and then.
+	// A gateway counts as alive for aliveHeartbeats heartbeat intervals after its last
+	// datagram, and for minAliveTime at least, because some datagrams are lost.
 	aliveHeartbeats = 5
 	minAliveTime    = 1500 * time.Millisecond
-	// minFullInterval is the time between two datagrams with everything to one gateway: estimates
-	// of what answers take drift apart. Each gateway adds heartbeatShare to it, so that
-	// of many no more come than of a hundred.
+	// minFullInterval is the minimum time between two datagrams with the full state to a
+	// gateway that lacks no data. They correct the estimated load of responses, which drifts
+	// apart between gateways. The time is also at least heartbeatPerGateway for each member,
+	// so that their rate does not grow beyond that of a hundred gateways.
 	minFullInterval = 3 * time.Second
-	// RememberFor is how long a silent peer is kept and sent to.
+	// RememberFor is how long a silent gateway stays in the membership list and is sent
+	// datagrams.
 	RememberFor = 60 * time.Second
-	// maxDatagram bounds a datagram, in bytes.
+	// maxDatagram is the maximum size of a datagram, in bytes.
 	maxDatagram = 16 << 10
-	// peersPerDatagram is how many others a datagram with everything names.
+	// peersPerDatagram is the number of other gateways named in a datagram with the full state.
 	peersPerDatagram = 4
-	// outcomesEvery is how many periods pass between reports of runners' outcomes.
+	// outcomesEvery is the number of send intervals between two reports of runners' outcomes.
 	outcomesEvery = 4
-	// maxOutcomes bounds the runners that one report names, some 20 bytes each. Of more
-	// than subset.Users gateways each report goes to fewer the more there are, to
-	// leastReceivers at least: each gets as many reports a second whatever their number.
+	// maxOutcomes bounds the runners in one report, some 20 bytes each. With more than
+	// subset.Users gateways, a report goes to fewer gateways the more there are, but to
+	// minReceivers at least. So each gateway receives the same number of reports a second
+	// whatever the number of gateways.
 	maxOutcomes  = 32
 	minReceivers = 4
 )
 
-// What happens to another gateway.
+// Changes of another gateway's state, passed to Options.Changed.
 const (
 	Alive  = "alive"
 	Silent = "silent"
@@ -71,41 +75,44 @@
 	// Name and Address are this gateway's; Address is IP:PORT.
 	Name, Address string
 	Conn          net.PacketConn
-	// Snapshots returns what changed in this gateway's reservations after the given
-	// revisions, by service, and the revisions reached; everything for nil.
+	// Snapshots returns the reservations of this gateway that changed after the given
+	// revisions, by service, and the revisions reached. For nil it returns all reservations.
 	Snapshots func(since map[string]uint64) (map[string]enginepool.Snapshot, map[string]uint64)
-	// ReceiveSnapshot takes another gateway's reservations for a service.
+	// ReceiveSnapshot records another gateway's reservations for a service.
 	ReceiveSnapshot func(gateway, service string, snapshot enginepool.Snapshot)
 	// Domain is this gateway's failure domain. Outcomes returns the outcomes at
-	// runners that fail requests, ReceiveOutcomes takes those of another gateway.
+	// runners that fail requests, ReceiveOutcomes records those of another gateway.
 	Domain          string
 	Outcomes        func() []runners.Outcome
 	ReceiveOutcomes func(gateway string, sameDomain bool, outcomes []runners.Outcome)
-	// ReceiveStageChanges takes the engines that another gateway ordered to another
-	// stage.
+	// ReceiveStageChanges records the engines that another gateway ordered to change to
+	// another stage.
 	ReceiveStageChanges func(changes []runners.StageChange)
-	// ReceiveSuspicion takes what another gateway reported of a request whose runs broke
-	// off.
+	// ReceiveSuspicion records another gateway's report of a request whose calls to runners
+	// broke off.
 	ReceiveSuspicion func(r quarantine.Report)
-	// Store is what this gateway knows of the store, Pace how closely it is watched; the zero
-	// value is that of the shortest bound.
+	// Store is this gateway's copy of the store, Pace the timing of the relays that keep it up
+	// to date. The zero value of Pace is the timing for the shortest bound.
 	Store StoreFeed
 	Pace  relay.Pace
-	// Quota counts what workspaces spend at all gateways; nil for nobody.
+	// Quota counts what workspaces spend at all gateways; nil if there are no quotas.
 	Quota *quota.Ledger
-	// Limits are those that runners name for all gateways; nil for nobody.
+	// Limits are the rate limits that runners name for all gateways together; nil if they
+	// are not exchanged.
 	Limits *runnerlimit.Table
-	// Notices are what runners said of themselves; nil for nothing.
+	// Notices are the notices of runners; nil if they are not exchanged.
 	Notices *notice.Table
 	// Version returns the version of the configuration in force.
 	Version func() uint64
-	// Changed is called when a gateway becomes Alive or Silent.
+	// Changed is called when a gateway becomes Alive or Silent, with the number of other
+	// gateways in the membership list.
 	Changed func(name, what string, known int)
-	// Failed is called for datagrams that can't be sent or read.
+	// Failed is called for addresses that can't be resolved, and for datagrams that can't be
+	// sent or received.
 	Failed func(err error)
 }
 
-// ErrAddress reports that a gateway's address can't be used.
+// ErrAddress reports that the address of a gateway can't be resolved.
 type ErrAddress struct {
 	Gateway, Address string
 	Err              error
@@ -113,13 +120,13 @@
 
 // Error implements error.
 func (e *ErrAddress) Error() string {
-	return fmt.Sprintf("bad address of a gateway: gateway=%s address=%q cause=%v", e.Gateway, e.Address, e.Err)
+	return fmt.Sprintf("invalid gateway address: gateway=%s address=%q cause=%v", e.Gateway, e.Address, e.Err)
 }
 
 // Unwrap returns the cause.
 func (e *ErrAddress) Unwrap() error { return e.Err }
 
-// ErrDatagram reports that a datagram can't be sent or read.
+// ErrDatagram reports that a datagram can't be sent, received or decoded.
 type ErrDatagram struct {
 	Gateway string
 	Bytes   int
@@ -128,32 +135,37 @@
 
 // Error implements error.
 func (e *ErrDatagram) Error() string {
-	return fmt.Sprintf("bad datagram: gateway=%s bytes=%d cause=%v", e.Gateway, e.Bytes, e.Err)
+	return fmt.Sprintf("datagram could not be sent or read: gateway=%s bytes=%d cause=%v", e.Gateway, e.Bytes, e.Err)
 }
 
 // Unwrap returns the cause.
 func (e *ErrDatagram) Unwrap() error { return e.Err }
 
-// Exchange sends and receives reports. It is safe for concurrent use.
+// Exchange sends this gateway's state to the other gateways and receives theirs. It is safe for
+// concurrent use.
 type Exchange struct {
 	options     Options
 	incarnation uint64
-	// changed holds a value when there is something to send at once.
+	// changed holds a value when there are changes to send at once.
 	changed chan struct{}
 	subset  atomic.Pointer[subset.Subset]
 
 	mu      sync.Mutex
 	members map[string]*member
-	// memberships counts how often a gateway was added or dropped, quotaMemberships up to which
-	// of these the quota knows, toldGrace how long it was told to take others to be there.
+	// memberships counts the additions to and removals from the membership list.
+	// quotaMemberships is its value when the quota was last passed the members, quotaGrace
+	// the grace that was passed with them.
 	memberships, quotaMemberships uint64
 	quotaGrace                    time.Duration
-	// limitMemberships is up to which membership the runners' limits know.
+	// limitMemberships is the value of memberships when the table of runners' rate limits was
+	// last passed the members.
 	limitMemberships uint64
-	// byName is the members by name at byNameAt memberships; alive the names of the living
-	// ones with the own one, nil if they must be listed anew, first whether the own one is
-	// among the first of these, chosen when relays were chosen last. Each is kept since a
-	// period would else sort all gateways several times: 4 ms at 300 of them.
+	// byName is the members sorted by name when memberships was byNameAt. aliveNames is the
+	// names of the live gateways including this one, nil if it must be rebuilt. defaultRelay
+	// says that this gateway is among the first of them, which watch the store even without
+	// subscribers. relaysChosenAt is when this gateway last chose its relays. All are cached
+	// since each send interval would otherwise sort all gateways several times: 4 ms at 300
+	// of them.
 	byName         []*member
 	byNameAt       uint64
 	aliveNames     []string
@@ -161,18 +173,18 @@
 	relaysChosenAt time.Time
 	// sentRevisions is the revisions up to which changes were sent, by service.
 	sentRevisions map[string]uint64
-	periods       uint64
-	// sources are the relays of this gateway; subscribers are those that it is a relay
-	// for, relayed is what it may send them.
+	intervals     uint64
+	// sources are the relays of this gateway. subscribers are the gateways that it relays
+	// changes of the store to, and relayAllowance bounds the bytes that it sends them.
 	sources        *relay.Sources
 	subscribers    *relay.Subscribers
 	relayAllowance allowance
 	clock          stampClock
-	// nextReceiver counts the gateways that outcomes were sent to, in nextReceiver.
+	// nextReceiver counts the gateways that outcomes were sent to, round robin.
 	nextReceiver int
 }
 
-// New returns an exchange that knows nobody.
+// New returns an exchange with an empty membership list.
 func New(o Options) *Exchange {
 	x := &Exchange{options: o, incarnation: uint64(time.Now().UnixNano()), members: map[string]*member{}, changed: make(chan struct{}, 1), sentRevisions: map[string]uint64{}}
 	if o.Pace == (relay.Pace{}) {
@@ -185,7 +197,7 @@
 	return x
 }
 
-// Notify says that reservations changed. It never waits.
+// Notify triggers the sending of changed reservations. It never blocks.
 func (x *Exchange) Notify() {
 	select {
 	case x.changed <- struct{}{}:
@@ -193,7 +205,7 @@
 	}
 }
 
-// Run sends and receives until the context ends.
+// Run sends and receives datagrams until the context ends, then closes the connection.
 func (x *Exchange) Run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { _ = x.options.Conn.Close() })
 	defer stop()
--- a/pkg/peers/peers_test.go
+++ b/pkg/peers/peers_test.go
@@ -19,17 +19,17 @@
 	"github.com/hopwell/hopwell/pkg/wire/wirepb"
 )
 
-// gateway is one exchange with the snapshots that it received.
+// gateway is an exchange with the state that it received.
 type gateway struct {
 	*Exchange
 	address  string
 	mu       sync.Mutex
 	received map[string]enginepool.Snapshot
-	// feed is what it knows of the store.
+	// feed is its copy of the store.
 	feed *fakeStoreFeed
-	// changes are the stage changes that were reported.
+	// changes are the stage changes that it received.
 	changes []runners.StageChange
-	// fullRequested says for each call whether everything was fullRequested for.
+	// fullRequested says for each call of Snapshots whether it requested all reservations.
 	fullRequested []bool
 }
 
@@ -40,8 +40,8 @@
 	return p, ok
 }
 
-// newGateway returns an exchange with one reservation of the given size at a runner of
-// its own.
+// newGateway returns an exchange with one reservation of the given size, in tokens, at a runner of its
+// own.
 func newGateway(t *testing.T, name string, load int) *gateway {
 	conn, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	if err != nil {
@@ -89,7 +89,7 @@
 	return w
 }
 
-// Three gateways of which each knows one other learn of all.
+// Three gateways of which each is given the address of at most one other must discover all.
 func TestGatewaysDiscoverEachOtherThroughPeers(t *testing.T) {
 	g := NewWithT(t)
 	a, b, c := start(t, "a", 10), start(t, "b", 20), start(t, "c", 30)
@@ -158,7 +158,7 @@
 	})
 }
 
-// A change goes out at once, in a datagram with what changed alone.
+// A change must be sent at once, in a datagram with the changes alone.
 func TestChangesAreSentAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	a, b := start(t, "a", 10), start(t, "b", 20)
@@ -174,7 +174,7 @@
 	g.Expect(b.fullRequested).To(ContainElement(false))
 }
 
-// Whoever finds a gap in what it received asks for everything, until it comes.
+// A gateway that detects a gap in the sequence must request the full state until it receives it.
 func TestSequenceGapRequestsFullState(t *testing.T) {
 	g := NewWithT(t)
 	a := newGateway(t, "a", 1)
@@ -196,8 +196,8 @@
 	g.Expect(a.members["z"].needsFull).To(BeTrue())
 }
 
-// Where gateways are many, a change goes to the few that use the engine, and all of a
-// gateway's heartbeats together stay the same.
+// With many gateways, a change must go only to the few that use the engine, and the total rate of a
+// gateway's heartbeats must stay the same.
 func TestChangesAndHeartbeatsAreBoundedWithManyGateways(t *testing.T) {
 	g := NewWithT(t)
 	a := newGateway(t, "a", 1)
@@ -217,7 +217,7 @@
 	g.Expect(float64(len(a.members)) / a.heartbeat().Seconds()).To(BeNumerically("<", 34))
 }
 
-// No datagram makes a gateway fail.
+// No datagram may crash a gateway.
 func FuzzDatagram(f *testing.F) {
 	f.Add([]byte("\n\x01z"))
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -229,8 +229,8 @@
 	})
 }
 
-// What a gateway saw of a failing runner reaches the others, with its failure
-// domain.
+// Outcomes that a gateway reports of a failing runner must reach the others, with the gateway's
+// failure domain.
 func TestOutcomesReachOtherGateways(t *testing.T) {
 	g := NewWithT(t)
 	reported := []runners.Outcome{{Runner: "r", Failed: 1.5, Total: 4}}
@@ -254,7 +254,7 @@
 	g.Expect(received).To(Equal(reported))
 }
 
-// An order to an engine is reported at once, to each gateway, also by one without load.
+// A stage change must be sent at once to each gateway, also by a gateway without load.
 func TestStageChangesReachAllGateways(t *testing.T) {
 	g := NewWithT(t)
 	a, b, c := start(t, "a", 1), start(t, "b", 1), start(t, "c", 1)
@@ -270,8 +270,8 @@
 	}
 }
 
-// What a gateway sends of outcomes in a second is bounded whatever fails, and hardly
-// grows with the number of gateways; each gateway gets its turn.
+// The outcomes that a gateway sends in a second must be bounded whatever fails, and hardly grow with
+// the number of gateways. Each gateway must get its turn.
 func TestOutcomeReportsAreBoundedWithManyGateways(t *testing.T) {
 	g := NewWithT(t)
 	a := newGateway(t, "a", 1)
--- a/pkg/peers/period_bench_test.go
+++ b/pkg/peers/period_bench_test.go
@@ -13,12 +13,12 @@
 	"github.com/hopwell/hopwell/pkg/wire/wirepb"
 )
 
-// discardConn takes datagrams and has none.
+// discardConn discards the datagrams that are sent, and receives none.
 type discardConn struct{ net.PacketConn }
 
 func (discardConn) WriteTo(p []byte, _ net.Addr) (int, error) { return len(p), nil }
 
-// newExchangeWithPeers returns an exchange that knows n other living gateways.
+// newExchangeWithPeers returns an exchange with n other live gateways.
 func newExchangeWithPeers(n int, now time.Time) *Exchange {
 	x := New(Options{
 		Name: "self", Address: "10.0.0.1:1", Conn: discardConn{}, Store: &unchangingStore{}, Quota: quota.New(quota.Allowance{}, quota.DefaultShares()),
@@ -39,13 +39,13 @@
 	return x
 }
 
-// unchangingStore is a gateway's knowledge of a store that never changes.
+// unchangingStore is a gateway's copy of a store that never changes.
 type unchangingStore struct{ StoreFeed }
 
 func (unchangingStore) Reached() store.Revision { return 7 }
 
-// BenchmarkSendInterval measures what one period costs a gateway without any news: 17 of them are a
-// second.
+// BenchmarkSendInterval measures what one send interval costs a gateway without any changes. There
+// are 17 of them in a second.
 func BenchmarkSendInterval(b *testing.B) {
 	for _, n := range []int{30, 102, 299, 419} {
 		b.Run(fmt.Sprint(n, " others"), func(b *testing.B) {
--- a/pkg/peers/receive.go
+++ b/pkg/peers/receive.go
@@ -8,7 +8,7 @@
 	"github.com/hopwell/hopwell/pkg/wire/wirepb"
 )
 
-// read receives until the socket closes.
+// read receives datagrams until the context ends.
 func (x *Exchange) read(ctx context.Context) {
 	buffer := make([]byte, maxDatagram)
 	for ctx.Err() == nil {
@@ -31,7 +31,7 @@
 	}
 }
 
-// receive takes one datagram. One that is older than another is dropped.
+// receive processes one datagram. It drops one that is older than the newest from the same gateway.
 func (x *Exchange) receive(s *wirepb.GatewayState, from net.Addr, now time.Time) {
 	if s.Name == "" || s.Name == x.options.Name {
 		return
@@ -76,7 +76,8 @@
 	}
 }
 
-// addNamedGateways adds the gateways that a datagram names.
+// addNamedGateways adds the sender of a datagram, and the gateways that the datagram names, to the
+// membership list.
 func (x *Exchange) addNamedGateways(s *wirepb.GatewayState, from net.Addr) {
 	address := s.Address
 	if address == "" && from != nil {
@@ -89,9 +90,9 @@
 	}
 }
 
-// updateMember records a datagram's head, and reports whether its gateway was not alive before.
-// A gap in the sequence is something lost: everything is asked for. The caller holds the
-// lock.
+// updateMember records the header fields of a datagram, and reports whether its sender was not alive
+// before. A gap in the sequence shows that a datagram was lost; the full state is then requested.
+// The caller holds the lock.
 func (x *Exchange) updateMember(m *member, s *wirepb.GatewayState, from net.Addr, now time.Time) bool {
 	if at, ok := from.(*net.UDPAddr); ok {
 		m.address = at
--- a/pkg/peers/relay.go
+++ b/pkg/peers/relay.go
@@ -11,35 +11,36 @@
 
 const (
 	// relayRate bounds what a relay sends, in bytes a second, and relayBurst what it may
-	// send at once: some 100 runners that change together, to 40 gateways. When a whole
-	// system starts, thousands of runners register, and nobody waits for them: the own
-	// watches bring what is left out.
+	// send at once, in bytes: some 100 runners that change together, to 40 gateways. When a
+	// whole system starts, thousands of runners register. No request depends on these updates,
+	// so the relay drops what exceeds the bounds, and each gateway's own watch of the store
+	// reads it.
 	relayRate  = 128 << 10
 	relayBurst = 1 << 20
-	// datagramOverhead is what a datagram takes besides its values, in bytes.
+	// datagramOverhead is the size of a datagram without the values of its update, in bytes.
 	datagramOverhead = 80
 )
 
-// StoreFeed is what a gateway knows of the platform's store.
+// StoreFeed is a gateway's copy of the platform's store.
 type StoreFeed interface {
-	// Reached returns the revision up to which all changes are known, 0 for none.
+	// Reached returns the revision up to which the copy has all changes, 0 for none.
 	Reached() store.Revision
 	// Since returns the updates that bring a gateway from a revision to the one reached.
 	Since(at store.Revision, reads relay.Reads, now time.Time) []relay.Update
-	// Receive takes an update of a relay, and reports whether all changes up to its end
-	// are known now.
+	// Receive applies an update of a relay, and reports whether the copy now has all changes
+	// up to the end of the update.
 	Receive(u relay.Update) bool
-	// Subscribed says that this gateway has become a relay.
+	// Subscribed is called when this gateway becomes a relay by its first subscription.
 	Subscribed()
 }
 
-// allowance is the bytes that a relay may send.
+// allowance is the token bucket of the bytes that a relay may send.
 type allowance struct {
 	left float64
 	at   time.Time
 }
 
-// take takes bytes, false if there are not so many.
+// take removes bytes from the bucket. If too few are left, it removes none and returns false.
 func (a *allowance) take(bytes int, now time.Time) bool {
 	if a.at.IsZero() {
 		a.left = relayBurst
@@ -54,8 +55,8 @@
 	return true
 }
 
-// aliveGateways returns the names of the aliveGateways gateways, with the own one. The caller holds
-// the lock, and must not change the list.
+// aliveGateways returns the names of the live gateways, including this one. The caller holds the
+// lock, and must not modify the list.
 func (x *Exchange) aliveGateways() []string {
 	if x.aliveNames != nil {
 		return x.aliveNames
@@ -71,18 +72,18 @@
 	return x.aliveNames
 }
 
-// isDefaultRelay reports whether this gateway is among the first of the living ones. The caller holds
-// the lock.
+// isDefaultRelay reports whether this gateway is among the first of the live ones, which watch the
+// store even without subscribers. The caller holds the lock.
 func (x *Exchange) isDefaultRelay() bool {
 	x.aliveGateways()
 	return x.defaultRelay
 }
 
-// choicesPerBeat is how many choices of relays there are in a beat while no gateway comes or goes: a
-// silent one is left after some beats.
+// choicesPerBeat is the number of times that relays are chosen in a beat while the same gateways are
+// alive. It need not be higher, because a silent relay is replaced only after some beats.
 const choicesPerBeat = 3
 
-// chooseRelays chooses relays anew when it is time. The caller holds the lock.
+// chooseRelays chooses relays again when a choice is due. The caller holds the lock.
 func (x *Exchange) chooseRelays(now time.Time) {
 	living := x.aliveGateways()
 	if x.sources.Any() && now.Sub(x.relaysChosenAt) < x.options.Pace.Beat/choicesPerBeat {
@@ -92,37 +93,38 @@
 	x.sources.Choose(living, now)
 }
 
-// Relay reports whether this gateway is one of those that watch the store closely.
+// Relay reports whether this gateway is a relay, which watches the store continuously.
 func (x *Exchange) Relay(now time.Time) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.subscribers.Any(now) || x.isDefaultRelay()
 }
 
-// Coverage is how relays keep a gateway up to date with the store.
+// Coverage is how up to date relays keep a gateway's copy of the store.
 type Coverage struct {
-	// FreshUntil is until when what they told can be relied on.
+	// FreshUntil is the time until which the copy can be relied on without reading the store.
 	FreshUntil time.Time
-	// Answering says that one answers, whether or not it reaches the store.
+	// Answering says that a relay sends updates, whether or not it reaches the store.
 	Answering bool
 }
 
-// Coverage returns how relays keep this gateway up to date.
+// Coverage returns how up to date relays keep this gateway's copy of the store.
 func (x *Exchange) Coverage(now time.Time) Coverage {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return Coverage{FreshUntil: x.sources.FreshUntil(), Answering: x.sources.Answering(now)}
 }
 
-// StoreAnswers notes that the store answered this gateway.
+// StoreAnswers records that the store responded to this gateway. Relays that can't reach the store
+// are then replaced.
 func (x *Exchange) StoreAnswers(now time.Time) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.sources.StoreAnswers(now)
 }
 
-// SendStoreUpdates tells the subscribed gateways what they lack, and those that were told
-// nothing for a while that there is nothing.
+// SendStoreUpdates sends subscribers the changes that they lack, and an update without changes to those
+// that were sent nothing for a beat.
 func (x *Exchange) SendStoreUpdates(now time.Time) {
 	reached := x.options.Store.Reached()
 	x.mu.Lock()
@@ -131,8 +133,8 @@
 	x.write(out)
 }
 
-// storeUpdates returns updates for gateways that know changes up to the given revisions,
-// within the allowance. The caller holds the lock.
+// storeUpdates returns datagrams with updates for gateways that have all changes up to the given
+// revisions, within the allowance. The caller holds the lock.
 func (x *Exchange) storeUpdates(due map[string]store.Revision, now time.Time) []datagram {
 	var out []datagram
 	for name, at := range due {
@@ -153,8 +155,8 @@
 	return out
 }
 
-// subscribe asks the relays that are due for the changes of the store. A gateway that has
-// not read the store waits for its own reading.
+// subscribe sends subscriptions to the relays that are due one. A gateway that has not read the store
+// does not subscribe until it has.
 func (x *Exchange) subscribe(now time.Time) {
 	at := x.options.Store.Reached()
 	x.mu.Lock()
@@ -169,7 +171,7 @@
 	x.write(out)
 }
 
-// receiveSubscription notes a subscription and answers it.
+// receiveSubscription records a subscription and sends the subscriber the changes that it lacks.
 func (x *Exchange) receiveSubscription(from string, s *wirepb.StoreSubscription, now time.Time) {
 	at := store.Revision(s.At)
 	x.mu.Lock()
@@ -187,8 +189,8 @@
 	}
 }
 
-// receiveUpdate takes an update of a relay. If changes before it were lost, it is asked
-// again at once. A relay in an earlier era of the store confirms nothing.
+// receiveUpdate applies an update of a relay. If changes before it were lost, it requests them at
+// once. An update of an earlier store era does not confirm that the copy is up to date.
 func (x *Exchange) receiveUpdate(from string, u relay.Update, now time.Time) {
 	if u.To.Era() < x.options.Store.Reached().Era() {
 		u.Age, u.Assured = relay.Unconfirmed, time.Time{}
--- a/pkg/peers/relay_test.go
+++ b/pkg/peers/relay_test.go
@@ -12,7 +12,7 @@
 	"github.com/hopwell/hopwell/pkg/store"
 )
 
-// fakeStoreFeed is a StoreFeed that a test brings forward.
+// fakeStoreFeed is a StoreFeed whose revision the test advances.
 type fakeStoreFeed struct {
 	relay.History
 	mu         sync.Mutex
@@ -55,14 +55,14 @@
 	return append([]store.Event(nil), k.changes...)
 }
 
-// readsAll is what a gateway of this build reads.
+// readsAll is the encodings that a gateway of this build decodes.
 var readsAll = relay.Reads{Deltas: true, Eras: true}
 
 func storeChange(key string, revision store.Revision, size int) store.Event {
 	return store.Event{Item: store.Item{Key: key, Revision: revision, Value: make([]byte, size)}}
 }
 
-// startFleet starts gateways that know each other, and have read the store at a revision.
+// startFleet starts gateways that can reach each other and have read the store at a revision.
 func startFleet(t *testing.T, n int, at store.Revision) []*gateway {
 	var all []*gateway
 	for i := range n {
@@ -83,8 +83,8 @@
 	return all
 }
 
-// Each gateway that is no relay gets each change once, with nobody but the relays looking
-// at the store.
+// Each gateway that is not a relay must receive each change once, while only the relays read the
+// store.
 func TestSubscribersReceiveEachChangeOnce(t *testing.T) {
 	g := NewWithT(t)
 	all := startFleet(t, 15, 6)
@@ -97,7 +97,7 @@
 			}
 		}
 		return len(subscribed)
-	}).WithTimeout(20*time.Second).Should(Equal(len(all)-pace.Relays(len(all))), "nobody else is subscribed to while all relays answer")
+	}).WithTimeout(20*time.Second).Should(Equal(len(all)-pace.Relays(len(all))), "only the default relays have subscribers while all of them respond")
 	for _, w := range all {
 		if w.Relay(time.Now()) {
 			w.feed.Advance(7, []store.Event{storeChange("servers/a", 7, 10)}, time.Now())
@@ -110,12 +110,11 @@
 	}
 	time.Sleep(2 * pace.Beat)
 	for _, w := range subscribed {
-		g.Expect(w.feed.received()).To(HaveLen(1), "known to come once, told by two relays")
+		g.Expect(w.feed.received()).To(HaveLen(1), "each change is applied once although two relays send it")
 	}
 }
 
-// A gateway whose update was lost asks for it again, without waiting for the next beat of
-// its relays.
+// A gateway must request a lost update at once, without waiting for the next beat of its relays.
 func TestLostUpdateIsRequestedAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	all := startFleet(t, pace.Relays(1)+1, 6)
@@ -145,7 +144,7 @@
 	g.Expect(w.Relay(time.Now())).To(BeTrue())
 }
 
-// Whatever changes, a relay sends no more than its allowance.
+// A relay must not send more than its allowance, however many changes there are.
 func TestRelayStaysWithinItsAllowance(t *testing.T) {
 	g := NewWithT(t)
 	var a allowance
--- a/pkg/peers/send.go
+++ b/pkg/peers/send.go
@@ -14,15 +14,15 @@
 	"github.com/hopwell/hopwell/pkg/wire/wirepb"
 )
 
-// datagram is one that is ready to be sent.
+// datagram is a message with its receiver, ready to be sent.
 type datagram struct {
 	to    *net.UDPAddr
 	name  string
 	state *wirepb.GatewayState
 }
 
-// sendChanges sends what changed to the gateways that use the engines concerned, and share the
-// runners' limits.
+// sendChanges sends changed reservations to the gateways that use the engines concerned, and changes
+// of runners' rate limits to the gateways that lack them.
 func (x *Exchange) sendChanges(now time.Time) {
 	x.mu.Lock()
 	changed, reached := x.options.Snapshots(x.sentRevisions)
@@ -40,8 +40,7 @@
 	x.write(out)
 }
 
-// changesFor returns the part of changes that a gateway is interested in: those at engines
-// that it uses.
+// changesFor returns the changes at the engines that a gateway uses.
 func (x *Exchange) changesFor(name string, changed map[string]enginepool.Snapshot) map[string]enginepool.Snapshot {
 	subset := x.subset.Load()
 	out := map[string]enginepool.Snapshot{}
@@ -59,9 +58,9 @@
 	return out
 }
 
-// sendDue sends everything to gateways that lack something or had nothing like that for
-// long, and heartbeats to those that had nothing for a while. Outcomes go to some at a
-// time.
+// sendDue sends the full state to gateways that lack data or were not sent it for the full interval,
+// and heartbeats to those that were sent nothing for the heartbeat interval. Outcomes and leaving
+// runners go to some gateways at a time.
 func (x *Exchange) sendDue(now time.Time) {
 	outcomes, leaving := x.reports(now)
 	var all map[string]enginepool.Snapshot
@@ -92,17 +91,18 @@
 	x.write(out)
 }
 
-// reports returns the outcomes at runners, and the runners that leave, in every outcomesEvery-th period.
+// reports returns the outcomes at runners and the leaving runners in every outcomesEvery-th send
+// interval, and nothing in the others.
 func (x *Exchange) reports(now time.Time) (outcomes []*wirepb.RunnerOutcome, leaving []string) {
-	x.periods++
-	if x.periods%outcomesEvery != 0 {
+	x.intervals++
+	if x.intervals%outcomesEvery != 0 {
 		return nil, nil
 	}
 	return encodeOutcomes(worstOutcomes(x.options.Outcomes())), x.leaving(now)
 }
 
-// worstOutcomes returns the outcomes that say most: of runners that refused, and of those that
-// failed most requests.
+// worstOutcomes returns up to maxOutcomes outcomes: first those of unusable runners, then those with
+// the most failed requests.
 func worstOutcomes(outcomes []runners.Outcome) []runners.Outcome {
 	if len(outcomes) <= maxOutcomes {
 		return outcomes
@@ -119,7 +119,7 @@
 	return outcomes[:maxOutcomes]
 }
 
-// outcomeReceivers returns the gateways that get outcomes now: all where they are few,
+// outcomeReceivers returns the gateways that are sent outcomes now: all of them if they are few,
 // otherwise the next ones in turn. The caller holds the lock.
 func (x *Exchange) outcomeReceivers(hasReports bool) map[string]bool {
 	out := map[string]bool{}
@@ -138,9 +138,8 @@
 	return out
 }
 
-// SendStageChanges tells all gateways of engines that are ordered to another stage, so
-// that none sends them work. A gateway whose datagram is lost learns of it from the
-// store.
+// SendStageChanges informs all gateways of engines that were ordered to another stage, so that none
+// sends them requests. A gateway whose datagram is lost reads the change from the store.
 func (x *Exchange) SendStageChanges(changes []runners.StageChange, now time.Time) {
 	encoded := encodeStageChanges(changes)
 	var out []datagram
@@ -154,8 +153,7 @@
 	x.write(out)
 }
 
-// fullState returns a message with everything that a gateway should know. The caller holds
-// the lock.
+// fullState returns a message with the full state for a gateway. The caller holds the lock.
 func (x *Exchange) fullState(m *member, all map[string]enginepool.Snapshot, now time.Time) *wirepb.GatewayState {
 	state := encodeSnapshots(x.changesFor(m.name, all))
 	state.Address, state.Domain, state.ConfigVersion = x.options.Address, x.options.Domain, x.options.Version()
@@ -168,7 +166,8 @@
 	return state
 }
 
-// newDatagram addresses a message. The caller holds the lock.
+// newDatagram adds spending, rate limits and header fields to a message for a gateway. The caller
+// holds the lock.
 func (x *Exchange) newDatagram(m *member, state *wirepb.GatewayState, now time.Time) datagram {
 	x.addSpending(m, state)
 	x.addLimits(m, state, now)
@@ -178,7 +177,7 @@
 	return datagram{to: m.address, name: m.name, state: state}
 }
 
-// write sends datagrams. One that is lost is made up for by the next with everything.
+// write sends datagrams. The next datagram with the full state makes up for a lost one.
 func (x *Exchange) write(out []datagram) {
 	for _, d := range out {
 		data, err := proto.Marshal(d.state)
--- a/pkg/peers/spending.go
+++ b/pkg/peers/spending.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// spendingInterval is the time after which a gateway is told what workspaces spent,
-	// where nothing else is sent to it; what is spent of little is told after one period.
+	// spendingInterval is the time after which a gateway is sent new spending of workspaces if it
+	// is sent nothing else. Spending from a bucket that runs low is sent after one send interval.
 	spendingInterval = 300 * time.Millisecond
-	// maxSpenders bounds the workspaces that a datagram names, 12 bytes each.
+	// maxSpenders bounds the workspaces in one datagram, 12 bytes each.
 	maxSpenders = 1000
-	// graceFactor is how many heartbeats after a gateway was heard of its part of the
-	// limits may be spent by others: it is late, or one datagram was lost.
+	// graceFactor is the number of heartbeat intervals after the last datagram of a gateway for
+	// which others may still spend its share of the limits: a datagram may be late, or one lost.
 	graceFactor = 1.25
 )
 
-// addSpending adds to a datagram what its receiver has not been told: everything where the
-// datagram has everything else. The caller holds the lock.
+// addSpending adds to a datagram the spending that its receiver lacks, or all spending if the datagram
+// holds the full state. The caller holds the lock.
 func (x *Exchange) addSpending(m *member, state *wirepb.GatewayState) {
 	if x.options.Quota == nil {
 		return
@@ -39,8 +39,8 @@
 	state.Settled = state.Address != "" && x.options.Quota.Settled(time.Now())
 }
 
-// spendingDue reports whether a gateway should be told now what workspaces spent. The caller
-// holds the lock.
+// spendingDue reports whether a gateway is due a datagram with new spending. The caller holds the
+// lock.
 func (x *Exchange) spendingDue(m *member, now time.Time) bool {
 	q := x.options.Quota
 	if q == nil || !m.alive || q.Revision() == m.spendingRevision {
@@ -49,7 +49,8 @@
 	return now.Sub(m.lastSent) >= spendingInterval || q.Pressed(m.spendingRevision)
 }
 
-// receiveSpending takes what another gateway told, where nothing of it was lost.
+// receiveSpending records the spending that another gateway reported. It must not be called while data
+// of that gateway is missing.
 func (x *Exchange) receiveSpending(s *wirepb.GatewayState, now time.Time) {
 	if x.options.Quota == nil {
 		return
@@ -66,7 +67,8 @@
 	x.options.Quota.Heard(s.Name, s.Incarnation, spent, full, s.Settled, now)
 }
 
-// updateQuotaMembers says which gateways share the limits. The caller holds the lock.
+// updateQuotaMembers passes the names of the other gateways, which share the limits, and the grace to
+// the quota if either changed. The caller holds the lock.
 func (x *Exchange) updateQuotaMembers(now time.Time) {
 	if x.options.Quota == nil {
 		return
--- a/pkg/peers/spending_test.go
+++ b/pkg/peers/spending_test.go
@@ -10,8 +10,8 @@
 	"github.com/hopwell/hopwell/pkg/workspace"
 )
 
-// Limits that come to a running fleet make heartbeats more frequent; the quota must take silence
-// for silence sooner then, although no gateway comes or goes.
+// A limit that is added while gateways run shortens the heartbeat interval. The quota must then detect
+// silent gateways sooner, although the membership does not change.
 func TestNewLimitShortensTheQuotaGrace(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
@@ -25,8 +25,7 @@
 	g.Expect(x.quotaGrace).To(Equal(time.Duration(graceFactor * float64(x.heartbeat()))))
 }
 
-// What a gateway spends goes out with the next datagram, once, and all of it where everything
-// else does.
+// Spending must be sent once, with the next datagram, and again as a whole with the full state.
 func TestSpendingIsSentOnceAndInFullStates(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
--- a/pkg/peers/suspicion.go
+++ b/pkg/peers/suspicion.go
@@ -8,10 +8,10 @@
 	"github.com/hopwell/hopwell/pkg/wire/wirepb"
 )
 
-// SendSuspicion tells other gateways at once of a request whose runs broke off: all of them if it
-// is quarantined, otherwise those that the request falls to, so that broken runs at different
-// gateways are counted in one place whatever the number of gateways. Each report repeats
-// what is known of the request, which makes up for a datagram that was lost.
+// SendSuspicion reports a request whose calls to runners broke off to other gateways at once: to all
+// of them if it is quarantined, otherwise to those that its digest selects. So calls that broke off at
+// different gateways are counted in one place whatever the number of gateways. Each report repeats
+// all that this gateway recorded of the request, which makes up for a lost datagram.
 func (x *Exchange) SendSuspicion(r quarantine.Report, now time.Time) {
 	encoded := []*wirepb.Suspicion{encodeSuspicion(r, now)}
 	chosen := x.subset.Load().Chosen(r.Digest.String())
@@ -35,8 +35,7 @@
 	return out
 }
 
-// decodeSuspicions takes reports out of a message. One whose digest has another length is left
-// out.
+// decodeSuspicions returns the reports of a message. It drops those whose digest has the wrong length.
 func decodeSuspicions(list []*wirepb.Suspicion, now time.Time) []quarantine.Report {
 	var out []quarantine.Report
 	for _, s := range list {
--- a/pkg/peers/traffic.go
+++ b/pkg/peers/traffic.go
@@ -8,7 +8,8 @@
 	"github.com/hopwell/hopwell/pkg/wire/wirepb"
 )
 
-// datagramKinds are what datagrams are mainly for, in the order in which one is counted as it.
+// datagramKinds are the kinds by which datagrams are counted. A datagram counts as the first that
+// matches.
 var datagramKinds = []struct {
 	name    string
 	matches func(*wirepb.GatewayState) bool
@@ -25,8 +26,8 @@
 	{"heartbeat", func(*wirepb.GatewayState) bool { return true }},
 }
 
-// countDatagram counts a datagram that was sent or received, by what it is mainly for: which bytes grow
-// with the number of gateways shows nowhere else.
+// countDatagram counts a datagram that was sent or received, by its kind: no other metric shows which
+// bytes grow with the number of gateways.
 func countDatagram(direction string, s *wirepb.GatewayState, bytes int) {
 	for _, k := range datagramKinds {
 		if k.matches(s) {
