--- a/pkg/peers/assured.go
+++ b/pkg/peers/assured.go
@@ -11,11 +11,11 @@
 // A gateway must know how old a relay's report of the store is, although the datagram, the relay or
 // the gateway itself may have been delayed or suspended on the way. Each subscription therefore
 // carries a stamp of the subscriber's own clock, and each update of the relay returns the newest
-// stamp with the time since its arrival. The reported state of the store was current at the time of
-// the stamp, plus the time since its arrival, less the age that the relay states, or later.
+// stamp with the time since its arrival. The store was in the reported state at the time of the
+// stamp, plus the time since its arrival, less the age that the relay states, or later than that.
 
 // stampClock issues stamps of boottime, in microseconds. They start at a random number, so that
-// stamps of an earlier process of the same name are not mistaken for own ones.
+// stamps of an earlier process of the same name are not mistaken for its own.
 type stampClock struct {
 	began time.Time
 	base  uint64
--- a/pkg/peers/assured_test.go
+++ b/pkg/peers/assured_test.go
@@ -42,7 +42,7 @@
 				case 1:
 					stamp := self.clock.stamp(time.Now())
 					delay("subscription")
-					relay.subscribers.Subscribe("self", 1, readsAll, time.Now())
+					relay.subscribers.Subscribe("self", 1, allEncodings, time.Now())
 					relay.subscribers.Stamp("self", stamp, time.Now())
 				case 2:
 					u := &wirepb.StoreUpdate{}
@@ -77,7 +77,7 @@
 		time.Sleep(time.Second)
 		stamp := self.clock.stamp(time.Now())
 		time.Sleep(2 * time.Millisecond)
-		relay.subscribers.Subscribe("self", 1, readsAll, time.Now())
+		relay.subscribers.Subscribe("self", 1, allEncodings, time.Now())
 		relay.subscribers.Stamp("self", stamp, time.Now())
 		time.Sleep(800 * time.Millisecond)
 		read := time.Now().Add(-100 * time.Millisecond)
@@ -97,7 +97,7 @@
 	read := boottime.Now()
 	suspended()
 	stamp := self.clock.stamp(boottime.Now())
-	relay.subscribers.Subscribe("self", 1, readsAll, time.Now())
+	relay.subscribers.Subscribe("self", 1, allEncodings, time.Now())
 	relay.subscribers.Stamp("self", stamp, boottime.Now())
 	suspended()
 	u := &wirepb.StoreUpdate{}
@@ -112,7 +112,7 @@
 		g := NewWithT(t)
 		relay, before := newStampExchange(), newStampExchange()
 		time.Sleep(time.Second)
-		relay.subscribers.Subscribe("self", 1, readsAll, time.Now())
+		relay.subscribers.Subscribe("self", 1, allEncodings, time.Now())
 		relay.subscribers.Stamp("self", before.clock.stamp(time.Now()), time.Now())
 		after := newStampExchange()
 		time.Sleep(time.Second)
--- a/pkg/peers/members.go
+++ b/pkg/peers/members.go
@@ -21,7 +21,7 @@
 	domain                string
 	// sent counts the datagrams to it. lastSent is the time of the last one, lastFull that of
 	// the last one with the full state. needsFull is set when it lacks data of this gateway,
-	// lostData when this gateway lost data of it.
+	// lostData when a datagram from it was lost and no full state has arrived since.
 	sent                uint64
 	lastSent, lastFull  time.Time
 	needsFull, lostData bool
@@ -153,11 +153,11 @@
 // heartbeat returns the time between two datagrams to a gateway without changes. It grows with the
 // number of gateways, so that the total rate of heartbeats does not.
 func (x *Exchange) heartbeat() time.Duration {
-	share := heartbeatPerGateway
+	perGateway := heartbeatPerGateway
 	if x.options.Quota != nil && x.options.Quota.Limited() {
-		share = limitedHeartbeatPerGateway
+		perGateway = limitedHeartbeatPerGateway
 	}
-	return max(minHeartbeat, time.Duration(len(x.members))*share)
+	return max(minHeartbeat, time.Duration(len(x.members))*perGateway)
 }
 
 // sweep marks gateways as silent when they time out, and removes those that were silent for
--- a/pkg/peers/peers.go
+++ b/pkg/peers/peers.go
@@ -30,13 +30,13 @@
 	// sendInterval is the time between two checks for gateways that are due a datagram.
 	sendInterval = 60 * time.Millisecond
 	// minHeartbeat is the minimum time between two datagrams to a gateway without changes.
-	// The time is also at least heartbeatPerGateway for each member, so that a gateway
-	// sends at most 33 heartbeats a second, some 1.5 KB.
+	// It is also at least heartbeatPerGateway times the number of members, so that a
+	// gateway sends at most 33 heartbeats a second, some 1.5 KB.
 	minHeartbeat        = 300 * time.Millisecond
 	heartbeatPerGateway = 30 * time.Millisecond
 	// limitedHeartbeatPerGateway replaces heartbeatPerGateway when workspaces have limits:
 	// the share of a gateway is not spent by others while no datagrams arrive from it, so
-	// that most gateways must be heard from at short intervals.
+	// that datagrams of most gateways must arrive at short intervals.
 	limitedHeartbeatPerGateway = 10 * time.Millisecond
 	// A gateway counts as alive for aliveHeartbeats heartbeat intervals after its last
 	// datagram, and for minAliveTime at least, because some datagrams are lost.
@@ -44,8 +44,8 @@
 	minAliveTime    = 1500 * time.Millisecond
 	// minFullInterval is the minimum time between two datagrams with the full state to a
 	// gateway that lacks no data. They correct the estimated load of responses, which drifts
-	// apart between gateways. The time is also at least heartbeatPerGateway for each member,
-	// so that their rate does not grow beyond that of a hundred gateways.
+	// apart between gateways. The interval is also at least heartbeatPerGateway times the
+	// number of members, so that their rate does not grow beyond that of a hundred gateways.
 	minFullInterval = 3 * time.Second
 	// RememberFor is how long a silent gateway stays in the membership list and is sent
 	// datagrams.
@@ -180,7 +180,7 @@
 	subscribers    *relay.Subscribers
 	relayAllowance allowance
 	clock          stampClock
-	// nextReceiver counts the gateways that outcomes were sent to, round robin.
+	// nextReceiver, modulo the number of members, is the member that outcomes are sent to next.
 	nextReceiver int
 }
 
--- a/pkg/peers/peers_test.go
+++ b/pkg/peers/peers_test.go
@@ -179,9 +179,9 @@
 	g := NewWithT(t)
 	a := newGateway(t, "a", 1)
 	from := &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 1}
-	receive := func(sequence uint64, whole bool) bool {
+	receive := func(sequence uint64, full bool) bool {
 		s := &wirepb.GatewayState{Name: "z", Incarnation: 5, Sequence: sequence}
-		if whole {
+		if full {
 			s.Address = "127.0.0.1:1"
 		}
 		a.receive(s, from, time.Now())
--- a/pkg/peers/relay.go
+++ b/pkg/peers/relay.go
@@ -30,7 +30,7 @@
 	// Receive applies an update of a relay, and reports whether the copy now has all changes
 	// up to the end of the update.
 	Receive(u relay.Update) bool
-	// Subscribed is called when this gateway becomes a relay by its first subscription.
+	// Subscribed is called when a first gateway subscribes to this one, which makes it a relay.
 	Subscribed()
 }
 
@@ -85,12 +85,12 @@
 
 // chooseRelays chooses relays again when a choice is due. The caller holds the lock.
 func (x *Exchange) chooseRelays(now time.Time) {
-	living := x.aliveGateways()
+	alive := x.aliveGateways()
 	if x.sources.Any() && now.Sub(x.relaysChosenAt) < x.options.Pace.Beat/choicesPerBeat {
 		return
 	}
 	x.relaysChosenAt = now
-	x.sources.Choose(living, now)
+	x.sources.Choose(alive, now)
 }
 
 // Relay reports whether this gateway is a relay, which watches the store continuously.
@@ -175,7 +175,7 @@
 func (x *Exchange) receiveSubscription(from string, s *wirepb.StoreSubscription, now time.Time) {
 	at := store.Revision(s.At)
 	x.mu.Lock()
-	first := !x.subscribers.Any(now)
+	firstSubscriber := !x.subscribers.Any(now)
 	x.subscribers.Subscribe(from, at, relay.Reads{Deltas: s.Deltas, Eras: s.Eras}, now)
 	x.subscribers.Stamp(from, s.Stamp, boottime.Now())
 	var out []datagram
@@ -184,7 +184,7 @@
 	}
 	x.mu.Unlock()
 	x.write(out)
-	if first {
+	if firstSubscriber {
 		x.options.Store.Subscribed()
 	}
 }
--- a/pkg/peers/relay_test.go
+++ b/pkg/peers/relay_test.go
@@ -55,8 +55,8 @@
 	return append([]store.Event(nil), k.changes...)
 }
 
-// readsAll is the encodings that a gateway of this build decodes.
-var readsAll = relay.Reads{Deltas: true, Eras: true}
+// allEncodings is the encodings that a gateway of this build decodes.
+var allEncodings = relay.Reads{Deltas: true, Eras: true}
 
 func storeChange(key string, revision store.Revision, size int) store.Event {
 	return store.Event{Item: store.Item{Key: key, Revision: revision, Value: make([]byte, size)}}
@@ -77,8 +77,8 @@
 	}
 	g := NewWithT(t)
 	for _, w := range all {
-		living := func() int { w.Exchange.mu.Lock(); defer w.Exchange.mu.Unlock(); return len(w.aliveGateways()) }
-		g.Eventually(living).WithTimeout(20 * time.Second).Should(Equal(n))
+		aliveCount := func() int { w.Exchange.mu.Lock(); defer w.Exchange.mu.Unlock(); return len(w.aliveGateways()) }
+		g.Eventually(aliveCount).WithTimeout(20 * time.Second).Should(Equal(n))
 	}
 	return all
 }
@@ -118,23 +118,23 @@
 func TestLostUpdateIsRequestedAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	all := startFleet(t, pace.Relays(1)+1, 6)
-	at := all[0]
+	subscriber := all[0]
 	for _, w := range all {
 		if !w.Relay(time.Now()) {
-			at = w
+			subscriber = w
 		}
 	}
-	g.Eventually(func() time.Time { return at.Coverage(time.Now()).FreshUntil }).Should(BeTemporally(">", time.Now()))
+	g.Eventually(func() time.Time { return subscriber.Coverage(time.Now()).FreshUntil }).Should(BeTemporally(">", time.Now()))
 	for _, w := range all {
-		if w != at {
+		if w != subscriber {
 			// The relays count the change as sent; it never arrived.
 			w.feed.Advance(7, []store.Event{storeChange("servers/a", 7, 10)}, time.Now())
 			w.Exchange.mu.Lock()
-			w.subscribers.Sent(at.options.Name, 7, time.Now())
+			w.subscribers.Sent(subscriber.options.Name, 7, time.Now())
 			w.Exchange.mu.Unlock()
 		}
 	}
-	g.Eventually(at.feed.received).WithTimeout(20 * time.Second).Should(HaveLen(1))
+	g.Eventually(subscriber.feed.received).WithTimeout(20 * time.Second).Should(HaveLen(1))
 }
 
 func TestSingleGatewayIsARelay(t *testing.T) {
