--- a/pkg/peers/peers.go
+++ b/pkg/peers/peers.go
@@ -30,8 +30,8 @@
 	// sendInterval is the time between two checks for gateways that are due a datagram.
 	sendInterval = 60 * time.Millisecond
 	// minHeartbeat is the minimum time between two datagrams to a gateway without changes.
-	// It is also at least heartbeatPerGateway times the number of members, so that a
-	// gateway sends at most 33 heartbeats a second, some 1.5 KB.
+	// The interval is also at least heartbeatPerGateway times the number of members, so
+	// that a gateway sends at most 33 heartbeats a second, some 1.5 KB.
 	minHeartbeat        = 300 * time.Millisecond
 	heartbeatPerGateway = 30 * time.Millisecond
 	// limitedHeartbeatPerGateway replaces heartbeatPerGateway when workspaces have limits:
@@ -43,9 +43,10 @@
 	aliveHeartbeats = 5
 	minAliveTime    = 1500 * time.Millisecond
 	// minFullInterval is the minimum time between two datagrams with the full state to a
-	// gateway that lacks no data. They correct the estimated load of responses, which drifts
-	// apart between gateways. The interval is also at least heartbeatPerGateway times the
-	// number of members, so that their rate does not grow beyond that of a hundred gateways.
+	// gateway that lacks no data. The full state corrects the estimated load of responses,
+	// which drifts apart between gateways. The interval is also at least heartbeatPerGateway
+	// times the number of members, so that more than a hundred gateways cause no higher rate
+	// of these datagrams than a hundred do.
 	minFullInterval = 3 * time.Second
 	// RememberFor is how long a silent gateway stays in the membership list and is sent
 	// datagrams.
--- a/pkg/peers/relay.go
+++ b/pkg/peers/relay.go
@@ -12,9 +12,9 @@
 const (
 	// relayRate bounds what a relay sends, in bytes a second, and relayBurst what it may
 	// send at once, in bytes: some 100 runners that change together, to 40 gateways. When a
-	// whole system starts, thousands of runners register. No request depends on these updates,
-	// so the relay drops what exceeds the bounds, and each gateway's own watch of the store
-	// reads it.
+	// whole system starts, thousands of runners register. No request waits for these updates,
+	// so the relay leaves out what exceeds the bounds, and each gateway's own watch of the
+	// store reads the rest.
 	relayRate  = 128 << 10
 	relayBurst = 1 << 20
 	// datagramOverhead is the size of a datagram without the values of its update, in bytes.
