--- a/pkg/peers/convert.go
+++ b/pkg/peers/convert.go
@@ -10,8 +10,8 @@
 	"github.com/hopwell/hopwell/pkg/wire/wirepb"
 )
 
-// encode puts snapshots into a message.
-func encode(snapshots map[string]enginepool.Snapshot) *wirepb.GatewayState {
+// encodeSnapshots encodes snapshots as a message.
+func encodeSnapshots(snapshots map[string]enginepool.Snapshot) *wirepb.GatewayState {
 	state := &wirepb.GatewayState{}
 	for service, s := range snapshots {
 		pool := &wirepb.GatewayPool{Service: service, Waiting: uint32(s.Waiting), Full: s.Full}
@@ -28,9 +28,9 @@
 	return state
 }
 
-// decode takes snapshots out of a message, by service. Loads whose two lists differ in
-// length are left out.
-func decode(s *wirepb.GatewayState) map[string]enginepool.Snapshot {
+// decodeSnapshots returns the snapshots of a message, by service. It drops the loads of an engine
+// whose lists Now and Left differ in length.
+func decodeSnapshots(s *wirepb.GatewayState) map[string]enginepool.Snapshot {
 	out := map[string]enginepool.Snapshot{}
 	for _, pool := range s.Pools {
 		p := enginepool.Snapshot{Full: pool.Full, Waiting: int(pool.Waiting)}
@@ -48,7 +48,7 @@
 	return out
 }
 
-// outcomeUnit is what outcomes are counted in on the wire.
+// outcomeUnit is the resolution of the counts of outcomes on the wire, which are multiples of it.
 const outcomeUnit = 1.0 / 16
 
 func encodeOutcomes(reported []runners.Outcome) []*wirepb.RunnerOutcome {
@@ -74,7 +74,7 @@
 	return out
 }
 
-// unmarshal reads one datagram.
+// unmarshal decodes one datagram.
 func unmarshal(data []byte, into *wirepb.GatewayState) error { return proto.Unmarshal(data, into) }
 
 func encodeStageChanges(changes []runners.StageChange) []*wirepb.StageChange {
--- a/pkg/peers/peers_bench_test.go
+++ b/pkg/peers/peers_bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/hopwell/hopwell/pkg/enginepool"
 )
 
-// BenchmarkDatagram tells what one datagram costs, and its size: a change at one
-// engine, and everything.
+// BenchmarkDatagram measures the time to encode one datagram and its size, for a change at one
+// engine and for the full state.
 func BenchmarkDatagram(b *testing.B) {
 	for _, size := range []struct{ runners, streams int }{{1, 2}, {12, 20}, {18, 30}, {64, 140}} {
 		b.Run(fmt.Sprintf("runners=%d,streams=%d", size.runners, size.streams), func(b *testing.B) {
@@ -22,7 +22,7 @@
 			}
 			bytes := 0
 			for b.Loop() {
-				data, err := proto.Marshal(encode(map[string]enginepool.Snapshot{"llm": p}))
+				data, err := proto.Marshal(encodeSnapshots(map[string]enginepool.Snapshot{"llm": p}))
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/pkg/peers/relay_test.go
+++ b/pkg/peers/relay_test.go
@@ -12,8 +12,8 @@
 	"github.com/hopwell/hopwell/pkg/store"
 )
 
-// storeKnown is a StoreFeed that a test brings forward.
-type storeKnown struct {
+// fakeStoreFeed is a StoreFeed whose revision the test advances.
+type fakeStoreFeed struct {
 	relay.History
 	mu         sync.Mutex
 	changes    []store.Event
@@ -22,12 +22,12 @@
 
 var pace = relay.PaceFor(relay.ShortestBound)
 
-func (k *storeKnown) Reached() store.Revision {
+func (k *fakeStoreFeed) Reached() store.Revision {
 	at, _ := k.History.Reached()
 	return at
 }
 
-func (k *storeKnown) Receive(u relay.Update) bool {
+func (k *fakeStoreFeed) Receive(u relay.Update) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	at := k.Reached()
@@ -43,31 +43,31 @@
 	return true
 }
 
-func (k *storeKnown) Subscribed() {
+func (k *fakeStoreFeed) Subscribed() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.subscribed++
 }
 
-func (k *storeKnown) received() []store.Event {
+func (k *fakeStoreFeed) received() []store.Event {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return append([]store.Event(nil), k.changes...)
 }
 
-// readsAll is what a gateway of this build reads.
-var readsAll = relay.Reads{Deltas: true, Eras: true}
+// allEncodings is the encodings that a gateway of this build decodes.
+var allEncodings = relay.Reads{Deltas: true, Eras: true}
 
 func storeChange(key string, revision store.Revision, size int) store.Event {
 	return store.Event{Item: store.Item{Key: key, Revision: revision, Value: make([]byte, size)}}
 }
 
-// startFleet starts gateways that know each other, and have read the store at a revision.
+// startFleet starts gateways that can reach each other and have read the store at a revision.
 func startFleet(t *testing.T, n int, at store.Revision) []*gateway {
 	var all []*gateway
 	for i := range n {
 		w := start(t, fmt.Sprintf("gateway-%d", i), 1)
-		w.known.Restart(at, time.Now())
+		w.feed.Restart(at, time.Now())
 		for _, other := range all {
 			if err := w.Add(other.options.Name, other.address); err != nil {
 				t.Fatal(err)
@@ -77,15 +77,15 @@
 	}
 	g := NewWithT(t)
 	for _, w := range all {
-		living := func() int { w.Exchange.mu.Lock(); defer w.Exchange.mu.Unlock(); return len(w.living()) }
-		g.Eventually(living).WithTimeout(20 * time.Second).Should(Equal(n))
+		aliveCount := func() int { w.Exchange.mu.Lock(); defer w.Exchange.mu.Unlock(); return len(w.aliveGateways()) }
+		g.Eventually(aliveCount).WithTimeout(20 * time.Second).Should(Equal(n))
 	}
 	return all
 }
 
-// Each gateway that is no relay gets each change once, with nobody but the relays looking
-// at the store.
-func TestSubscribersGetEachChangeOnce(t *testing.T) {
+// Each gateway that is not a relay must receive each change once, while only the relays read the
+// store.
+func TestSubscribersReceiveEachChangeOnce(t *testing.T) {
 	g := NewWithT(t)
 	all := startFleet(t, 15, 6)
 	var subscribed []*gateway
@@ -97,56 +97,55 @@
 			}
 		}
 		return len(subscribed)
-	}).WithTimeout(20*time.Second).Should(Equal(len(all)-pace.Relays(len(all))), "nobody else is subscribed to while all relays answer")
+	}).WithTimeout(20*time.Second).Should(Equal(len(all)-pace.Relays(len(all))), "only the default relays have subscribers while all of them respond")
 	for _, w := range all {
 		if w.Relay(time.Now()) {
-			w.known.Advance(7, []store.Event{storeChange("servers/a", 7, 10)}, time.Now())
+			w.feed.Advance(7, []store.Event{storeChange("servers/a", 7, 10)}, time.Now())
 			w.SendStoreUpdates(time.Now())
 		}
 	}
 	for _, w := range subscribed {
-		g.Eventually(w.known.received).WithTimeout(20*time.Second).Should(HaveLen(1), w.options.Name)
+		g.Eventually(w.feed.received).WithTimeout(20*time.Second).Should(HaveLen(1), w.options.Name)
 		g.Expect(w.Coverage(time.Now()).FreshUntil).To(BeTemporally(">", time.Now()))
 	}
 	time.Sleep(2 * pace.Beat)
 	for _, w := range subscribed {
-		g.Expect(w.known.received()).To(HaveLen(1), "known to come once, told by two relays")
+		g.Expect(w.feed.received()).To(HaveLen(1), "each change is applied once although two relays send it")
 	}
 }
 
-// A gateway whose update was lost asks for it again, without waiting for the next beat of
-// its relays.
-func TestALostUpdateIsAskedForAgain(t *testing.T) {
+// A gateway must request a lost update at once, without waiting for the next beat of its relays.
+func TestLostUpdateIsRequestedAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	all := startFleet(t, pace.Relays(1)+1, 6)
-	at := all[0]
+	subscriber := all[0]
 	for _, w := range all {
 		if !w.Relay(time.Now()) {
-			at = w
+			subscriber = w
 		}
 	}
-	g.Eventually(func() time.Time { return at.Coverage(time.Now()).FreshUntil }).Should(BeTemporally(">", time.Now()))
+	g.Eventually(func() time.Time { return subscriber.Coverage(time.Now()).FreshUntil }).Should(BeTemporally(">", time.Now()))
 	for _, w := range all {
-		if w != at {
+		if w != subscriber {
 			// The relays count the change as sent; it never arrived.
-			w.known.Advance(7, []store.Event{storeChange("servers/a", 7, 10)}, time.Now())
+			w.feed.Advance(7, []store.Event{storeChange("servers/a", 7, 10)}, time.Now())
 			w.Exchange.mu.Lock()
-			w.subscribers.Sent(at.options.Name, 7, time.Now())
+			w.subscribers.Sent(subscriber.options.Name, 7, time.Now())
 			w.Exchange.mu.Unlock()
 		}
 	}
-	g.Eventually(at.known.received).WithTimeout(20 * time.Second).Should(HaveLen(1))
+	g.Eventually(subscriber.feed.received).WithTimeout(20 * time.Second).Should(HaveLen(1))
 }
 
-func TestFewGatewaysAreAllRelays(t *testing.T) {
+func TestSingleGatewayIsARelay(t *testing.T) {
 	g := NewWithT(t)
 	w := newGateway(t, "alone", 1)
 	defer w.options.Conn.Close()
 	g.Expect(w.Relay(time.Now())).To(BeTrue())
 }
 
-// Whatever changes, a relay sends no more than its allowance.
-func TestARelaySendsNoMoreThanItsAllowance(t *testing.T) {
+// A relay must not send more than its allowance, however many changes there are.
+func TestRelayStaysWithinItsAllowance(t *testing.T) {
 	g := NewWithT(t)
 	var a allowance
 	now := time.Now()
--- a/pkg/peers/send.go
+++ b/pkg/peers/send.go
@@ -14,35 +14,34 @@
 	"github.com/hopwell/hopwell/pkg/wire/wirepb"
 )
 
-// datagram is one that is ready to be sent.
+// datagram is a message with its receiver, ready to be sent.
 type datagram struct {
 	to    *net.UDPAddr
 	name  string
 	state *wirepb.GatewayState
 }
 
-// sendChanges sends what changed to the gateways that use the engines concerned, and share the
-// runners' limits.
+// sendChanges sends changed reservations to the gateways that use the engines concerned, and changes
+// of runners' rate limits to the gateways that lack them.
 func (x *Exchange) sendChanges(now time.Time) {
 	x.mu.Lock()
-	changed, reached := x.options.Snapshots(x.reached)
-	x.reached = reached
+	changed, reached := x.options.Snapshots(x.sentRevisions)
+	x.sentRevisions = reached
 	var out []datagram
 	for _, m := range x.members {
-		if !m.alive || m.wantFull {
+		if !m.alive || m.needsFull {
 			continue
 		}
-		if part := x.partFor(m.name, changed); len(part) > 0 || x.limitsDue(m) {
-			out = append(out, x.datagram(m, encode(part), now))
+		if part := x.changesFor(m.name, changed); len(part) > 0 || x.limitsDue(m) {
+			out = append(out, x.newDatagram(m, encodeSnapshots(part), now))
 		}
 	}
 	x.mu.Unlock()
 	x.write(out)
 }
 
-// partFor returns the part of changes that a gateway is interested in: those at engines
-// that it uses.
-func (x *Exchange) partFor(name string, changed map[string]enginepool.Snapshot) map[string]enginepool.Snapshot {
+// changesFor returns the changes at the engines that a gateway uses.
+func (x *Exchange) changesFor(name string, changed map[string]enginepool.Snapshot) map[string]enginepool.Snapshot {
 	subset := x.subset.Load()
 	out := map[string]enginepool.Snapshot{}
 	for service, s := range changed {
@@ -59,20 +58,20 @@
 	return out
 }
 
-// sendDue sends everything to gateways that lack something or had nothing like that for
-// long, and heartbeats to those that had nothing for a while. Outcomes go to some at a
-// time.
+// sendDue sends the full state to gateways that lack data or were not sent it for the full interval,
+// and heartbeats to those that were sent nothing for the heartbeat interval. Outcomes and leaving
+// runners go to some gateways at a time.
 func (x *Exchange) sendDue(now time.Time) {
 	outcomes, leaving := x.reports(now)
 	var all map[string]enginepool.Snapshot
 	x.mu.Lock()
 	heartbeat := x.heartbeat()
-	fullPause := max(fullEvery, time.Duration(len(x.members))*heartbeatShare)
-	informed := x.outcomeReceivers(len(outcomes)+len(leaving) > 0)
+	fullInterval := max(minFullInterval, time.Duration(len(x.members))*heartbeatPerGateway)
+	receivers := x.outcomeReceivers(len(outcomes)+len(leaving) > 0)
 	var out []datagram
 	for _, m := range x.members {
-		full := m.wantFull && now.Sub(m.lastFull) >= period || now.Sub(m.lastFull) >= fullPause
-		if !full && !m.missing && !informed[m.name] && !x.spendingDue(m, now) && !x.shares(m, now) && now.Sub(m.lastSent) < heartbeat {
+		full := m.needsFull && now.Sub(m.lastFull) >= sendInterval || now.Sub(m.lastFull) >= fullInterval
+		if !full && !m.lostData && !receivers[m.name] && !x.spendingDue(m, now) && !x.sharedLimitDue(m, now) && now.Sub(m.lastSent) < heartbeat {
 			continue
 		}
 		state := &wirepb.GatewayState{}
@@ -80,30 +79,31 @@
 			if all == nil {
 				all, _ = x.options.Snapshots(nil)
 			}
-			state = x.full(m, all, now)
+			state = x.fullState(m, all, now)
 		}
-		state.WantFull = m.missing
-		if informed[m.name] {
+		state.WantFull = m.lostData
+		if receivers[m.name] {
 			state.Outcomes, state.LeavingRunners = outcomes, leaving
 		}
-		out = append(out, x.datagram(m, state, now))
+		out = append(out, x.newDatagram(m, state, now))
 	}
 	x.mu.Unlock()
 	x.write(out)
 }
 
-// reports returns the outcomes at runners, and the runners that leave, in every outcomesEvery-th period.
+// reports returns the outcomes at runners and the leaving runners in every outcomesEvery-th send
+// interval, and nothing in the others.
 func (x *Exchange) reports(now time.Time) (outcomes []*wirepb.RunnerOutcome, leaving []string) {
-	x.periods++
-	if x.periods%outcomesEvery != 0 {
+	x.intervals++
+	if x.intervals%outcomesEvery != 0 {
 		return nil, nil
 	}
-	return encodeOutcomes(worst(x.options.Outcomes())), x.leaving(now)
+	return encodeOutcomes(worstOutcomes(x.options.Outcomes())), x.leaving(now)
 }
 
-// worst returns the outcomes that say most: of runners that refused, and of those that
-// failed most requests.
-func worst(outcomes []runners.Outcome) []runners.Outcome {
+// worstOutcomes returns up to maxOutcomes outcomes: first those of unusable runners, then those with
+// the most failed requests.
+func worstOutcomes(outcomes []runners.Outcome) []runners.Outcome {
 	if len(outcomes) <= maxOutcomes {
 		return outcomes
 	}
@@ -119,57 +119,56 @@
 	return outcomes[:maxOutcomes]
 }
 
-// outcomeReceivers returns the gateways that get outcomes now: all where they are few,
+// outcomeReceivers returns the gateways that are sent outcomes now: all of them if they are few,
 // otherwise the next ones in turn. The caller holds the lock.
-func (x *Exchange) outcomeReceivers(news bool) map[string]bool {
+func (x *Exchange) outcomeReceivers(hasReports bool) map[string]bool {
 	out := map[string]bool{}
-	if !news {
+	if !hasReports {
 		return out
 	}
-	list := x.sorted()
+	list := x.sortedMembers()
 	n := len(list)
 	if n > subset.Users {
-		n = max(leastReceivers, subset.Users*subset.Users/n)
+		n = max(minReceivers, subset.Users*subset.Users/n)
 	}
 	for range n {
-		out[list[x.turn%len(list)].name] = true
-		x.turn++
+		out[list[x.nextReceiver%len(list)].name] = true
+		x.nextReceiver++
 	}
 	return out
 }
 
-// SendStageChanges tells all gateways of engines that are ordered to another stage, so
-// that none sends them work. A gateway whose datagram is lost learns of it from the
-// store.
+// SendStageChanges informs all gateways of engines that were ordered to another stage, so that none
+// sends them requests. A gateway whose datagram is lost reads the change from the store.
 func (x *Exchange) SendStageChanges(changes []runners.StageChange, now time.Time) {
 	encoded := encodeStageChanges(changes)
 	var out []datagram
 	x.mu.Lock()
 	for _, m := range x.members {
 		if m.alive {
-			out = append(out, x.datagram(m, &wirepb.GatewayState{StageChanges: encoded}, now))
+			out = append(out, x.newDatagram(m, &wirepb.GatewayState{StageChanges: encoded}, now))
 		}
 	}
 	x.mu.Unlock()
 	x.write(out)
 }
 
-// full returns a message with everything that a gateway should know. The caller holds
-// the lock.
-func (x *Exchange) full(m *member, all map[string]enginepool.Snapshot, now time.Time) *wirepb.GatewayState {
-	state := encode(x.partFor(m.name, all))
+// fullState returns a message with the full state for a gateway. The caller holds the lock.
+func (x *Exchange) fullState(m *member, all map[string]enginepool.Snapshot, now time.Time) *wirepb.GatewayState {
+	state := encodeSnapshots(x.changesFor(m.name, all))
 	state.Address, state.Domain, state.ConfigVersion = x.options.Address, x.options.Domain, x.options.Version()
-	list := x.sorted()
-	for i := range min(namedPeers, len(list)) {
+	list := x.sortedMembers()
+	for i := range min(peersPerDatagram, len(list)) {
 		p := list[(int(m.sent)+i)%len(list)]
 		state.Peers = append(state.Peers, &wirepb.GatewayPeer{Name: p.name, Address: p.address.String()})
 	}
-	m.lastFull, m.wantFull = now, false
+	m.lastFull, m.needsFull = now, false
 	return state
 }
 
-// datagram addresses a message. The caller holds the lock.
-func (x *Exchange) datagram(m *member, state *wirepb.GatewayState, now time.Time) datagram {
+// newDatagram adds spending, rate limits and header fields to a message for a gateway. The caller
+// holds the lock.
+func (x *Exchange) newDatagram(m *member, state *wirepb.GatewayState, now time.Time) datagram {
 	x.addSpending(m, state)
 	x.addLimits(m, state, now)
 	m.sent++
@@ -178,12 +177,12 @@
 	return datagram{to: m.address, name: m.name, state: state}
 }
 
-// write sends datagrams. One that is lost is made up for by the next with everything.
+// write sends datagrams. The next datagram with the full state makes up for a lost one.
 func (x *Exchange) write(out []datagram) {
 	for _, d := range out {
 		data, err := proto.Marshal(d.state)
 		if err == nil && len(data) <= maxDatagram {
-			count("out", d.state, len(data))
+			countDatagram("out", d.state, len(data))
 			_, err = x.options.Conn.WriteTo(data, d.to)
 		}
 		if err != nil || len(data) > maxDatagram {
