--- a/pkg/process/announce.go
+++ b/pkg/process/announce.go
@@ -11,70 +11,71 @@
 )
 
 const (
-	// gatewayPrefix is above the keys by which gateways find each other.
+	// gatewayPrefix is the prefix of the keys under which gateways publish their addresses.
 	gatewayPrefix = "hopwell/gateways/"
-	// announceTTL is how long such a key outlives its gateway: as long as those that know it
-	// remember it. Who starts meanwhile sends it some datagrams in vain.
+	// announceTTL is the lease of such a key: as long as other gateways remember its gateway. A process
+	// that starts before the lease expires sends some datagrams to a removed gateway in vain.
 	announceTTL = peers.RememberFor
-	// announceEvery is the time between two renewals: two may be lost. The renewals of 356
-	// gateways were 60 calls a second at a third of it.
-	announceEvery = 18 * time.Second
-	// announceRetry is the time after the first failed try. It doubles with each more, up
-	// to announceEvery: gateways that know each other need no address from the store.
-	announceRetry = time.Second
-	// withdrawCall bounds the last call.
-	withdrawCall = 100 * time.Millisecond
-	// announceCall bounds one call.
-	announceCall = 1500 * time.Millisecond
+	// announceInterval is the interval between renewals of the lease; two renewals may be lost. At a
+	// third of this interval, the renewals of 356 gateways were 60 calls a second.
+	announceInterval = 18 * time.Second
+	// announceRetryDelay is the delay after the first failed attempt. It doubles with each further
+	// failure, up to announceInterval: gateways that have each other's addresses need none from the
+	// store.
+	announceRetryDelay = time.Second
+	// deregisterTimeout bounds the call that removes the address when the process stops.
+	deregisterTimeout = 100 * time.Millisecond
+	// announceTimeout bounds one call that writes a key with a lease, or renews the lease.
+	announceTimeout = 1500 * time.Millisecond
 )
 
-// announceShare is the time that each gateway adds to the interval over which all of them announce themselves
-// again after a restore of the store, with two calls each.
-const announceShare = 10 * time.Millisecond
+// reannouncePerGateway is the time that each gateway adds to the interval over which all gateways write
+// their addresses again after a restore of the store, with two calls each.
+const reannouncePerGateway = 10 * time.Millisecond
 
-// announce keeps this gateway's address in the store, for gateways that start
-// later, until the context ends. After a restore of the store it is written again.
+// announce keeps this gateway's address in the store until the context ends, for gateways that start
+// later. It writes the address again after a restore of the store.
 func (p *Ingress) announce(ctx context.Context) {
 	var lease store.LeaseID
-	retry := announceRetry
+	retry := announceRetryDelay
 	for ctx.Err() == nil {
 		var err error
 		if lease.None() {
-			lease, err = p.enroll(ctx)
+			lease, err = p.register(ctx)
 		} else {
 			err = p.renew(ctx, lease)
 		}
-		pause := announceEvery
-		var over *store.ErrNoLease
+		delay := announceInterval
+		var expired *store.ErrNoLease
 		switch {
 		case err == nil:
-			retry = announceRetry
-		case errors.As(err, &over):
-			lease, pause = store.LeaseID{}, announceRetry
+			retry = announceRetryDelay
+		case errors.As(err, &expired):
+			lease, delay = store.LeaseID{}, announceRetryDelay
 		default:
-			pause, retry = retry, min(2*retry, announceEvery)
+			delay, retry = retry, min(2*retry, announceInterval)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(pause):
+		case <-time.After(delay):
 		case <-p.reannounce:
 			lease = store.LeaseID{}
-			rest(ctx, jitter(time.Duration(p.peers.Known()+1)*announceShare))
+			sleep(ctx, jitter(time.Duration(p.peers.Known()+1)*reannouncePerGateway))
 		}
 	}
-	p.withdraw(lease)
+	p.deregister(lease)
 }
 
-// rest waits, less if the context ends.
-func rest(ctx context.Context, d time.Duration) {
+// sleep waits for d, or until the context ends.
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
 	}
 }
 
-// rewrite schedules all that this process wrote to the store to be written again.
-func (p *Ingress) rewrite() {
+// rewriteStoreEntries schedules everything that this process wrote to the store to be written again.
+func (p *Ingress) rewriteStoreEntries() {
 	p.suspects.Republish(time.Now())
 	select {
 	case p.reannounce <- struct{}{}:
@@ -82,17 +83,17 @@
 	}
 }
 
-// enroll writes the address. Those that are there already read it, and this process
-// reads theirs, with the rest of the store.
-func (p *Ingress) enroll(ctx context.Context) (store.LeaseID, error) {
-	ctx, cancel := context.WithTimeout(ctx, announceCall)
+// register writes this gateway's address to the store. Running gateways read it there, and this process
+// reads theirs with the rest of the store.
+func (p *Ingress) register(ctx context.Context) (store.LeaseID, error) {
+	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
 	key := gatewayPrefix + p.settings.Load().Instance.Name
-	written, err := store.PutLeased(ctx, p.feed.current(), announceTTL, store.Change{Put: []store.Put{{Key: key, Value: []byte(p.ports.Peers)}}})
+	written, err := store.PutLeased(ctx, p.feed.currentStore(), announceTTL, store.Change{Put: []store.Put{{Key: key, Value: []byte(p.ports.Peers)}}})
 	return written.Lease, err
 }
 
-// addPeer takes over another gateway's address.
+// addPeer adds the address of another gateway.
 func (p *Ingress) addPeer(name, address string) {
 	if err := p.peers.Add(name, address); err != nil {
 		p.log.Write(decisionlog.KindProcess, "gateway_refused", decisionlog.F("error", err))
@@ -100,17 +101,17 @@
 }
 
 func (p *Ingress) renew(ctx context.Context, lease store.LeaseID) error {
-	ctx, cancel := context.WithTimeout(ctx, announceCall)
+	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
-	return p.feed.current().Renew(ctx, lease)
+	return p.feed.currentStore().Renew(ctx, lease)
 }
 
-// withdraw takes the address back at the process's end.
-func (p *Ingress) withdraw(lease store.LeaseID) {
+// deregister ends the lease of the address, which removes the address from the store.
+func (p *Ingress) deregister(lease store.LeaseID) {
 	if lease.None() {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), withdrawCall)
+	ctx, cancel := context.WithTimeout(context.Background(), deregisterTimeout)
 	defer cancel()
-	_ = p.feed.current().End(ctx, lease)
+	_ = p.feed.currentStore().End(ctx, lease)
 }
--- a/pkg/process/copy.go
+++ b/pkg/process/copy.go
@@ -15,33 +15,33 @@
 	"github.com/hopwell/hopwell/platform"
 )
 
-// ErrDelta reports that a change that a relay told could not be made from what is known.
+// ErrDelta reports that a delta from a relay could not be applied to the snapshot.
 type ErrDelta struct {
 	Key string
-	// Revision is that of the change, Base that of the value that it changes, Have that of the
-	// value that is known.
+	// Revision is the revision of the change, Base that of the value that the delta applies to, Have
+	// that of the value in the snapshot.
 	Revision, Base, Have store.Revision
 	Err                  error
 }
 
 // Error implements error.
 func (e *ErrDelta) Error() string {
-	return fmt.Sprintf("change not made: key=%s revision=%s base=%s have=%s cause=%v", e.Key, e.Revision, e.Base, e.Have, e.Err)
+	return fmt.Sprintf("can't apply a change: key=%s revision=%s base=%s have=%s cause=%v", e.Key, e.Revision, e.Base, e.Have, e.Err)
 }
 
 // Unwrap returns the cause.
 func (e *ErrDelta) Unwrap() error { return e.Err }
 
-// copyOfStore keeps the items of the store that gateways need.
-type copyOfStore struct {
+// storeSnapshot holds the items of the store that gateways need.
+type storeSnapshot struct {
 	mu    sync.Mutex
 	items map[string]store.Item
 	at    store.Revision
-	// lost is when the store stopped to answer; zero while it does.
-	lost time.Time
+	// lostAt is when the store stopped responding; zero while it responds.
+	lostAt time.Time
 }
 
-// needed reports whether gateways need to know of a key.
+// needed reports whether gateways need the item of a key.
 func needed(key string) bool {
 	_, runner := platform.RunnerName(key)
 	_, evacuation := platform.EvacuatedDomain(key)
@@ -49,8 +49,8 @@
 		strings.HasPrefix(key, gatewayPrefix) || strings.HasPrefix(key, changePrefix) || strings.HasPrefix(key, quarantinePrefix)
 }
 
-// replace takes over a whole reading.
-func (c *copyOfStore) replace(items []store.Item, at store.Revision) {
+// replace replaces the snapshot by a full read of the store.
+func (c *storeSnapshot) replace(items []store.Item, at store.Revision) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.items, c.at = map[string]store.Item{}, at
@@ -61,15 +61,15 @@
 	}
 }
 
-// resolve makes the values of an update's deltas from those that the copy holds. What it can't make
-// is left to a watch, with all that follows it.
-func (c *copyOfStore) resolve(u *relay.Update) error {
+// resolve applies the deltas of an update to the values in the snapshot. If a delta can't be applied, it
+// is removed from the update with all later changes, which are left to a watch.
+func (c *storeSnapshot) resolve(u *relay.Update) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, d := range u.Deltas {
 		before := c.items[d.Key]
 		if before.Revision >= d.Revision {
-			continue // It is known already.
+			continue // The change is already applied.
 		}
 		value, err := delta.Apply(before.Value, d.Bytes)
 		if err != nil {
@@ -83,32 +83,33 @@
 	return nil
 }
 
-// changes returns what became, between two revisions, of what the copy holds at the first, as far as
-// the items of a reading at the second show it. The reading is no snapshot: what it shows of later
-// revisions is left to the watch that follows.
-func (c *copyOfStore) changes(items []store.Item, from, to store.Revision) []store.Event {
+// changes returns the changes to the snapshot between two revisions, as far as the items of a full read
+// at the second show them. The read is not atomic: items of later revisions are left to the watch that
+// follows.
+func (c *storeSnapshot) changes(items []store.Item, from, to store.Revision) []store.Event {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []store.Event
-	there := make(map[string]bool, len(items))
+	present := make(map[string]bool, len(items))
 	for _, i := range items {
-		there[i.Key] = true
+		present[i.Key] = true
 		if needed(i.Key) && i.Revision > from && i.Revision <= to {
 			out = append(out, store.Event{Item: i})
 		}
 	}
 	slices.SortFunc(out, func(a, b store.Event) int { return cmp.Compare(a.Revision, b.Revision) })
 	for key := range c.items {
-		if !there[key] {
+		if !present[key] {
 			out = append(out, store.Event{Item: store.Item{Key: key, Revision: to}, Gone: true})
 		}
 	}
 	return out
 }
 
-// restored returns the difference between the snapshot and a reading of a later era. It compares values, since
-// the store reuses revision numbers. Missing keys come first, at the start of the era: no watch reports them.
-func (c *copyOfStore) restored(items []store.Item, to store.Revision) ([]store.Event, error) {
+// changesAfterRestore returns the difference between the snapshot and a full read in a later era. It
+// compares values, since the store reuses revision numbers. Removed keys come first, at the start of the
+// era: no watch reports them.
+func (c *storeSnapshot) changesAfterRestore(items []store.Item, to store.Revision) ([]store.Event, error) {
 	start, err := store.RevisionOf(to.Era(), 0)
 	if err != nil {
 		return nil, err
@@ -116,15 +117,15 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var missing, changed []store.Event
-	there := make(map[string]bool, len(items))
+	present := make(map[string]bool, len(items))
 	for _, i := range items {
-		there[i.Key] = true
+		present[i.Key] = true
 		if have, known := c.items[i.Key]; needed(i.Key) && i.Revision <= to && !(known && sameValue(have, i)) {
 			changed = append(changed, store.Event{Item: i})
 		}
 	}
 	for key := range c.items {
-		if !there[key] {
+		if !present[key] {
 			missing = append(missing, store.Event{Item: store.Item{Key: key, Revision: start}, Gone: true})
 		}
 	}
@@ -133,7 +134,8 @@
 	return append(missing, changed...), nil
 }
 
-// sameValue reports whether two items of a key are equal, apart from the sequence number of a runner's entry.
+// sameValue reports whether two items of a key have equal values, apart from the sequence number of a
+// runner's entry.
 func sameValue(a, b store.Item) bool {
 	if bytes.Equal(a.Value, b.Value) {
 		return true
@@ -146,16 +148,15 @@
 	return errWas == nil && errIs == nil && was.Runner == is.Runner && was.ColdFor == is.ColdFor
 }
 
-// get returns the item of a key.
-func (c *copyOfStore) get(key string) (store.Item, bool) {
+func (c *storeSnapshot) get(key string) (store.Item, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	i, ok := c.items[key]
 	return i, ok
 }
 
-// apply takes over changes.
-func (c *copyOfStore) apply(events []store.Event, at store.Revision) {
+// apply applies changes up to a revision.
+func (c *storeSnapshot) apply(events []store.Event, at store.Revision) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.at = at
@@ -168,44 +169,44 @@
 	}
 }
 
-// answers records whether the store answers.
-func (c *copyOfStore) answers(yes bool) {
+// setReachable records whether the store responds.
+func (c *storeSnapshot) setReachable(reachable bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.lost = time.Time{}
-	if !yes {
-		c.lost = time.Now()
+	c.lostAt = time.Time{}
+	if !reachable {
+		c.lostAt = time.Now()
 	}
 }
 
-// lostNow reports whether the store does not answer.
-func (c *copyOfStore) lostNow() bool {
+// unreachable reports whether the store does not respond.
+func (c *storeSnapshot) unreachable() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.lost.IsZero()
+	return !c.lostAt.IsZero()
 }
 
-// unknown reports whether the store has not answered and nothing is known of it.
-func (c *copyOfStore) unknown() bool {
+// emptyAndUnreachable reports whether the snapshot is empty and the store does not respond.
+func (c *storeSnapshot) emptyAndUnreachable() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.items) == 0 && !c.lost.IsZero()
+	return len(c.items) == 0 && !c.lostAt.IsZero()
 }
 
-// known reports whether the copy holds anything.
-func (c *copyOfStore) known() bool {
+// loaded reports whether the snapshot holds any items.
+func (c *storeSnapshot) loaded() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.items) > 0
 }
 
-// state returns the copy, false while there is none.
-func (c *copyOfStore) state(now time.Time) (sharedState, bool) {
+// export returns the snapshot for another gateway, and false if it is empty.
+func (c *storeSnapshot) export(now time.Time) (sharedState, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := sharedState{At: c.at}
-	if !c.lost.IsZero() {
-		s.AgeMs = now.Sub(c.lost).Milliseconds()
+	if !c.lostAt.IsZero() {
+		s.AgeMs = now.Sub(c.lostAt).Milliseconds()
 	}
 	for _, i := range c.items {
 		s.Items = append(s.Items, i)
--- a/pkg/process/feed.go
+++ b/pkg/process/feed.go
@@ -19,61 +19,62 @@
 )
 
 const (
-	// relayGather is how long a relay lets changes of the store come together, so that
-	// one call brings several; gather is how long other gateways do, which get them
-	// from a relay meanwhile. At the shortest bound it keeps a change within the 2 s in which
-	// configurations must be in force, should the relay's datagram be lost; both grow with it.
-	relayGather = 200 * time.Millisecond
-	gather      = time.Second
-	// idleFor is how long no request must have come for changes to be in no hurry.
-	idleFor = 2 * time.Second
+	// relayBatchWindow is how long a relay waits for further changes of the store, so that one call
+	// returns several. gatewayBatchWindow is the same for other gateways, which receive the changes
+	// from a relay meanwhile. At the shortest bound, gatewayBatchWindow keeps a change within the 2 s
+	// in which a configuration must be in force, even if the relay's datagram is lost. Both windows
+	// grow with the bound.
+	relayBatchWindow   = 200 * time.Millisecond
+	gatewayBatchWindow = time.Second
+	// idleThreshold is the time without requests after which changes are not urgent.
+	idleThreshold = 2 * time.Second
 )
 
 // feed keeps an ingress up to date with the store.
 type feed struct {
 	ingress *ingress.Ingress
 	log     *decisionlog.Log
-	// copy is what the store held last, history the latest changes.
-	copy    copyOfStore
-	history relay.History
-	// relays are the gateways that keep each other up to date, pace how closely.
+	// snapshot is the last state read from the store, history its latest changes.
+	snapshot storeSnapshot
+	history  relay.History
+	// relays are the gateways that send each other the changes of the store, pace their timing.
 	relays relays
 	pace   relay.Pace
 
-	// applying lets changes from the store and from relays go one after the other.
-	applying sync.Mutex
-	// woken holds a value when the store is to be looked at now.
-	woken chan struct{}
+	// applyMu serializes changes from the store and from relays.
+	applyMu sync.Mutex
+	// wakeup holds a value when the store must be watched now.
+	wakeup chan struct{}
 
 	mu      sync.Mutex
 	store   store.Store
 	address string
-	// confirmAt is when the store is asked although relays bring its changes, triedAt
-	// when it was asked last.
-	confirmAt, triedAt time.Time
-	// firstRead is when this process read the store for the first time.
+	// confirmAt is when the store is read although relays send its changes. retryAt is the earliest
+	// time of the next call while the store does not respond.
+	confirmAt, retryAt time.Time
+	// firstRead is when this process first read the store.
 	firstRead time.Time
-	// orders is called when the right to give orders is seen to be taken or free,
-	// gateway for each gateway that the store names.
-	orders  func(free bool)
-	gateway func(name, address string)
+	// onOrderLock is called when the store shows that the order lock is held or free, onGateway for
+	// each gateway address in the store.
+	onOrderLock func(free bool)
+	onGateway   func(name, address string)
 	// inForce is the configuration in use.
 	inForce atomic.Pointer[store.Item]
-	// deferred holds changes that may be stale, by key. It is guarded by applying.
+	// deferred holds changes that may be stale, by key. It is guarded by applyMu.
 	deferred map[string]deferredChange
 	// onRestore is called when the store was restored and may have lost what this process wrote.
 	onRestore func()
-	// forget is called with the address of a runner that has started again: connections to
-	// the one before are dead, whether or not that shows.
-	forget  func(address string)
-	restart chan struct{}
+	// onRunnerRestart is called with the address of a runner that has restarted. Connections to the
+	// previous incarnation are dead, whether or not an error shows it.
+	onRunnerRestart func(address string)
+	storeReplaced   chan struct{}
 }
 
 func newFeed(g *ingress.Ingress, l *decisionlog.Log, s store.Store, address string, p relay.Pace) *feed {
-	f := &feed{ingress: g, log: l, store: s, address: address, pace: p, restart: make(chan struct{}), woken: make(chan struct{}, 1), deferred: map[string]deferredChange{}}
+	f := &feed{ingress: g, log: l, store: s, address: address, pace: p, storeReplaced: make(chan struct{}), wakeup: make(chan struct{}, 1), deferred: map[string]deferredChange{}}
 	g.Directory.Changed = func(c runners.Change) {
 		if c.What == runners.Replaced {
-			f.forget(c.Runner.Address)
+			f.onRunnerRestart(c.Runner.Address)
 		}
 		l.Write(decisionlog.KindState, "runner_"+c.What, decisionlog.F("runner", c.Runner.ID), decisionlog.F("service", c.Runner.Service),
 			decisionlog.F("address", c.Runner.Address), decisionlog.F("domain", c.Runner.Domain), decisionlog.F("stage", string(c.Runner.Stage)))
@@ -83,20 +84,20 @@
 	return f
 }
 
-// use follows another store from now on.
-func (f *feed) use(s store.Store, address string) {
+// useStore switches to another store.
+func (f *feed) useStore(s store.Store, address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if address == f.address {
 		return
 	}
 	f.store, f.address = s, address
-	close(f.restart)
-	f.restart = make(chan struct{})
+	close(f.storeReplaced)
+	f.storeReplaced = make(chan struct{})
 }
 
-// current returns the store that is followed now.
-func (f *feed) current() store.Store {
+// currentStore returns the store in use.
+func (f *feed) currentStore() store.Store {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.store
@@ -107,7 +108,7 @@
 	go f.runDeferred(ctx)
 	for ctx.Err() == nil {
 		f.mu.Lock()
-		s, restart := f.store, f.restart
+		s, restart := f.store, f.storeReplaced
 		f.mu.Unlock()
 		round, cancel := context.WithCancel(ctx)
 		go func() {
@@ -122,83 +123,84 @@
 	}
 }
 
-// gather returns how long changes are let come together now.
-func (f *feed) gather() time.Duration {
+// batchWindow returns how long to wait now for further changes of the store.
+func (f *feed) batchWindow() time.Duration {
 	now := time.Now()
-	if !f.relays.Relay(now) || f.ingress.Idle(now, idleFor) {
-		return f.pace.Scale(gather)
+	if !f.relays.Relay(now) || f.ingress.Idle(now, idleThreshold) {
+		return f.pace.Scale(gatewayBatchWindow)
 	}
-	return f.pace.Scale(relayGather)
+	return f.pace.Scale(relayBatchWindow)
 }
 
-// follower follows the whole store: one watch costs half of two, and the few keys
-// besides the configuration and the runners change seldom.
+// follower returns a follower of the whole store: one watch costs half of two, and the few keys besides
+// the configuration and the runners rarely change.
 func (f *feed) follower(s store.Store) *store.Follower {
 	return &store.Follower{
-		Store: s, Gather: f.gather, Relayed: f.relayed, Forgotten: f.forgotten, Reset: f.reset, Apply: f.apply, Assured: f.history.Assure,
+		Store: s, Gather: f.batchWindow, Relayed: f.relayed, Forgotten: f.forgotten, Reset: f.reset, Apply: f.apply, Assured: f.history.Assure,
 		Refused: func(err *store.ErrOld) {
 			f.log.Write(decisionlog.KindFailed, "store_reading_refused", decisionlog.F("have", err.Have), decisionlog.F("got", err.Got))
 		},
 		Lost: func(err error) {
-			f.copy.answers(false)
+			f.snapshot.setReachable(false)
 			f.log.Write(decisionlog.KindProcess, "store_lost", decisionlog.F("error", err))
 		},
 		Regained: func(after time.Duration) {
-			f.copy.answers(true)
+			f.snapshot.setReachable(true)
 			f.log.Write(decisionlog.KindProcess, "store_regained", decisionlog.F("after", after))
 		},
 	}
 }
 
-// reset takes a whole reading of the store: runners that are not in it have gone.
+// reset applies a full read of the store. Runners that are missing from it are removed.
 func (f *feed) reset(items []store.Item, at store.Revision) error {
-	f.applying.Lock()
-	defer f.applying.Unlock()
+	f.applyMu.Lock()
+	defer f.applyMu.Unlock()
 	if have := f.Reached(); at < have {
 		return &store.ErrOld{Have: have, Got: at}
 	}
 	now := time.Now()
-	f.answered(now)
-	f.readOnce(now)
+	f.storeAnswered(now)
+	f.noteFirstRead(now)
 	have := f.Reached()
 	switch {
 	case have == 0:
 		f.history.Restart(at, now)
 	case at.Era() > have.Era() || len(f.deferred) > 0:
-		return f.takeDifference(items, at, now)
+		return f.applyDifference(items, at, now)
 	default:
-		// What changed since is passed on like what a watch brings: else each gateway that
-		// subscribed here would read the store too, when the store forgets its history.
-		f.history.Advance(at, f.copy.changes(items, have, at), now)
+		// Forward the changes since then like those of a watch. Otherwise each gateway that subscribes
+		// to this one would also read the store when the store drops its history.
+		f.history.Advance(at, f.snapshot.changes(items, have, at), now)
 		defer f.relays.SendStoreUpdates(now)
 	}
-	f.takeAll(items, at)
+	f.applyAll(items, at)
 	return nil
 }
 
-// takeDifference takes a reading as changes of the snapshot: right after a restore of the store, and while
-// changes are deferred, the reading alone does not say what is current. The caller holds the lock.
-func (f *feed) takeDifference(items []store.Item, at store.Revision, now time.Time) error {
+// applyDifference applies a full read as changes to the snapshot. Right after a restore of the store,
+// and while changes are deferred, the read alone does not show what is current. The caller holds
+// applyMu.
+func (f *feed) applyDifference(items []store.Item, at store.Revision, now time.Time) error {
 	u := relay.Update{From: f.Reached(), To: at}
 	if at.Era() == u.From.Era() {
-		u.Changes = f.copy.changes(items, u.From, at)
+		u.Changes = f.snapshot.changes(items, u.From, at)
 	} else {
-		changes, err := f.copy.restored(items, at)
+		changes, err := f.snapshot.changesAfterRestore(items, at)
 		if err != nil {
 			return err
 		}
 		u.Changes, u.Restored = changes, at
 	}
-	f.take(u, now)
-	f.copy.replace(items, at)
+	f.applyUpdate(u, now)
+	f.snapshot.replace(items, at)
 	f.history.Known(items)
 	f.log.Write(decisionlog.KindState, "runners_read", decisionlog.F("runners", f.ingress.Directory.Len()), decisionlog.F("at", at))
 	return nil
 }
 
-// takeAll takes everything that the store holds. The caller holds the lock.
-func (f *feed) takeAll(items []store.Item, at store.Revision) {
-	f.copy.replace(items, at)
+// applyAll applies all items of the store. The caller holds applyMu.
+func (f *feed) applyAll(items []store.Item, at store.Revision) {
+	f.snapshot.replace(items, at)
 	f.history.Known(items)
 	names, evacuated := map[string]bool{}, map[string]bool{}
 	free := true
@@ -210,69 +212,70 @@
 		if domain, ok := platform.EvacuatedDomain(i.Key); ok {
 			evacuated[domain] = true
 		}
-		f.item(i, at)
+		f.applyItem(i, at)
 	}
 	for _, i := range items {
-		f.changeItem(i)
+		f.applyStageChange(i)
 	}
 	f.ingress.Directory.Keep(names, time.Now())
 	for _, domain := range f.ingress.Directory.KeepEvacuated(evacuated, time.Now()) {
-		f.evacuation(domain, false, at)
+		f.logEvacuation(domain, false, at)
 	}
-	f.orders(free)
+	f.onOrderLock(free)
 	f.log.Write(decisionlog.KindState, "runners_read", decisionlog.F("runners", len(names)), decisionlog.F("at", at))
 }
 
-// learn takes what another gateway knows of the store, in place of a reading. What came
-// later is told by relays, or by the store once it answers.
-func (f *feed) learn(s sharedState) {
-	f.applying.Lock()
-	defer f.applying.Unlock()
+// loadPeerState applies the snapshot of another gateway in place of a read of the store. Relays send the
+// later changes, or the store once it responds.
+func (f *feed) loadPeerState(s sharedState) {
+	f.applyMu.Lock()
+	defer f.applyMu.Unlock()
 	f.history.Restart(s.At, time.Now().Add(-time.Duration(s.AgeMs)*time.Millisecond))
-	f.takeAll(s.Items, s.At)
+	f.applyAll(s.Items, s.At)
 	if s.Config != nil {
-		f.config(*s.Config, s.At)
+		f.applyConfig(*s.Config, s.At)
 	}
 	f.history.Assure(s.assured)
-	f.copy.answers(false)
+	f.snapshot.setReachable(false)
 }
 
-// learnConfig takes the configuration of another gateway if that is newer, and reports whether it was.
-func (f *feed) learnConfig(s sharedState) bool {
-	f.applying.Lock()
-	defer f.applying.Unlock()
+// loadPeerConfig applies the configuration of another gateway if it is newer, and reports whether it
+// was.
+func (f *feed) loadPeerConfig(s sharedState) bool {
+	f.applyMu.Lock()
+	defer f.applyMu.Unlock()
 	before := f.ingress.Version()
 	for _, i := range s.Items {
 		if i.Key == platform.ConfigKey {
-			f.config(i, s.At)
+			f.applyConfig(i, s.At)
 		}
 	}
 	if s.Config != nil {
-		f.config(*s.Config, s.At)
+		f.applyConfig(*s.Config, s.At)
 	}
 	return f.ingress.Version() > before
 }
 
-// apply takes what a watch brought.
+// apply applies the events of a watch.
 func (f *feed) apply(events []store.Event, at store.Revision) {
-	f.applying.Lock()
-	defer f.applying.Unlock()
+	f.applyMu.Lock()
+	defer f.applyMu.Unlock()
 	now := time.Now()
-	f.answered(now)
-	f.take(relay.Update{From: f.Reached(), To: at, Changes: events}, now)
+	f.storeAnswered(now)
+	f.applyUpdate(relay.Update{From: f.Reached(), To: at, Changes: events}, now)
 }
 
-// event takes one change.
-func (f *feed) event(e store.Event, at store.Revision) {
+// applyEvent applies one change.
+func (f *feed) applyEvent(e store.Event, at store.Revision) {
 	if e.Key == orderKey {
-		f.orders(e.Gone)
+		f.onOrderLock(e.Gone)
 		return
 	}
 	if id, ok := strings.CutPrefix(e.Key, changePrefix); ok && e.Gone {
 		f.ingress.EndStageChange(id)
 		return
 	}
-	if d, ok := quarantinedAt(e.Key); ok && e.Gone {
+	if d, ok := parseQuarantineKey(e.Key); ok && e.Gone {
 		f.ingress.EndQuarantine(d)
 		return
 	}
@@ -282,44 +285,44 @@
 	}
 	if domain, ok := platform.EvacuatedDomain(e.Key); ok && e.Gone {
 		if f.ingress.Directory.Restore(domain, time.Now()) {
-			f.evacuation(domain, false, at)
+			f.logEvacuation(domain, false, at)
 		}
 		return
 	}
 	if !e.Gone {
-		f.item(e.Item, at)
-		f.changeItem(e.Item)
+		f.applyItem(e.Item, at)
+		f.applyStageChange(e.Item)
 	}
 }
 
-// item takes what stands under one key.
-func (f *feed) item(i store.Item, at store.Revision) {
+// applyItem applies the item of one key.
+func (f *feed) applyItem(i store.Item, at store.Revision) {
 	if i.Key == platform.ConfigKey {
-		f.config(i, at)
+		f.applyConfig(i, at)
 	} else if _, ok := platform.RunnerName(i.Key); ok {
-		f.runner(i)
+		f.applyRunner(i)
 	} else if name, ok := strings.CutPrefix(i.Key, gatewayPrefix); ok {
-		f.gateway(name, string(i.Value))
-	} else if d, ok := quarantinedAt(i.Key); ok {
+		f.onGateway(name, string(i.Value))
+	} else if d, ok := parseQuarantineKey(i.Key); ok {
 		f.ingress.ReadQuarantine(d)
 	} else if domain, ok := platform.EvacuatedDomain(i.Key); ok && f.ingress.Directory.Evacuate(domain, time.Now()) {
-		f.evacuation(domain, true, at)
+		f.logEvacuation(domain, true, at)
 	}
 }
 
-// changeFor bounds a change of stage that the store holds: how long it has been under
-// way is not known. The key goes with its lease before that.
-const changeFor = 20 * time.Second
+// maxStageChange bounds the duration of a stage change that is read from the store, since its start is
+// unknown. The lease of the key expires before that.
+const maxStageChange = 20 * time.Second
 
-// changeItem takes a change of stage that is under way; its engine must be known.
-func (f *feed) changeItem(i store.Item) {
+// applyStageChange applies a stage change in progress. Its engine must already be in the directory.
+func (f *feed) applyStageChange(i store.Item) {
 	if id, ok := strings.CutPrefix(i.Key, changePrefix); ok {
-		f.ingress.ReceiveStageChanges([]runners.StageChange{{Runner: id, To: runners.Stage(i.Value), Left: changeFor}})
+		f.ingress.ReceiveStageChanges([]runners.StageChange{{Runner: id, To: runners.Stage(i.Value), Left: maxStageChange}})
 	}
 }
 
-// config puts a configuration into force. One that can't be read is left.
-func (f *feed) config(i store.Item, at store.Revision) {
+// applyConfig puts a configuration into force. A configuration that can't be decoded is ignored.
+func (f *feed) applyConfig(i store.Item, at store.Revision) {
 	c, err := platform.DecodeConfig(i.Value)
 	var table *routetable.Table
 	if err == nil {
@@ -337,9 +340,9 @@
 		decisionlog.F("at", at), decisionlog.F("routes", len(c.Routes)), decisionlog.F("used", used))
 }
 
-// runner takes a runner's entry. One that no runner would have written names none: what its key
-// named before has no entry now.
-func (f *feed) runner(i store.Item) {
+// applyRunner applies a runner's entry. An entry that can't be decoded, which no runner would have
+// written, removes the runner of its key.
+func (f *feed) applyRunner(i store.Item) {
 	r, err := platform.DecodeRunner(i.Key, i.Value)
 	if err != nil {
 		f.log.Write(decisionlog.KindFailed, "runner_refused", decisionlog.F("key", i.Key), decisionlog.F("error", err))
--- a/pkg/process/feedlog.go
+++ b/pkg/process/feedlog.go
@@ -11,7 +11,8 @@
 	"github.com/hopwell/hopwell/platform"
 )
 
-// openStore returns a client of the store at an address that logs what the store says of itself.
+// openStore returns a client of the store at an address that logs the store's notices in response
+// headers.
 func openStore(address string, l *decisionlog.Log) *platform.Store {
 	s := platform.NewStore(address)
 	s.EraChanged = func(before, now uint64) {
@@ -23,7 +24,7 @@
 	return s
 }
 
-// logLimit writes what happened to a runner's limit.
+// logLimit logs a change of a runner's rate limit.
 func logLimit(l *decisionlog.Log, c runnerlimit.Change) {
 	fields := []decisionlog.Field{decisionlog.F("runner", c.Runner), decisionlog.F("per_second", c.PerSecond), decisionlog.F("told_by", c.From)}
 	if c.What == runnerlimit.Ends {
@@ -32,7 +33,7 @@
 	l.Write(decisionlog.KindState, "limit_"+c.What, fields...)
 }
 
-// logNotice writes what a runner said of itself.
+// logNotice logs what a runner reported in response headers.
 func logNotice(l *decisionlog.Log, c notice.Change) {
 	runner := decisionlog.F("runner", c.Runner)
 	switch c.What {
@@ -45,15 +46,15 @@
 	}
 }
 
-// evacuation logs that a failure domain is evacuated from now on, or no more.
-func (f *feed) evacuation(domain string, begins bool, at store.Revision) {
+// logEvacuation logs that the evacuation of a failure domain begins or ends.
+func (f *feed) logEvacuation(domain string, evacuated bool, at store.Revision) {
 	event := "domain_restored"
-	if begins {
+	if evacuated {
 		event = "domain_evacuated"
 	}
 	f.log.Write(decisionlog.KindState, event, decisionlog.F("domain", domain), decisionlog.F("at", at))
 }
 
-// quiet returns a logger for what the HTTP server reports of single
-// connections, which are ordinary events.
-func quiet() *log.Logger { return log.New(io.Discard, "", 0) }
+// discardLogger returns a logger that discards the HTTP server's messages about single connections,
+// which are ordinary events.
+func discardLogger() *log.Logger { return log.New(io.Discard, "", 0) }
--- a/pkg/process/ingress.go
+++ b/pkg/process/ingress.go
@@ -31,46 +31,48 @@
 )
 
 const (
-	// connectTime bounds the opening of a connection to a runner.
-	connectTime = 500 * time.Millisecond
-	// idleTime is how long connections to runners that say nothing are kept: as long as
-	// others say. One that was closed meanwhile is seen before it is used.
-	idleTime = 10 * time.Second
-	// maxIdle bounds the idle connections to one runner.
-	maxIdle = 24
-	// leastIdle is kept to each runner however many gateways there are.
-	leastIdle = 2
-	// connectionShare leaves a part of a runner's connections for busy ones.
-	connectionShare = 2
-	// sweepEvery is the time between two looks at the idle connections.
-	sweepEvery = time.Second
-	// endMargin is how long before the platform ends the process it ends by
-	// itself.
-	endMargin = 400 * time.Millisecond
-	// lingerAfterWait is how long requests on kept connections are refused
-	// before a process without work ends.
-	lingerAfterWait = 800 * time.Millisecond
-	// drainLook is the time between two looks at what still runs.
-	drainLook = 20 * time.Millisecond
-	// memoryPart is the part of its memory that the runtime may use before it
-	// collects garbage all the time; heldPart that of bodies and answers that are held.
-	memoryPart = 0.7
-	heldPart   = 0.3
-	// firstGateways is by how many gateways the retry budget is shared before
-	// any others are known.
-	firstGateways = 8
-	// leastGateways is the least number of gateways that the retry budget is
-	// shared by: some may not be known yet.
-	leastGateways = 4
-	// logClose bounds the wait for the last lines of the log.
-	logClose = 200 * time.Millisecond
+	// connectTimeout bounds the opening of a connection to a runner.
+	connectTimeout = 500 * time.Millisecond
+	// idleConnTimeout is how long an idle connection is kept to a runner that names no keep-alive time.
+	// It is the time that other runners name. A connection that the runner closed meanwhile is detected
+	// before it is used.
+	idleConnTimeout = 10 * time.Second
+	// maxIdleConns bounds the idle connections to one runner.
+	maxIdleConns = 24
+	// minIdleConns is how many idle connections are kept to each runner, however many gateways there
+	// are.
+	minIdleConns = 2
+	// idleConnDivisor divides a runner's connection limit, to leave a part of the connections for busy
+	// ones.
+	idleConnDivisor = 2
+	// sweepInterval is the interval between sweeps of the idle connections.
+	sweepInterval = time.Second
+	// stopMargin is how long the process ends before the platform would end it.
+	stopMargin = 400 * time.Millisecond
+	// refusalTime is how long requests on kept-alive connections are refused before a process without
+	// work ends.
+	refusalTime = 800 * time.Millisecond
+	// drainPollInterval is the interval between checks for running requests during a drain.
+	drainPollInterval = 20 * time.Millisecond
+	// memoryLimitFraction is the fraction of the process's memory from which the runtime collects
+	// garbage continuously; heldMemoryFraction is the fraction for held request and response bodies.
+	memoryLimitFraction = 0.7
+	heldMemoryFraction  = 0.3
+	// initialGateways is the number of gateways that the retry budget is divided by before others are
+	// discovered.
+	initialGateways = 8
+	// minGateways is the minimum number of gateways that the retry budget is divided by: some may not
+	// be discovered yet.
+	minGateways = 4
+	// logCloseTimeout bounds the wait for the last lines of the log.
+	logCloseTimeout = 200 * time.Millisecond
 )
 
 // Ingress is one running ingress process.
 type Ingress struct {
 	Ingress *ingress.Ingress
 
-	// settings are those that were good last; a reload replaces them.
+	// settings are the last valid settings; a reload replaces them.
 	settings atomic.Pointer[config.Ingress]
 	log      *decisionlog.Log
 	client   *upstream.Client
@@ -82,8 +84,8 @@
 	ports    IngressPorts
 	cancel   context.CancelFunc
 	done     sync.WaitGroup
-	// handing counts the gateways that are being handed what this one knows of the store.
-	handing atomic.Int32
+	// stateTransfers counts the gateways that are receiving this gateway's snapshot of the store.
+	stateTransfers atomic.Int32
 	// reannounce holds a value when the store may have lost this gateway's address.
 	reannounce chan struct{}
 	stop       sync.Once
@@ -93,9 +95,9 @@
 // StartIngress starts an ingress. Decisions are logged to out.
 func StartIngress(c *config.Ingress, out io.Writer) (*Ingress, error) {
 	memory := int64(c.Limits.MemoryMB) << 20
-	debug.SetMemoryLimit(int64(memoryPart * float64(memory)))
+	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(memory)))
 	log := decisionlog.New(c.Instance.Name, out)
-	client := upstream.New(upstream.Options{ConnectTimeout: connectTime, Idle: idleTime, MaxIdle: maxIdle, Opened: countOpened})
+	client := upstream.New(upstream.Options{ConnectTimeout: connectTimeout, Idle: idleConnTimeout, MaxIdle: maxIdleConns, Opened: countOpened})
 	calls := &platform.Runners{Client: client}
 	p := &Ingress{log: log, client: client, suspects: quarantine.New(jitter), stopped: make(chan struct{}), reannounce: make(chan struct{}, 1)}
 	p.settings.Store(c)
@@ -104,13 +106,13 @@
 	p.Ingress = ingress.New(ingress.Options{
 		Name: c.Instance.Name, Domain: c.Instance.Domain, Regions: c.Regions, Engines: calls, Reader: calls, Log: log,
 		Budget:   budgetLimits(c),
-		Gateways: firstGateways, MaxOpen: c.Limits.OpenRequests, MaxHeld: int64(heldPart * float64(memory)),
+		Gateways: initialGateways, MaxOpen: c.Limits.OpenRequests, MaxHeld: int64(heldMemoryFraction * float64(memory)),
 		Pool: p.poolOptions(c), Revocation: p.revocation(c), Quota: p.quota, Suspicion: p.suspicion(), Neighbours: func() int { return p.peers.Neighbours() },
 	})
 	p.Ingress.Directory.ColdShare = p.coldShare
 	p.Ingress.Directory.Limits.Counted = func() { p.peers.Notify() }
 	p.feed = newFeed(p.Ingress, log, openStore(c.Store, log), c.Store, relay.PaceFor(c.Changes.Bound(c.Workspaces)))
-	if err := p.meet(); err != nil {
+	if err := p.openPeers(); err != nil {
 		return nil, err
 	}
 	if err := p.listen(); err != nil {
@@ -119,19 +121,19 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	p.cancel = cancel
-	orders := p.stager(calls)
-	p.feed.orders = orders.free.Store
+	orders := p.newStager(calls)
+	p.feed.onOrderLock = orders.lockFree.Store
 	p.feed.onRestore = func() {
-		p.rewrite()
+		p.rewriteStoreEntries()
 		orders.restored.Store(true)
 	}
-	p.feed.relays, p.feed.gateway, p.feed.forget = p.peers, p.addPeer, client.Forget
+	p.feed.relays, p.feed.onGateway, p.feed.onRunnerRestart = p.peers, p.addPeer, client.Forget
 	p.done.Go(func() { p.feed.run(ctx) })
 	p.done.Go(func() { p.Ingress.Run(ctx) })
 	p.done.Go(func() { p.peers.Run(ctx) })
 	p.done.Go(func() { p.announce(ctx) })
 	p.done.Go(func() { p.learnFromPeers(ctx) })
-	p.done.Go(func() { p.keepQuarantines(ctx) })
+	p.done.Go(func() { p.publishQuarantines(ctx) })
 	p.done.Go(func() { orders.run(ctx) })
 	p.done.Go(func() { p.sweep(ctx) })
 	log.Write(decisionlog.KindProcess, "start", decisionlog.F("pid", os.Getpid()), decisionlog.F("callers", p.ports.Callers),
@@ -142,12 +144,12 @@
 	return p, nil
 }
 
-// suspicion returns how gateways tell each other of requests that crash runners.
+// suspicion returns how gateways report to each other requests that crash runners.
 func (p *Ingress) suspicion() ingress.Suspicion {
 	return ingress.Suspicion{Table: p.suspects, Report: func(r quarantine.Report) { p.peers.SendSuspicion(r, time.Now()) }}
 }
 
-// poolOptions returns the settings of the choice of engines.
+// poolOptions returns the settings of the engine pools.
 func (p *Ingress) poolOptions(c *config.Ingress) enginepool.Options {
 	o := enginepool.DefaultOptions()
 	o.Domain = c.Instance.Domain
@@ -157,15 +159,15 @@
 	return o
 }
 
-// confirmedPart is the part of the time in which a revoked key must be refused that may pass
-// without a confirmation of the configuration. The rest is for clocks that run apart.
-const confirmedPart = 0.95
+// confirmedFraction is the fraction of the time limit for refusing a revoked key that may pass without a
+// confirmation of the configuration. The rest allows for clocks that run at different rates.
+const confirmedFraction = 0.95
 
-// revocation returns when keys are not relied on.
+// revocation returns how long keys are accepted without a confirmed configuration.
 func (p *Ingress) revocation(c *config.Ingress) ingress.Revocation {
 	r := ingress.Revocation{Confirmed: func() time.Time { return p.feed.history.Assured() }}
 	if c.Workspaces.FailClosed {
-		r.After = time.Duration(confirmedPart * float64(c.Workspaces.RevokeWithin.D()))
+		r.After = time.Duration(confirmedFraction * float64(c.Workspaces.RevokeWithin.D()))
 	}
 	return r
 }
@@ -175,12 +177,12 @@
 	return retrybudget.Limits{Share: c.RetryBudget.Share, Slack: c.RetryBudget.Slack, Window: c.RetryBudget.Window.D()}
 }
 
-var opened = metrics.GetOrCreateCounter("hopwell_ingress_connections_opened_total")
+var connectionsOpened = metrics.GetOrCreateCounter("hopwell_ingress_connections_opened_total")
 
-func countOpened(string) { opened.Inc() }
+func countOpened(string) { connectionsOpened.Inc() }
 
-// coldShare returns how many requests in any coldstart.Window this gateway may send to a cold
-// runner, false for any number.
+// coldShare returns how many requests in any coldstart.Window this gateway may send to a cold runner,
+// and false if the number is unlimited.
 func (p *Ingress) coldShare(r runners.Runner) (int, bool) {
 	table := p.Ingress.Table()
 	if table == nil {
@@ -197,17 +199,17 @@
 	return coldstart.Share(limit, settings.Instance.Name, p.peers.Names(), r.ID), true
 }
 
-// stager returns what gives the engines their parts.
-func (p *Ingress) stager(r *platform.Runners) *stager {
+// newStager returns the stager, which assigns the engines' stages.
+func (p *Ingress) newStager(r *platform.Runners) *stager {
 	lease := p.settings.Load().Lease.D()
 	return &stager{
 		ingress: p.Ingress, calls: r, log: p.log, policy: staging.DefaultPolicy(), wait: lease, rank: p.peers.Rank,
 		report: p.peers.SendStageChanges, refusals: map[string]refusalSpan{},
-		lock: &store.Lock{Store: p.feed.current(), Key: orderKey, Holder: p.settings.Load().Instance.Name, TTL: lease},
+		lock: &store.Lock{Store: p.feed.currentStore(), Key: orderKey, Holder: p.settings.Load().Instance.Name, TTL: lease},
 	}
 }
 
-func (p *Ingress) health(w http.ResponseWriter, _ *http.Request) {
+func (p *Ingress) serveHealth(w http.ResponseWriter, _ *http.Request) {
 	if !p.Ingress.Ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -215,13 +217,13 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-func (p *Ingress) figures(w http.ResponseWriter, _ *http.Request) {
+func (p *Ingress) serveMetrics(w http.ResponseWriter, _ *http.Request) {
 	p.Ingress.WriteMetrics(w)
 	metrics.WritePrometheus(w, true)
 }
 
 func (p *Ingress) sweep(ctx context.Context) {
-	tick := time.NewTicker(sweepEvery)
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -229,32 +231,32 @@
 			return
 		case now := <-tick.C:
 			p.client.Sweep(now)
-			gateways := max(p.peers.Known()+1, leastGateways)
+			gateways := max(p.peers.Known()+1, minGateways)
 			p.Ingress.Gateways(gateways)
-			p.client.Limit(p.idleShare(gateways))
+			p.client.Limit(p.idleConnShare(gateways))
 		}
 	}
 }
 
-// idleShare returns how many idle connections to one runner are this gateway's
-// share of what a runner takes from all.
-func (p *Ingress) idleShare(gateways int) int {
-	share := maxIdle
+// idleConnShare returns how many idle connections this gateway may keep to one runner: its share of the
+// connections that the runner accepts from all gateways.
+func (p *Ingress) idleConnShare(gateways int) int {
+	share := maxIdleConns
 	table := p.Ingress.Table()
 	if table == nil {
 		return share
 	}
 	for _, s := range table.Config.Services {
 		if s.MaxConnections > 0 {
-			share = min(share, s.MaxConnections/(connectionShare*gateways))
+			share = min(share, s.MaxConnections/(idleConnDivisor*gateways))
 		}
 	}
-	return max(share, leastIdle)
+	return max(share, minIdleConns)
 }
 
-// Reload takes over new settings: the store's address, the retry budget and the
-// drain. The rest can't change while the process runs and is kept. Settings with a
-// fault are refused, and the last good ones stay.
+// Reload applies new settings: the store's address, the retry budget and the drain. The other settings
+// can't change while the process runs and are kept. Invalid settings are rejected, and the last valid
+// ones stay.
 func (p *Ingress) Reload(file string) error {
 	c, err := config.LoadIngress(file)
 	if err != nil {
@@ -262,7 +264,7 @@
 		return err
 	}
 	p.settings.Store(c)
-	p.feed.use(openStore(c.Store, p.log), c.Store)
+	p.feed.useStore(openStore(c.Store, p.log), c.Store)
 	p.Ingress.LimitRetries(budgetLimits(c))
 	p.log.Write(decisionlog.KindProcess, "reload", decisionlog.F("store", c.Store),
 		decisionlog.F("retry_share", c.RetryBudget.Share), decisionlog.F("retry_slack", c.RetryBudget.Slack),
--- a/pkg/process/order.go
+++ b/pkg/process/order.go
@@ -15,11 +15,11 @@
 	"github.com/hopwell/hopwell/platform"
 )
 
-// record writes the changes to the store before their orders go out, for gateways that
-// start before they are done, even if this process ends between two orders. The lease of
-// the keys is as long as a change may take.
+// record writes the changes to the store before their orders are sent, so that gateways which start
+// before the changes are done read them, even if this process ends between two orders. The lease of the
+// keys is the longest time that a change may take.
 func (s *stager) record(ctx context.Context, changes []staging.Change) {
-	ctx, cancel := context.WithTimeout(ctx, orderCall)
+	ctx, cancel := context.WithTimeout(ctx, orderCallTimeout)
 	defer cancel()
 	limit := time.Duration(0)
 	for _, c := range changes {
@@ -38,20 +38,20 @@
 // pending returns the recorded changes that are in progress.
 func (s *stager) pending(now time.Time) []staging.Change {
 	s.recorded = slices.DeleteFunc(s.recorded, func(c staging.Change) bool {
-		_, under := c.Runner.Changing(now)
-		return !under
+		_, changing := c.Runner.Changing(now)
+		return !changing
 	})
 	return s.recorded
 }
 
-// recordAgain writes the records of changes in progress again after a restore of the store.
-func (s *stager) recordAgain(ctx context.Context, now time.Time) {
+// rewriteRecords writes the records of changes in progress again after a restore of the store.
+func (s *stager) rewriteRecords(ctx context.Context, now time.Time) {
 	for batch := range slices.Chunk(s.pending(now), store.MaxEntries) {
 		s.record(ctx, batch)
 	}
 }
 
-// announcement is what other gateways need to know of changes.
+// announcement returns the changes as they are reported to other gateways.
 func (s *stager) announcement(changes []staging.Change) []runners.StageChange {
 	out := make([]runners.StageChange, 0, len(changes))
 	for _, c := range changes {
@@ -60,8 +60,8 @@
 	return out
 }
 
-// forget removes the records of the orders that were refused.
-func (s *stager) forget(ctx context.Context, changes []staging.Change) {
+// removeRefused removes the records of the changes whose orders were refused.
+func (s *stager) removeRefused(ctx context.Context, changes []staging.Change) {
 	var refused []string
 	for _, c := range changes {
 		if _, pending := c.Runner.Changing(time.Now()); !pending {
@@ -71,16 +71,15 @@
 	if len(refused) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, orderCall)
+	ctx, cancel := context.WithTimeout(ctx, orderCallTimeout)
 	defer cancel()
 	if _, err := s.lock.Store.Commit(ctx, store.Change{Remove: refused}); err != nil {
 		s.log.Write(decisionlog.KindProcess, "restage_not_removed", decisionlog.F("orders", len(refused)), decisionlog.F("error", err))
 	}
 }
 
-// restage sends one order. What its answer means for the engine's change of stage is
-// recorded: taken, refused, or unknown.
-func (s *stager) restage(ctx context.Context, c staging.Change, fence store.Revision, sequence int) error {
+// sendOrder sends one order and records the result in the engine's state: accepted, refused or unknown.
+func (s *stager) sendOrder(ctx context.Context, c staging.Change, fence store.Revision, sequence int) error {
 	c.Runner.BeginStageChange(c.Stage, s.changeLimit(c.Runner.Service), time.Now())
 	c.Runner.Called("", time.Now())
 	err := s.calls.Restage(ctx, c.Runner, platform.StageOrder{Stage: c.Stage, Holder: s.lock.Holder, Fence: uint64(fence), Sequence: sequence})
@@ -90,21 +89,21 @@
 	case errors.As(err, &declined) && declined.Status != http.StatusConflict:
 		c.Runner.EndStageChange()
 	default:
-		// No answer, or another order is under way.
-		c.Runner.BeginStageChange(c.Stage, unansweredOrder, time.Now())
+		// There was no response, or the engine is carrying out another order.
+		c.Runner.BeginStageChange(c.Stage, unansweredOrderTime, time.Now())
 	}
 	return err
 }
 
-// order gives one engine its stage. The engine gets no new work from before the
-// order is sent; other gateways learn of it once the engine has not refused it.
+// order orders one engine to change its stage. The engine gets no new work from before the order is
+// sent. orderAll has already reported the change to the other gateways.
 func (s *stager) order(ctx context.Context, c staging.Change, fence store.Revision) {
-	call, cancel := context.WithTimeout(ctx, orderCall)
+	call, cancel := context.WithTimeout(ctx, orderCallTimeout)
 	defer cancel()
 	c.Runner.Called("", time.Now())
 	sequence, err := s.calls.Sequence(call, c.Runner)
 	if err == nil {
-		err = s.restage(call, c, fence, sequence)
+		err = s.sendOrder(call, c, fence, sequence)
 	}
 	s.log.Write(decisionlog.KindState, "restage", decisionlog.F("runner", c.Runner.ID), decisionlog.F("domain", c.Runner.Domain),
 		decisionlog.F("stage", string(c.Stage)), decisionlog.F("fence", fence), decisionlog.F("sequence", sequence), decisionlog.F("error", err))
--- a/pkg/process/ports.go
+++ b/pkg/process/ports.go
@@ -14,20 +14,20 @@
 	Callers, Health, Metrics, Peers string
 }
 
-// Ports returns where the process listens.
+// Ports returns the addresses that the process listens on.
 func (p *Ingress) Ports() IngressPorts { return p.ports }
 
 // listen opens the ports and serves on them.
 func (p *Ingress) listen() error {
 	settings := p.settings.Load()
 	l := settings.Listen
-	health := http.HandlerFunc(p.health)
-	figures := http.HandlerFunc(p.figures)
+	health := http.HandlerFunc(p.serveHealth)
+	metricsHandler := http.HandlerFunc(p.serveMetrics)
 	for _, port := range []struct {
 		address string
 		handler http.Handler
 		bound   *string
-	}{{l.Callers, p.Ingress, &p.ports.Callers}, {l.Health, health, &p.ports.Health}, {l.Metrics, figures, &p.ports.Metrics}} {
+	}{{l.Callers, p.Ingress, &p.ports.Callers}, {l.Health, health, &p.ports.Health}, {l.Metrics, metricsHandler, &p.ports.Metrics}} {
 		if err := p.serve(port.address, port.handler, port.bound); err != nil {
 			return err
 		}
@@ -35,8 +35,8 @@
 	return nil
 }
 
-// serve starts an HTTP server on an address; bound takes the one that it listens on,
-// nil for nobody.
+// serve starts an HTTP server on an address. It stores the address that it listens on in bound, unless
+// bound is nil.
 func (p *Ingress) serve(address string, handler http.Handler, bound *string) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -46,16 +46,15 @@
 		*bound = listener.Addr().String()
 	}
 	limits := p.settings.Load().Limits
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: limits.HeaderTime.D(), IdleTimeout: limits.IdleTime.D(), ErrorLog: quiet()}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: limits.HeaderTime.D(), IdleTimeout: limits.IdleTime.D(), ErrorLog: discardLogger()}
 	p.servers = append(p.servers, server)
 	p.done.Go(func() { _ = server.Serve(listener) })
 	return nil
 }
 
-// meet opens the port on which gateways meet: for datagrams, and over TCP for what they
-// know of the store.
-func (p *Ingress) meet() error {
-	conn, err := p.openMeeting()
+// openPeers opens the port for the other gateways: UDP for datagrams, TCP for the snapshot of the store.
+func (p *Ingress) openPeers() error {
+	conn, err := p.openPeerPort()
 	if err != nil {
 		return err
 	}
@@ -81,12 +80,12 @@
 	return nil
 }
 
-// meetingTries is how often a free port is looked for, where the settings leave it open:
-// one that is free for datagrams may be taken for TCP.
-const meetingTries = 20
+// peerPortAttempts is how often a free port is tried if the settings name no port: one that is free for
+// UDP may be in use for TCP.
+const peerPortAttempts = 20
 
-// openMeeting opens one port for both protocols.
-func (p *Ingress) openMeeting() (net.PacketConn, error) {
+// openPeerPort opens the same port for UDP and TCP.
+func (p *Ingress) openPeerPort() (net.PacketConn, error) {
 	address := p.settings.Load().Listen.Peers
 	for try := 1; ; try++ {
 		conn, err := net.ListenPacket("udp4", address)
@@ -99,7 +98,7 @@
 			return conn, nil
 		}
 		_ = conn.Close()
-		if p.ports.Peers == address || try == meetingTries {
+		if p.ports.Peers == address || try == peerPortAttempts {
 			return nil, err
 		}
 	}
--- a/pkg/process/process.go
+++ b/pkg/process/process.go
@@ -1,5 +1,5 @@
-// Package process turns settings into running processes: it opens the ports,
-// joins the parts, and carries out the planned stop.
+// Package process turns settings into running processes: it opens the ports, connects the components,
+// and carries out the planned stop.
 package process
 
 import (
@@ -31,7 +31,7 @@
 
 // Process is one running process.
 type Process struct {
-	// Gateway or Sidecar is nil.
+	// Either Gateway or Sidecar is nil.
 	Gateway *gateway.Gateway
 	Sidecar *sidecar.Sidecar
 	Node    *node.Node
@@ -51,7 +51,7 @@
 	Callers, Inner, Admin string
 }
 
-// Services are the platform's three, which may be one client.
+// Services are the three services of the platform. One client may implement all of them.
 type Services struct {
 	KV      platform.KV
 	List    platform.List
@@ -64,16 +64,17 @@
 	return Services{KV: c, List: c, Weights: c}
 }
 
-// self is a process's own entry. Its addresses are those that it listens on.
-func self(i config.Instance, role, inner, adminAddr string) platform.Instance {
+// instanceEntry returns a process's own entry in the instance list. Its addresses are those that the
+// process listens on.
+func instanceEntry(i config.Instance, role, inner, adminAddr string) platform.Instance {
 	return platform.Instance{
 		Name: i.Name, Role: role, Domain: i.Domain, Region: i.Region,
 		Inner: inner, Admin: adminAddr, Labels: i.Labels,
 	}
 }
 
-// newNode makes the common part of a process. Its epoch is the start time:
-// processes on one instance follow each other.
+// newNode creates the part that both roles share. Its epoch is the start time: the processes of one
+// instance run one after another.
 func newNode(me platform.Instance, s Services, epoch uint64) *node.Node {
 	return node.New(node.Options{
 		Self: me, Epoch: epoch, KV: s.KV, List: s.List, Dial: wire.TCP,
@@ -91,7 +92,7 @@
 	if err != nil {
 		return nil, err
 	}
-	me := self(c.Instance, platform.RoleGateway, p.inner.Addr().String(), c.Listen.Admin)
+	me := instanceEntry(c.Instance, platform.RoleGateway, p.inner.Addr().String(), c.Listen.Admin)
 	p.Node = newNode(me, s, uint64(time.Now().UnixMilli()))
 	p.Gateway = gateway.New(p.Node, gateway.Options{
 		Policy: policy, Lease: c.Lease.D(), ReserveFirst: c.Policy == route.NameHopwell,
@@ -121,7 +122,7 @@
 		p.closePorts()
 		return nil, err
 	}
-	me := self(c.Instance, platform.RoleSidecar, p.inner.Addr().String(), c.Listen.Admin)
+	me := instanceEntry(c.Instance, platform.RoleSidecar, p.inner.Addr().String(), c.Listen.Admin)
 	p.Node = newNode(me, s, sidecar.NextEpoch(o.Engine))
 	p.Sidecar = sidecar.New(p.Node, o)
 	return p, p.run(p.Sidecar.Run, p.Sidecar, c.Listen.Admin)
@@ -157,7 +158,7 @@
 	return nil
 }
 
-// Ports returns where the process listens.
+// Ports returns the addresses that the process listens on.
 func (p *Process) Ports() Ports {
 	out := Ports{Inner: p.inner.Addr().String(), Admin: p.admin.Addr()}
 	if p.callers != nil {
@@ -166,21 +167,21 @@
 	return out
 }
 
-// Entry returns what the platform's instance list should say of the process.
+// Entry returns the entry of the process for the platform's instance list.
 func (p *Process) Entry() platform.Instance { return p.Node.Self }
 
-// Stop carries out the planned stop, which cuts nothing off: new work is
-// refused, running work ends or moves, and only then the ports close. A
-// deadline other than zero is when the instance ends.
+// Stop carries out the planned stop, which interrupts no requests: the process refuses new work,
+// finishes or moves running work, and only then closes the ports. A non-zero deadline is when the
+// instance ends.
 func (p *Process) Stop(deadline time.Time) {
 	p.stop.Do(func() {
-		p.finish(deadline)
+		p.drainRole(deadline)
 		p.Close()
 		close(p.stopped)
 	})
 }
 
-func (p *Process) finish(deadline time.Time) {
+func (p *Process) drainRole(deadline time.Time) {
 	longest := p.drain.Longest.D()
 	if !deadline.IsZero() {
 		longest = min(longest, time.Until(deadline))
@@ -219,8 +220,8 @@
 	}
 }
 
-// ListenHTTP serves a stand-in's handler; it is here so that the demo and tests
-// need no other way to open ports.
+// ListenHTTP serves the handler of a stand-in, so that the demo and tests need no other way to open
+// ports.
 func ListenHTTP(address string, h http.Handler) (*httpd.Server, error) {
 	return httpd.Listen(address, h, 4*httpapi.MaxBody)
 }
--- a/pkg/process/quarantine.go
+++ b/pkg/process/quarantine.go
@@ -13,19 +13,20 @@
 )
 
 const (
-	// quarantinePrefix is above the keys of requests that are kept from runners. They are in
-	// the store so that gateways know them that start later, also after all were lost; each
-	// goes with its lease.
+	// quarantinePrefix is the prefix of the keys of quarantined requests. They are in the store so that
+	// gateways which start later read them, also after all gateways were lost. Each key is removed when
+	// its lease expires.
 	quarantinePrefix = "hopwell/quarantine/"
-	// publishLook is the time between two looks at what is to be written there.
-	publishLook = 200 * time.Millisecond
+	// publishInterval is the interval between checks for quarantines to write to the store.
+	publishInterval = 200 * time.Millisecond
 )
 
-// quarantineKey returns the key of a request that is kept from runners.
+// quarantineKey returns the store key of a quarantined request.
 func quarantineKey(d quarantine.Digest) string { return quarantinePrefix + d.String() }
 
-// quarantinedAt returns which request a key of the store is about; false if it is about none.
-func quarantinedAt(key string) (quarantine.Digest, bool) {
+// parseQuarantineKey returns the request that a store key names, and false if it is not the key of a
+// quarantine.
+func parseQuarantineKey(key string) (quarantine.Digest, bool) {
 	var d quarantine.Digest
 	text, ok := strings.CutPrefix(key, quarantinePrefix)
 	if !ok || len(text) != hex.EncodedLen(len(d)) {
@@ -35,9 +36,9 @@
 	return d, err == nil
 }
 
-// keepQuarantines writes quarantines to the store until the context ends.
-func (p *Ingress) keepQuarantines(ctx context.Context) {
-	tick := time.NewTicker(publishLook)
+// publishQuarantines writes quarantines to the store until the context ends.
+func (p *Ingress) publishQuarantines(ctx context.Context) {
+	tick := time.NewTicker(publishInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -45,20 +46,20 @@
 			return
 		case now := <-tick.C:
 			for _, r := range p.suspects.Unpublished(now) {
-				p.publish(ctx, r)
+				p.publishQuarantine(ctx, r)
 			}
 		}
 	}
 }
 
-// publish writes one quarantine, unless the store shows it already. A call that fails is made
-// again: the table returns what the store is not known to show.
-func (p *Ingress) publish(ctx context.Context, r quarantine.Report) {
-	ctx, cancel := context.WithTimeout(ctx, announceCall)
+// publishQuarantine writes one quarantine unless the store already holds it. A failed call is retried,
+// since the table returns each quarantine until it is marked as published.
+func (p *Ingress) publishQuarantine(ctx context.Context, r quarantine.Report) {
+	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
 	key, writer := quarantineKey(r.Digest), []byte(p.settings.Load().Instance.Name)
-	_, err := store.PutLeased(ctx, p.feed.current(), r.Left, store.Change{If: []store.Condition{{Key: key}}, Put: []store.Put{{Key: key, Value: writer}}})
-	// On a conflict another gateway was first, or the answer to an earlier try was lost.
+	_, err := store.PutLeased(ctx, p.feed.currentStore(), r.Left, store.Change{If: []store.Condition{{Key: key}}, Put: []store.Put{{Key: key, Value: writer}}})
+	// On a conflict another gateway wrote it first, or the response to an earlier attempt was lost.
 	var conflict *store.ErrConflict
 	taken := errors.As(err, &conflict)
 	if taken {
--- a/pkg/process/relay.go
+++ b/pkg/process/relay.go
@@ -13,40 +13,39 @@
 )
 
 const (
-	// confirmEvery is how often a gateway asks the store at most although relays bring its
-	// changes. They bring them without a gap; this bounds how long a fault of theirs
-	// could last. confirmShare is the time between two such questions of all gateways
-	// together: they cost one call a second, however many gateways there are.
-	confirmEvery = 30 * time.Second
-	confirmShare = time.Second
-	// startRest is, at the shortest bound, how long a process that has just read the store does not look at it
-	// again: by then it knows the others, and relays bring what it missed. Without it
-	// each start costs two watches more.
-	startRest = 1200 * time.Millisecond
-	// outageTry is the time between two calls to a store that is lost, where relays are
-	// there that will tell when it is back.
-	outageTry = 4 * time.Second
+	// confirmInterval is the shortest interval at which a gateway reads the store although relays send
+	// its changes. Relays send them without gaps; the interval bounds how long a fault of theirs could
+	// last. confirmPerGateway is the time between two such reads of all gateways together: they cost
+	// one call a second, however many gateways there are.
+	confirmInterval   = 30 * time.Second
+	confirmPerGateway = time.Second
+	// firstReadRest is how long, at the shortest bound, a process that has just read the store does not
+	// read it again. By then it has discovered the other gateways, and relays have sent what it missed.
+	// Without this time each start costs two more watches.
+	firstReadRest = 1200 * time.Millisecond
+	// outageRetryDelay is the delay between two calls to a store that does not respond, if relays exist
+	// that will report when it responds again.
+	outageRetryDelay = 4 * time.Second
 )
 
 // relays are the gateways that keep each other up to date with the store.
 type relays interface {
-	// Relay reports whether this gateway is one that watches the store closely.
+	// Relay reports whether this gateway is a relay, which watches the store closely.
 	Relay(now time.Time) bool
-	// Coverage is how the others keep this one up to date.
+	// Coverage returns how well relays keep this gateway up to date.
 	Coverage(now time.Time) peers.Coverage
-	// StoreAnswers notes that the store answered this gateway.
+	// StoreAnswers records that the store responded to this gateway.
 	StoreAnswers(now time.Time)
-	// Known returns how many other gateways there are.
+	// Known returns the number of other gateways.
 	Known() int
-	// SendStoreUpdates passes on what is new.
+	// SendStoreUpdates forwards new changes to the subscribers.
 	SendStoreUpdates(now time.Time)
 }
 
-// relayed waits for as long as relays bring the changes of the store. It implements
-// store.Follower.Relayed.
+// relayed waits while relays send the changes of the store. It implements store.Follower.Relayed.
 func (f *feed) relayed(ctx context.Context) (store.Revision, time.Duration) {
 	for {
-		rest, wait := f.next(time.Now())
+		rest, wait := f.nextWatch(time.Now())
 		if rest <= 0 || ctx.Err() != nil {
 			return f.Reached(), wait
 		}
@@ -54,7 +53,7 @@
 		select {
 		case <-ctx.Done():
 		case <-timer.C:
-		case <-f.woken:
+		case <-f.wakeup:
 			timer.Stop()
 			return f.Reached(), 0
 		}
@@ -62,15 +61,15 @@
 	}
 }
 
-// next returns how long the store need not be looked at, and how long the watch that
-// follows may wait for a change, 0 for the usual time.
-func (f *feed) next(now time.Time) (rest, wait time.Duration) {
+// nextWatch returns how long the store need not be watched, and how long the watch that follows may wait
+// for a change, 0 for the usual time.
+func (f *feed) nextWatch(now time.Time) (rest, wait time.Duration) {
 	if f.Reached() == 0 {
 		return 0, 0
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if rest := f.firstRead.Add(f.pace.Scale(startRest)).Sub(now); rest > 0 {
+	if rest := f.firstRead.Add(f.pace.Scale(firstReadRest)).Sub(now); rest > 0 {
 		return rest, 0
 	}
 	if f.relays.Relay(now) {
@@ -85,23 +84,24 @@
 	case now.Before(until):
 		return until.Sub(now), 0
 	case now.Before(covered.FreshUntil):
-		f.confirmAt, wait = now.Add(f.confirmPause()), confirmWait
-	case f.copy.lostNow() && covered.Answering && now.Before(f.triedAt):
-		return f.triedAt.Sub(now), 0
+		f.confirmAt, wait = now.Add(f.confirmDelay()), confirmWatchWait
+	case f.snapshot.unreachable() && covered.Answering && now.Before(f.retryAt):
+		return f.retryAt.Sub(now), 0
 	}
-	f.triedAt = now.Add(jitter(outageTry))
+	f.retryAt = now.Add(jitter(outageRetryDelay))
 	return 0, wait
 }
 
-// forgottenLook is the time between two looks at what relays brought.
-const forgottenLook = 50 * time.Millisecond
+// forgottenPollInterval is the interval between checks for updates from relays.
+const forgottenPollInterval = 50 * time.Millisecond
 
-// forgotten waits, after the store has forgotten its history, for relays to bring what they read anew:
-// as long as a relay may take to see that, and to read. Relays themselves read at once. It implements
+// forgotten waits for relays to send what they read again after the store has dropped its history. It
+// waits as long as a relay may take to notice that and to read. Relays themselves read at once. The
+// result is the revision reached, or 0 if this gateway must read the store itself. It implements
 // store.Follower.Forgotten.
 func (f *feed) forgotten(ctx context.Context, after store.Revision) store.Revision {
 	began := time.Now()
-	tick := time.NewTicker(forgottenLook)
+	tick := time.NewTicker(forgottenPollInterval)
 	defer tick.Stop()
 	for now := began; now.Sub(began) < f.pace.WatchWait; {
 		if at := f.Reached(); at > after {
@@ -119,41 +119,41 @@
 	return 0
 }
 
-// relayWait returns how long the watch of a relay may wait for a change: what it knows is
-// confirmed at the pace's WatchWait, also where it let changes come together before.
+// relayWait returns how long the watch of a relay may wait for a change. The relay's state is confirmed
+// every WatchWait of the pace, also if it waited for further changes before.
 func (f *feed) relayWait(now time.Time) time.Duration {
 	_, confirmed := f.history.Reached()
 	wait := f.pace.WatchWait - max(0, now.Sub(confirmed))
 	if pending, left := f.history.AssurePending(boottime.Now()); pending {
-		// The first watch after a restore that assures anything must not wait.
+		// The first watch after a restore that can assure the keys must not wait.
 		wait = min(wait, left)
 	}
-	return max(confirmWait, wait)
+	return max(confirmWatchWait, wait)
 }
 
-// confirmWait is how long a watch waits that only asks whether something is new.
-const confirmWait = time.Millisecond
+// confirmWatchWait is the wait of a watch that only checks for changes.
+const confirmWatchWait = time.Millisecond
 
-// confirmPause returns how long relays are relied on before the store is asked all the same.
-func (f *feed) confirmPause() time.Duration {
-	return jitter(max(confirmEvery, time.Duration(f.relays.Known())*confirmShare))
+// confirmDelay returns how long this gateway relies on relays before it reads the store nevertheless.
+func (f *feed) confirmDelay() time.Duration {
+	return jitter(max(confirmInterval, time.Duration(f.relays.Known())*confirmPerGateway))
 }
 
-// jitter spreads a time by half to both sides, so that gateways that began together do
-// not go on together.
+// jitter returns a random time from d/2 to 3d/2, so that gateways which started together do not stay
+// synchronized.
 func jitter(d time.Duration) time.Duration { return d/2 + rand.N(d) }
 
-// answered notes that the store answered.
-func (f *feed) answered(now time.Time) {
-	pause := f.confirmPause()
+// storeAnswered records that the store responded.
+func (f *feed) storeAnswered(now time.Time) {
+	pause := f.confirmDelay()
 	f.mu.Lock()
 	f.confirmAt = now.Add(pause)
 	f.mu.Unlock()
 	f.relays.StoreAnswers(now)
 }
 
-// readOnce notes the first reading of the store.
-func (f *feed) readOnce(now time.Time) {
+// noteFirstRead records the time of the first read of the store.
+func (f *feed) noteFirstRead(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.firstRead.IsZero() {
@@ -161,10 +161,10 @@
 	}
 }
 
-// wake has the store looked at now.
+// wake makes the feed watch the store now.
 func (f *feed) wake() {
 	select {
-	case f.woken <- struct{}{}:
+	case f.wakeup <- struct{}{}:
 	default:
 	}
 }
@@ -184,23 +184,23 @@
 	return f.history.Since(at, reads, now)
 }
 
-// Receive implements peers.StoreFeed. Without a reading of the store an update is of no
-// use; one behind a gap is asked for again.
+// Receive implements peers.StoreFeed. It rejects updates before the first read of the store, and updates
+// after a gap, which are requested again.
 func (f *feed) Receive(u relay.Update) bool {
-	f.applying.Lock()
-	defer f.applying.Unlock()
+	f.applyMu.Lock()
+	defer f.applyMu.Unlock()
 	at := f.Reached()
 	if at == 0 || u.From > at || u.To.Era() > at.Era() && u.From != at {
 		return false
 	}
-	if err := f.copy.resolve(&u); err != nil {
+	if err := f.snapshot.resolve(&u); err != nil {
 		f.log.Write(decisionlog.KindFailed, "store_change_not_read", decisionlog.F("error", err))
 	}
 	var confirmed time.Time
 	if !u.More {
 		confirmed = time.Now().Add(-u.Age)
 	}
-	if news := f.take(u, confirmed); news > 0 {
+	if news := f.applyUpdate(u, confirmed); news > 0 {
 		f.log.Write(decisionlog.KindState, "store_changes_relayed", decisionlog.F("changes", news), decisionlog.F("at", u.To))
 	}
 	if u.More {
@@ -211,10 +211,10 @@
 	return true
 }
 
-// take applies the changes of an update after the revision reached, and skips known ones. Confirmed is when
-// the store had no later change, zero if it may have had. It returns the number of changes applied or
-// deferred. The caller holds the lock.
-func (f *feed) take(u relay.Update, confirmed time.Time) int {
+// applyUpdate applies the changes of an update after the revision reached, and skips changes already
+// applied. confirmed is when the store had no later change, zero if it may have had one. The result is
+// the number of changes applied or deferred. The caller holds applyMu.
+func (f *feed) applyUpdate(u relay.Update, confirmed time.Time) int {
 	at := f.Reached()
 	u.To = max(u.To, at)
 	crosses := u.To.Era() > at.Era()
@@ -231,9 +231,9 @@
 	} else {
 		f.history.Advance(u.To, news, confirmed)
 	}
-	f.copy.apply(news, u.To)
+	f.snapshot.apply(news, u.To)
 	for _, e := range current {
-		f.event(e, u.To)
+		f.applyEvent(e, u.To)
 	}
 	if crosses {
 		f.storeRestored(at, u, len(news)-len(current))
--- a/pkg/process/relay_test.go
+++ b/pkg/process/relay_test.go
@@ -21,36 +21,35 @@
 	"github.com/hopwell/hopwell/platform/standin"
 )
 
-// readsAll is what a gateway of this build reads.
+// readsAll are the features that a gateway of this build decodes.
 var readsAll = relay.Reads{Deltas: true, Eras: true}
 
 var pace = relay.PaceFor(relay.ShortestBound)
 
-// fixture is a feed that has read the store at a revision, with the relays that the test
-// sets.
+// fixture is a feed that has read the store at a revision, with relays that the test sets.
 type fixture struct {
 	*feed
-	isRelay  bool
-	coverage peers.Coverage
-	others   int
-	passedOn int
-	met      []string
-	restores int
+	isRelay      bool
+	coverage     peers.Coverage
+	others       int
+	forwarded    int
+	gatewaysSeen []string
+	restores     int
 }
 
 func (f *fixture) Relay(time.Time) bool              { return f.isRelay }
 func (f *fixture) Coverage(time.Time) peers.Coverage { return f.coverage }
 func (f *fixture) Known() int                        { return f.others }
 func (f *fixture) StoreAnswers(time.Time)            {}
-func (f *fixture) SendStoreUpdates(time.Time)        { f.passedOn++ }
+func (f *fixture) SendStoreUpdates(time.Time)        { f.forwarded++ }
 
 func newFixture(t *testing.T, at store.Revision, items ...store.Item) *fixture {
 	log := decisionlog.New("test", io.Discard)
 	t.Cleanup(func() { log.Close(time.Second) })
 	f := &fixture{feed: newFeed(ingress.New(ingress.Options{Log: log}), log, nil, "", pace)}
-	f.orders = func(bool) {}
-	f.gateway = func(name, _ string) { f.met = append(f.met, name) }
-	f.relays, f.forget, f.onRestore = f, func(string) {}, func() { f.restores++ }
+	f.onOrderLock = func(bool) {}
+	f.onGateway = func(name, _ string) { f.gatewaysSeen = append(f.gatewaysSeen, name) }
+	f.relays, f.onRunnerRestart, f.onRestore = f, func(string) {}, func() { f.restores++ }
 	if err := f.reset(items, at); err != nil {
 		panic(err)
 	}
@@ -88,7 +87,7 @@
 	return false
 }
 
-func TestAChangeFromARelayIsInForceAtOnce(t *testing.T) {
+func TestRelayedChangeIsAppliedAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	f := newFixture(t, 10, entry("e1", "prefill", 5))
 	g.Expect(f.Receive(update(10, 13, store.Event{Item: entry("e1", "decode", 12)}, store.Event{Item: entry("e2", "decode", 13)}))).To(BeTrue())
@@ -96,11 +95,11 @@
 	g.Expect(f.present("e2")).To(BeTrue())
 	g.Expect(f.Receive(update(13, 14, store.Event{Item: store.Item{Key: standin.RunnerKey("e2"), Revision: 14}, Gone: true}))).To(BeTrue())
 	g.Expect(f.present("e2")).To(BeFalse())
-	g.Expect(f.Reached()).To(Equal(store.Revision(14)), "the next watch goes on from there")
-	g.Expect(f.passedOn).To(Equal(2), "to those that took this gateway for their relay")
+	g.Expect(f.Reached()).To(Equal(store.Revision(14)), "the next watch continues from there")
+	g.Expect(f.forwarded).To(Equal(2), "to the subscribers of this gateway")
 }
 
-func TestAnUpdateBehindAGapIsNotTaken(t *testing.T) {
+func TestUpdateAfterGapIsRejected(t *testing.T) {
 	g := NewWithT(t)
 	f := newFixture(t, 10, entry("e1", "prefill", 5))
 	g.Expect(f.Receive(update(12, 13, store.Event{Item: entry("e1", "decode", 13)}))).To(BeFalse())
@@ -108,22 +107,22 @@
 	g.Expect(f.Reached()).To(Equal(store.Revision(10)))
 }
 
-func TestAnOlderChangeNeverUndoesANewerOne(t *testing.T) {
+func TestOlderChangeDoesNotOverwriteNewerOne(t *testing.T) {
 	g := NewWithT(t)
 	f := newFixture(t, 10, entry("e1", "prefill", 5))
 	f.Receive(update(10, 14, store.Event{Item: entry("e1", "decode", 14)}))
 	f.Receive(update(9, 12, store.Event{Item: entry("e1", "prefill", 12)}))
-	g.Expect(f.stage("e1")).To(Equal(runners.Decode), "relays overtake each other")
+	g.Expect(f.stage("e1")).To(Equal(runners.Decode), "an older update arrives after a newer one from another relay")
 	f.apply([]store.Event{{Item: entry("e1", "prefill", 12)}}, 13)
-	g.Expect(f.stage("e1")).To(Equal(runners.Decode), "the own watch comes later")
+	g.Expect(f.stage("e1")).To(Equal(runners.Decode), "this gateway's own watch returns later")
 	g.Expect(f.Reached()).To(Equal(store.Revision(14)))
 	f.apply([]store.Event{{Item: entry("e1", "prefill", 15)}}, 15)
 	g.Expect(f.stage("e1")).To(Equal(runners.Prefill))
 	f.Receive(update(10, 14, store.Event{Item: entry("e1", "decode", 14)}))
-	g.Expect(f.stage("e1")).To(Equal(runners.Prefill), "a datagram arrives very late")
+	g.Expect(f.stage("e1")).To(Equal(runners.Prefill), "a relayed update arrives after a newer watch")
 }
 
-func TestAReadingOlderThanWhatRelaysBroughtIsRefused(t *testing.T) {
+func TestReadOlderThanRelayedStateIsRejected(t *testing.T) {
 	g := NewWithT(t)
 	f := newFixture(t, 10, entry("e1", "prefill", 5))
 	f.Receive(update(10, 14, store.Event{Item: entry("e1", "decode", 14)}))
@@ -131,7 +130,7 @@
 	g.Expect(f.stage("e1")).To(Equal(runners.Decode))
 }
 
-func TestARunnerThatIsGoneIsNotBroughtBackByALateRelay(t *testing.T) {
+func TestLateRelayUpdateDoesNotRestoreRemovedRunner(t *testing.T) {
 	g := NewWithT(t)
 	f := newFixture(t, 10, entry("e1", "decode", 5))
 	f.apply([]store.Event{{Item: store.Item{Key: standin.RunnerKey("e1"), Revision: 12}, Gone: true}}, 12)
@@ -139,7 +138,7 @@
 	g.Expect(f.present("e1")).To(BeFalse())
 }
 
-func TestWhatGatewaysNeedIsPassedOn(t *testing.T) {
+func TestOnlyNeededKeysAreForwarded(t *testing.T) {
 	g := NewWithT(t)
 	f := newFixture(t, 10)
 	f.apply([]store.Event{
@@ -153,19 +152,19 @@
 		keys = append(keys, c.Key)
 	}
 	g.Expect(keys).To(Equal([]string{standin.RunnerKey("e1"), gatewayPrefix + "g", orderKey}))
-	g.Expect(f.met).To(Equal([]string{"g"}))
+	g.Expect(f.gatewaysSeen).To(Equal([]string{"g"}))
 }
 
-func TestRelaysAreIgnoredBeforeTheStoreWasRead(t *testing.T) {
+func TestUpdatesBeforeFirstReadAreRejected(t *testing.T) {
 	g := NewWithT(t)
 	f := newFixture(t, 0)
 	g.Expect(f.Receive(update(0, 11, store.Event{Item: entry("e1", "decode", 11)}))).To(BeFalse())
 	g.Expect(f.present("e1")).To(BeFalse())
 }
 
-// What a relay says that can't send everything is no news of how fresh it is: others take
-// this gateway for their relay.
-func TestAnUpdateThatLacksChangesConfirmsNothing(t *testing.T) {
+// Guards against an update without all changes that counts as a confirmation: the subscribers of
+// this gateway would rely on it.
+func TestIncompleteUpdateConfirmsNothing(t *testing.T) {
 	g := NewWithT(t)
 	f := newFixture(t, 10)
 	_, before := f.history.Reached()
@@ -179,14 +178,14 @@
 	g.Expect(after).To(BeTemporally(">", before))
 }
 
-// A process that starts in an outage takes over what another gateway knows, and relays
-// bring what came later; it needs no reading of its own.
-func TestWhatAnotherGatewayKnowsIsGoneOnFrom(t *testing.T) {
+// A process that starts during a store outage loads the state of another gateway, and relays send
+// the later changes; it need not read the store itself.
+func TestRelayUpdatesContinueFromPeerState(t *testing.T) {
 	g := NewWithT(t)
 	f := newFixture(t, 0)
 	var free []bool
-	f.orders = func(is bool) { free = append(free, is) }
-	f.learn(sharedState{At: 10, Items: []store.Item{entry("e1", "prefill", 5), {Key: orderKey, Value: []byte("g"), Revision: 7}}})
+	f.onOrderLock = func(is bool) { free = append(free, is) }
+	f.loadPeerState(sharedState{At: 10, Items: []store.Item{entry("e1", "prefill", 5), {Key: orderKey, Value: []byte("g"), Revision: 7}}})
 	g.Expect(f.Receive(update(10, 12, store.Event{Item: entry("e1", "decode", 11)},
 		store.Event{Item: store.Item{Key: orderKey, Revision: 12}, Gone: true}))).To(BeTrue())
 	g.Expect(f.stage("e1")).To(Equal(runners.Decode))
@@ -195,7 +194,7 @@
 	g.Expect(at).To(Equal(store.Revision(12)))
 }
 
-// waits returns how long a feed leaves the store alone.
+// waits returns how long a feed does not watch the store.
 func (f *fixture) waits(t *testing.T) time.Duration {
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
@@ -204,68 +203,68 @@
 	return time.Since(began)
 }
 
-func TestTheStoreIsLeftAloneWhileRelaysAreFresh(t *testing.T) {
+func TestStoreIsNotWatchedWhileRelaysAreFresh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newFixture(t, 10)
-		g.Expect(f.waits(t)).To(Equal(startRest), "it has just been read")
-		g.Expect(f.waits(t)).To(BeZero(), "no relay has said anything")
+		g.Expect(f.waits(t)).To(Equal(firstReadRest), "the store has just been read")
+		g.Expect(f.waits(t)).To(BeZero(), "no relay has sent anything")
 		f.coverage.FreshUntil = time.Now().Add(pace.StaleAfter)
-		g.Expect(f.waits(t)).To(Equal(pace.StaleAfter), "both relays lost, paused, or cut off")
+		g.Expect(f.waits(t)).To(Equal(pace.StaleAfter), "both relays have stopped, are paused or unreachable")
 		f.coverage.FreshUntil = time.Now().Add(time.Hour)
 		f.waits(t)
-		g.Expect(f.waits(t)).To(And(BeNumerically(">=", confirmEvery/2), BeNumerically("<=", 2*confirmEvery)), "also where the call before failed")
+		g.Expect(f.waits(t)).To(And(BeNumerically(">=", confirmInterval/2), BeNumerically("<=", 2*confirmInterval)), "also if the previous call failed")
 		f.isRelay = true
-		g.Expect(f.waits(t)).To(BeZero(), "a relay watches")
+		g.Expect(f.waits(t)).To(BeZero(), "a relay watches the store")
 	})
 }
 
-func TestAGatewayThatBecomesARelayWatchesAtOnce(t *testing.T) {
+func TestNewRelayWatchesStoreAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newFixture(t, 10)
 		f.coverage.FreshUntil = time.Now().Add(time.Hour)
-		time.Sleep(startRest)
+		time.Sleep(firstReadRest)
 		time.AfterFunc(100*time.Millisecond, f.Subscribed)
 		g.Expect(f.waits(t)).To(Equal(100 * time.Millisecond))
 	})
 }
 
-// A change that fits no datagram is read from the store at once.
-func TestWhatARelayCannotSendIsReadFromTheStore(t *testing.T) {
+// A change that is too large for a datagram must be read from the store at once.
+func TestChangeTooLargeForDatagramIsReadFromStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newFixture(t, 10)
 		f.coverage.FreshUntil = time.Now().Add(time.Hour)
-		time.Sleep(startRest)
+		time.Sleep(firstReadRest)
 		time.AfterFunc(100*time.Millisecond, func() { f.Receive(relay.Update{From: 10, To: 11, More: true}) })
 		g.Expect(f.waits(t)).To(Equal(100 * time.Millisecond))
 	})
 }
 
-// While the store is lost to all, gateways with relays that answer ask it seldom.
-func TestAStoreThatIsLostIsAskedSeldom(t *testing.T) {
+// While no gateway reaches the store, gateways whose relays respond must call it rarely.
+func TestUnreachableStoreIsCalledRarely(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newFixture(t, 10)
-		f.copy.answers(false)
-		time.Sleep(startRest)
+		f.snapshot.setReachable(false)
+		time.Sleep(firstReadRest)
 		f.coverage = peers.Coverage{FreshUntil: time.Now().Add(-time.Second), Answering: true}
 		g.Expect(f.waits(t)).To(BeZero())
-		g.Expect(f.waits(t)).To(And(BeNumerically(">=", outageTry/2), BeNumerically("<=", 2*outageTry)))
+		g.Expect(f.waits(t)).To(And(BeNumerically(">=", outageRetryDelay/2), BeNumerically("<=", 2*outageRetryDelay)))
 		f.coverage.Answering = false
-		g.Expect(f.waits(t)).To(BeZero(), "nobody else will tell that it is back")
+		g.Expect(f.waits(t)).To(BeZero(), "no relay will report that the store responds again")
 	})
 }
 
-// Guards against subscribers that all read the store anew after a relay had to.
-func TestAReadingAnewIsPassedOnAsChanges(t *testing.T) {
+// Guards against subscribers that all read the store again after a relay had to.
+func TestRepeatedReadIsForwardedAsChanges(t *testing.T) {
 	g := NewWithT(t)
 	f := newFixture(t, 10, entry("e1", "prefill", 5), entry("e2", "decode", 6), entry("e3", "decode", 7))
 	f.apply([]store.Event{{Item: entry("e4", "decode", 12)}}, 12)
-	passed := f.passedOn
+	passed := f.forwarded
 	g.Expect(f.reset([]store.Item{entry("e1", "decode", 15), entry("e2", "decode", 6), entry("e4", "prefill", 14), entry("e5", "decode", 21)}, 20)).To(Succeed())
-	g.Expect(f.passedOn).To(Equal(passed + 1))
+	g.Expect(f.forwarded).To(Equal(passed + 1))
 	updates := f.Since(11, readsAll, time.Now())
 	g.Expect(updates).To(HaveLen(1))
 	g.Expect(updates[0].More).To(BeFalse(), "a subscriber need not read the store")
@@ -276,13 +275,13 @@
 	g.Expect(other.stage("e1")).To(Equal(runners.Decode))
 	g.Expect(other.stage("e4")).To(Equal(runners.Prefill))
 	g.Expect(other.present("e2")).To(BeTrue())
-	g.Expect(other.present("e3")).To(BeFalse(), "it has gone meanwhile")
-	g.Expect(other.present("e5")).To(BeFalse(), "it came while the store was read: the next watch brings it")
+	g.Expect(other.present("e3")).To(BeFalse(), "it was removed meanwhile")
+	g.Expect(other.present("e5")).To(BeFalse(), "it was added during the read: the next watch reports it")
 	g.Expect(other.Reached()).To(Equal(store.Revision(20)))
 }
 
 // Guards against confirmations whose rate grows with the number of gateways.
-func TestAllGatewaysTogetherConfirmAtABoundedRate(t *testing.T) {
+func TestTotalConfirmationRateIsBounded(t *testing.T) {
 	g := NewWithT(t)
 	f := newFixture(t, 10)
 	for _, others := range []int{0, 30, 356, 712} {
@@ -290,7 +289,7 @@
 		var sum time.Duration
 		const draws = 2000
 		for range draws {
-			sum += f.confirmPause()
+			sum += f.confirmDelay()
 		}
 		perSecond := float64(others+1) / (sum / draws).Seconds()
 		g.Expect(perSecond).To(BeNumerically("<", 1.1), "%d gateways", others+1)
@@ -314,7 +313,7 @@
 	return store.Item{Key: platform.ConfigKey, Value: value, Revision: revision}
 }
 
-func TestALargeConfigurationIsRelayedByWhatChangesInIt(t *testing.T) {
+func TestLargeConfigurationIsRelayedAsDelta(t *testing.T) {
 	g := NewWithT(t)
 	first := largeConfig(1, 5)
 	relay, f, stranger := newFixture(t, 10, first), newFixture(t, 10, first), newFixture(t, 10, largeConfig(1, 6))
@@ -325,9 +324,9 @@
 	g.Expect(f.Receive(updates[0])).To(BeTrue())
 	g.Expect(f.ingress.Version()).To(Equal(uint64(2)))
 	g.Expect(f.stage("e1")).To(Equal(runners.Decode))
-	g.Expect(f.Receive(updates[0])).To(BeTrue(), "it comes again from the other relay")
+	g.Expect(f.Receive(updates[0])).To(BeTrue(), "the other relay sends the same update")
 	g.Expect(f.ingress.Version()).To(Equal(uint64(2)))
-	state, _ := f.copy.state(time.Now())
+	state, _ := f.snapshot.export(time.Now())
 	for _, i := range state.Items {
 		if i.Key == platform.ConfigKey {
 			g.Expect(i.Value).To(Equal(largeConfig(2, 12).Value))
@@ -337,13 +336,13 @@
 	other := relay.Since(10, readsAll, time.Now())
 	other[0].Deltas[0].Bytes = append([]byte{2}, other[0].Deltas[0].Bytes...)
 	stranger.Receive(other[0])
-	g.Expect(stranger.ingress.Version()).To(Equal(uint64(1)), "what can't be made is left")
-	g.Expect(stranger.Reached()).To(Equal(store.Revision(11)), "and the watch that follows brings it")
-	g.Expect(stranger.stage("e1")).To(BeEmpty(), "with what came after it")
+	g.Expect(stranger.ingress.Version()).To(Equal(uint64(1)), "a delta that can't be applied is left out")
+	g.Expect(stranger.Reached()).To(Equal(store.Revision(11)), "and the watch that follows reports it")
+	g.Expect(stranger.stage("e1")).To(BeEmpty(), "together with the later changes")
 }
 
-// Guards against gateways that all read the store when it forgets its history.
-func TestWhatTheStoreForgotIsReadByRelays(t *testing.T) {
+// Guards against gateways that all read the store when it drops its history.
+func TestGatewaysWaitForRelaysWhenStoreDropsHistory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newFixture(t, 10, entry("e1", "prefill", 5))
@@ -357,13 +356,13 @@
 		g.Expect(time.Since(began)).To(BeNumerically("<", pace.WatchWait))
 
 		began = time.Now()
-		g.Expect(f.forgotten(t.Context(), 20)).To(BeZero(), "relays bring nothing: it reads itself")
-		g.Expect(time.Since(began)).To(BeNumerically("~", pace.WatchWait, 2*forgottenLook))
+		g.Expect(f.forgotten(t.Context(), 20)).To(BeZero(), "relays send nothing: the gateway reads the store itself")
+		g.Expect(time.Since(began)).To(BeNumerically("~", pace.WatchWait, 2*forgottenPollInterval))
 		f.isRelay = true
 		began = time.Now()
 		g.Expect(f.forgotten(t.Context(), 20)).To(BeZero())
 		f.isRelay, f.coverage.Answering = false, false
 		g.Expect(f.forgotten(t.Context(), 20)).To(BeZero())
-		g.Expect(time.Since(began)).To(BeZero(), "relays, and gateways without any, read at once")
+		g.Expect(time.Since(began)).To(BeZero(), "relays, and gateways without relays, read at once")
 	})
 }
--- a/pkg/process/restored.go
+++ b/pkg/process/restored.go
@@ -38,8 +38,8 @@
 	read, due time.Time
 }
 
-// deferStale returns the changes of an update to apply now. Changes that a restored store shows and that may
-// be older than the current state are deferred or dropped. The caller holds the lock.
+// deferStale returns the changes of an update to apply now. Changes that a restored store shows and that
+// may be older than the current state are deferred or dropped. The caller holds applyMu.
 func (f *feed) deferStale(u relay.Update) []store.Event {
 	now := time.Now()
 	var out []store.Event
@@ -60,10 +60,10 @@
 	return out
 }
 
-// deferral returns how long to defer a change that a restored store shows. The caller holds the lock.
+// deferral returns how long to defer a change that a restored store shows. The caller holds applyMu.
 func (f *feed) deferral(e store.Event) time.Duration {
-	if _, ok := quarantinedAt(e.Key); ok && e.Gone {
-		return dropped // Lost, not ended: the gateways write it again.
+	if _, ok := parseQuarantineKey(e.Key); ok && e.Gone {
+		return dropped // The store lost the quarantine before it ended; the gateways write it again.
 	}
 	if strings.HasPrefix(e.Key, changePrefix) {
 		return dropped // Gateways report stage changes to each other; the engine's entry ends them.
@@ -95,7 +95,7 @@
 	if shown.Born < current.Born || shown.Born == current.Born && current.Gone() {
 		return lapseTime
 	}
-	have, known := f.copy.get(e.Key)
+	have, known := f.snapshot.get(e.Key)
 	if !known {
 		return 0
 	}
@@ -105,8 +105,8 @@
 	return 0
 }
 
-// storeRestored records that the store was restored from an older copy. It restarts the time of changes that
-// are deferred since an earlier restore. The caller holds the lock.
+// storeRestored records that the store was restored from an older copy. It restarts the delay of changes
+// that were deferred by an earlier restore. The caller holds applyMu.
 func (f *feed) storeRestored(before store.Revision, u relay.Update, deferred int) {
 	storeRestores.Inc()
 	now := time.Now()
@@ -134,19 +134,19 @@
 
 // applyDeferred applies the deferred changes that are due.
 func (f *feed) applyDeferred(now time.Time) {
-	f.applying.Lock()
-	defer f.applying.Unlock()
+	f.applyMu.Lock()
+	defer f.applyMu.Unlock()
 	for key, d := range f.deferred {
 		if now.Before(d.due) {
 			continue
 		}
 		delete(f.deferred, key)
 		if name, ok := platform.RunnerName(key); ok && d.change.Gone {
-			// The runner has been missing since the reading.
+			// The runner has been missing since the read.
 			f.ingress.Directory.Gone(name, d.read)
 			continue
 		}
-		f.event(d.change, f.Reached())
+		f.applyEvent(d.change, f.Reached())
 	}
 }
 
@@ -154,13 +154,13 @@
 // nil otherwise.
 func (f *feed) newerConfig() *store.Item {
 	used := f.inForce.Load()
-	if have, known := f.copy.get(platform.ConfigKey); used == nil || known && bytes.Equal(have.Value, used.Value) {
+	if have, known := f.snapshot.get(platform.ConfigKey); used == nil || known && bytes.Equal(have.Value, used.Value) {
 		return nil
 	}
 	return used
 }
 
-// mayBeStale reports whether the first reading of this process may have shown an older copy, because the
+// mayBeStale reports whether the first read of this process may have shown an older copy, because the
 // store was restored shortly before.
 func (f *feed) mayBeStale(now time.Time) bool {
 	f.mu.Lock()
--- a/pkg/process/restored_test.go
+++ b/pkg/process/restored_test.go
@@ -24,7 +24,7 @@
 	return r
 }
 
-// written is an engine's entry with a state, as its writes since a start count them.
+// written is an engine's entry with a state, an incarnation and the sequence number of the write.
 func written(id, stage, state string, born int64, sequence int, revision store.Revision) store.Item {
 	i := entry(id, stage, revision)
 	var fields map[string]any
@@ -43,9 +43,9 @@
 	return i
 }
 
-// Guards against a gateway that never sees what the store holds under revisions that it gave out again, as
-// four of five did in the incident: a relay reads at 40 and tells only what comes after the 39 that it knew.
-func TestWhatIsWrittenUnderRevisionsThatAreGivenOutAgainIsPassedOn(t *testing.T) {
+// Guards against a gateway that never receives what the restored store holds under reused revisions, as four
+// of five did in the incident: a relay read at revision 40 and sent only the changes after its previous 39.
+func TestWritesUnderReusedRevisionsAreForwarded(t *testing.T) {
 	g := NewWithT(t)
 	first := []store.Item{written("e1", "decode", "ready", 0, 1, 20), written("e2", "prefill", "ready", 0, 1, 21), {Key: orderKey, Value: []byte("g"), Revision: 38}}
 	relay, f := newFixture(t, 39, first...), newFixture(t, 39, first...)
@@ -60,12 +60,12 @@
 		g.Expect(got.stage("e2")).To(Equal(runners.Decode), name)
 		g.Expect(got.restores).To(Equal(1), name)
 	}
-	g.Expect(relay.reset(first, 39)).To(BeAssignableToTypeOf(&store.ErrOld{}), "an answer of before comes late")
+	g.Expect(relay.reset(first, 39)).To(BeAssignableToTypeOf(&store.ErrOld{}), "a response from before the restore arrives late")
 }
 
-// Guards against a gateway that takes the difference between two eras from a relay that knew less of the
-// first one than itself.
-func TestAGatewayThatKnewMoreThanItsRelayReadsTheStoreItself(t *testing.T) {
+// Guards against a gateway that applies the difference between two eras from a relay that was behind it in
+// the first era.
+func TestGatewayAheadOfItsRelayReadsRestoredStore(t *testing.T) {
 	g := NewWithT(t)
 	relay, f := newFixture(t, 36, entry("e1", "decode", 20)), newFixture(t, 39, entry("e1", "decode", 20), entry("e2", "decode", 38))
 	g.Expect(relay.reset([]store.Item{entry("e1", "decode", inEra(1, 20))}, inEra(1, 36))).To(Succeed())
@@ -76,8 +76,8 @@
 	g.Expect(relay.Since(39, readsAll, time.Now())[0].More).To(BeTrue())
 }
 
-// Guards against a relay that follows an earlier era and confirms what it can't know.
-func TestUpdatesOfAnEarlierEraChangeNothing(t *testing.T) {
+// Guards against a relay that still follows an earlier era and confirms state of the current one.
+func TestUpdatesOfEarlierEraAreIgnored(t *testing.T) {
 	g := NewWithT(t)
 	f := newFixture(t, inEra(1, 10), written("e1", "decode", "draining", 0, 5, inEra(1, 9)))
 	f.Receive(relay.Update{From: 8, To: 50, Changes: []store.Event{{Item: entry("e1", "decode", 50)}}})
@@ -85,9 +85,9 @@
 	g.Expect(f.Reached()).To(Equal(inEra(1, 10)))
 }
 
-// Guards against a restored store that brings back what was over, or ends what goes on, until its writers
-// have written again.
-func TestAnOlderCopyBringsNothingBackAndEndsNothingAtOnce(t *testing.T) {
+// Guards against a restored store that brings back removed state, or removes current state, until the writers
+// have rewritten it.
+func TestRestoredStoreDoesNotOverwriteCurrentStateAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		evacuated := func(domain string, at store.Revision) store.Item {
@@ -115,27 +115,27 @@
 			g.Expect(f.ingress.Directory.Evacuated()).To(Equal([]string{"c"}), when)
 			g.Expect(f.ingress.Version()).To(Equal(uint64(2)), when)
 		}
-		asKnown("at once")
+		asKnown("right after the restore")
 		time.Sleep(rewriteTime - time.Millisecond)
 		f.applyDeferred(time.Now())
-		asKnown("while writers may still write again")
+		asKnown("while writers may still rewrite their state")
 
 		f.apply([]store.Event{{Item: written("new", "decode", "ready", 0, 9, inEra(1, 21))}, {Item: evacuated("c", inEra(1, 22))},
 			{Item: store.Item{Key: platform.EvacuationPrefix + "b", Revision: inEra(1, 23)}, Gone: true},
 			{Item: written("again", "decode", "ready", 200, 9, inEra(1, 24))}}, inEra(1, 24))
 		time.Sleep(lapseTime)
 		f.applyDeferred(time.Now())
-		g.Expect(f.present("new")).To(BeTrue(), "it has written again")
+		g.Expect(f.present("new")).To(BeTrue(), "it has rewritten its entry")
 		g.Expect(f.ingress.Directory.Evacuated()).To(Equal([]string{"c"}))
 		g.Expect(f.ingress.Directory.Current("again").Born).To(Equal(int64(200)))
-		g.Expect(f.present("leaves")).To(BeFalse(), "a runner that leaves never stays")
-		g.Expect(f.present("gone")).To(BeTrue(), "its entry outlives three heartbeats: it lives")
+		g.Expect(f.present("leaves")).To(BeFalse(), "a runner that announced its departure is never used again")
+		g.Expect(f.present("gone")).To(BeTrue(), "its entry outlives three heartbeats: it is alive")
 		g.Expect(f.deferred).To(BeEmpty())
 	})
 }
 
-// Guards against beliefs that outlive the time in which writers write again.
-func TestWhatNobodyWritesAgainIsGone(t *testing.T) {
+// Guards against state that is kept after the time in which writers rewrite it.
+func TestStateNotRewrittenAfterRestoreIsRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newFixture(t, 20, entry("e1", "decode", 5))
@@ -144,14 +144,13 @@
 		g.Expect(f.present("e2")).To(BeTrue())
 		time.Sleep(rewriteTime)
 		f.applyDeferred(time.Now())
-		g.Expect(len(f.ingress.Directory.Usable("llm", runners.Decode, time.Now()))).To(Equal(1), "without another grace")
+		g.Expect(len(f.ingress.Directory.Usable("llm", runners.Decode, time.Now()))).To(Equal(1), "without another grace period")
 		g.Expect(f.ingress.Directory.Evacuated()).To(BeEmpty())
 	})
 }
 
-// Guards against a request that is let through to runners since the store lost its quarantine, and against a
-// second restore that meets what the first left in doubt.
-func TestAnotherRestoreKeepsWhatIsKnown(t *testing.T) {
+// Guards against a second restore that applies changes which the first one deferred.
+func TestRepeatedRestoreKeepsCurrentState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newFixture(t, 20, entry("e1", "decode", 5))
@@ -167,8 +166,8 @@
 	})
 }
 
-// Guards against a second reading of an era, while changes are deferred, that misses what has gone since.
-func TestAnotherReadingOfTheSameEraShowsWhatHasGone(t *testing.T) {
+// Guards against a second read in an era, while changes are deferred, that misses what was removed since.
+func TestSecondReadInEraReportsRemovals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newFixture(t, 20, entry("e1", "decode", 5), entry("e2", "decode", 6))
@@ -176,7 +175,7 @@
 		g.Expect(f.reset([]store.Item{entry("e1", "decode", inEra(1, 5)), entry("e2", "decode", inEra(1, 6))}, inEra(1, 20))).To(Succeed())
 		g.Expect(f.reset([]store.Item{entry("e1", "decode", inEra(1, 5))}, inEra(1, 25))).To(Succeed())
 		g.Expect(f.present("e2")).To(BeFalse())
-		g.Expect(f.present("e3")).To(BeTrue(), "its entry may be rewritten yet")
+		g.Expect(f.present("e3")).To(BeTrue(), "its entry may still be rewritten")
 		time.Sleep(rewriteTime)
 		f.applyDeferred(time.Now())
 		time.Sleep(time.Second)
--- a/pkg/process/stager.go
+++ b/pkg/process/stager.go
@@ -20,76 +20,76 @@
 )
 
 const (
-	// orderKey is the key of the right to give orders; changePrefix is above the keys
-	// of engines on their way to another stage.
+	// orderKey is the key of the order lock; changePrefix is the prefix of the keys of engines that are
+	// changing their stage.
 	orderKey     = "hopwell/orders"
 	changePrefix = "hopwell/changes/"
-	// stagerLook is the time between two looks at the engines' stages.
-	stagerLook = 300 * time.Millisecond
-	// orderCall bounds a call of the stager.
-	orderCall = time.Second
-	// settleFor is how long the set of engines must have been the same before
-	// their stages are planned for the first time.
-	settleFor = 500 * time.Millisecond
-	// meetFor is how long a process gets to know the others before it may come first.
-	meetFor = 600 * time.Millisecond
-	// nextTry is how much later each next process by name tries: the one before has won
-	// by then, and all know it.
-	nextTry = 2 * stagerLook
-	// renewals is how often the right is renewed in its time.
-	renewals = 3
-	// unansweredOrder is how long an engine whose answer to an order was lost gets
-	// no new work: it may carry the order out some seconds later, or never.
-	unansweredOrder = 6 * time.Second
-	// urgentPatience is how long a stage must have no engine before one is ordered to it.
+	// stagerInterval is the interval between checks of the engines' stages.
+	stagerInterval = 300 * time.Millisecond
+	// orderCallTimeout bounds one call of the stager.
+	orderCallTimeout = time.Second
+	// settleTime is how long the set of engines must have been unchanged before their stages are
+	// planned for the first time.
+	settleTime = 500 * time.Millisecond
+	// discoveryTime is how long a process waits to discover other gateways before it may rank first.
+	discoveryTime = 600 * time.Millisecond
+	// rankDelay is how much later the process of each further rank (by name) tries: by then the process
+	// before has acquired the lock, and all gateways have learned of that.
+	rankDelay = 2 * stagerInterval
+	// renewalsPerLease is how often the order lock is renewed within its lease.
+	renewalsPerLease = 3
+	// unansweredOrderTime is how long an engine gets no new work after the response to its order was
+	// lost: it may carry out the order some seconds later, or never.
+	unansweredOrderTime = 6 * time.Second
+	// urgentPatience is how long a stage must have had no engine before one is ordered to change to it.
 	urgentPatience = time.Second
-	// rejoinAfter is how long an engine must not have refused work before it is counted again. An engine
-	// that pauses repeatedly accepts single requests in between.
+	// rejoinAfter is how long an engine must have refused no work before it counts as serving again. An
+	// engine that pauses repeatedly accepts single requests in between.
 	rejoinAfter = 2 * time.Second
-	// longestRun bounds how long an engine finishes what it runs, where no route
-	// has a limit.
-	longestRun = 15 * time.Second
-	// holdBack is how long a process does not try for the right after it found
-	// it held.
-	holdBack = 4 * time.Second
+	// defaultLongestRun bounds how long an engine takes to finish its running work if no route has a
+	// timeout.
+	defaultLongestRun = 15 * time.Second
+	// lockRetryDelay is how long a process does not try to acquire the lock after it found the lock
+	// held.
+	lockRetryDelay = 4 * time.Second
 )
 
-// stager gives engines their stages. Only the process that holds the right in the
-// store gives orders, and only after the lease of an earlier holder would have
-// run out, so that a holder that is paused can't order at the same time.
+// stager assigns the engines' stages. Only the process that holds the order lock in the store sends
+// orders, and only after the lease of an earlier holder would have expired, so that a paused holder
+// can't send orders at the same time.
 type stager struct {
 	ingress *ingress.Ingress
 	calls   *platform.Runners
 	log     *decisionlog.Log
 	policy  staging.Policy
 	lock    *store.Lock
-	// wait is how long a new holder waits before its first order.
+	// wait is how long a new holder waits before its first order, which is the lease of the lock.
 	wait time.Duration
-	// rank returns this process's place among those that try, 0 first.
+	// rank returns this process's rank among the gateways that may acquire the lock, 0 for the first.
 	rank func() int
-	// report tells the other gateways of stage changes that are about to be ordered.
+	// report sends the other gateways the stage changes that are about to be ordered.
 	report func(changes []runners.StageChange, now time.Time)
-	// free is set while the store is known to hold nobody's right, restored when the store may have lost
-	// the records of changes.
-	free, restored atomic.Bool
-	// refusals are the current periods without work accepted, by engine ID.
+	// lockFree is set while the store shows the lock as free, restored when the store may have lost the
+	// records of changes.
+	lockFree, restored atomic.Bool
+	// refusals are the current periods in which engines accept no work, by engine ID.
 	refusals map[string]refusalSpan
 	// recorded are the changes that this process recorded, including finished ones.
 	recorded []staging.Change
 
-	began   time.Time
-	renewed time.Time
-	engines int
-	stable  time.Time
-	wrong   time.Time
-	last    time.Time
-	retry   time.Time
+	startedAt     time.Time
+	renewedAt     time.Time
+	engineCount   int
+	stableSince   time.Time
+	mismatchSince time.Time
+	orderedAt     time.Time
+	retryAt       time.Time
 }
 
-// run looks at the engines' stages until the context ends.
+// run checks the engines' stages until the context ends.
 func (s *stager) run(ctx context.Context) {
-	s.began = time.Now()
-	tick := time.NewTicker(stagerLook)
+	s.startedAt = time.Now()
+	tick := time.NewTicker(stagerInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -97,90 +97,90 @@
 			s.lock.Yield(ctx)
 			return
 		case now := <-tick.C:
-			s.look(ctx, now)
+			s.step(ctx, now)
 		}
 	}
 }
 
-// look keeps the right, if this process has it or may try for it, and orders what is
-// wanted and not so. While another process has it nothing is planned: plans for thousands of
-// engines are costly, and only one is used.
-func (s *stager) look(ctx context.Context, now time.Time) {
+// step renews the lock, or tries to acquire it if this process may, and orders the planned stage
+// changes. It plans nothing while another process holds the lock: plans for thousands of engines are
+// costly, and only one is used.
+func (s *stager) step(ctx context.Context, now time.Time) {
 	if s.restored.Swap(false) {
-		s.recordAgain(ctx, now)
+		s.rewriteRecords(ctx, now)
 	}
 	fence, since, held := s.lock.Held(boottime.Now())
-	if !held && !s.free.Load() {
-		s.wrong = time.Time{}
+	if !held && !s.lockFree.Load() {
+		s.mismatchSince = time.Time{}
 		return
 	}
 	changes := s.plan(now)
 	if len(changes) == 0 {
-		s.wrong = time.Time{}
-	} else if s.wrong.IsZero() {
-		s.wrong = now
+		s.mismatchSince = time.Time{}
+	} else if s.mismatchSince.IsZero() {
+		s.mismatchSince = now
 	}
 	if !held {
-		if s.mayTry(now) {
-			s.win(ctx, now)
+		if s.mayAcquire(now) {
+			s.acquire(ctx, now)
 		}
 		return
 	}
-	s.keep(ctx)
-	paused := !s.last.IsZero() && now.Sub(s.last) < s.policy.Pause
-	if len(changes) == 0 || paused && !urgent(changes) || boottime.Since(since) < s.wait || now.Sub(s.wrong) < s.patience(changes, now) {
+	s.holdLock(ctx)
+	paused := !s.orderedAt.IsZero() && now.Sub(s.orderedAt) < s.policy.Pause
+	if len(changes) == 0 || paused && !urgent(changes) || boottime.Since(since) < s.wait || now.Sub(s.mismatchSince) < s.patience(changes, now) {
 		return
 	}
 	s.orderAll(ctx, changes, fence)
-	s.last, s.wrong = now, time.Time{}
+	s.orderedAt, s.mismatchSince = now, time.Time{}
 }
 
-// orderAll records, reports and orders changes, as many at a time as one change of the store takes.
-// It ends when the right is lost on the way: what is left is planned again by who has it.
+// orderAll records, reports and orders changes, in batches as large as one change of the store allows.
+// It ends when the lock is lost: its next holder plans the rest again.
 func (s *stager) orderAll(ctx context.Context, changes []staging.Change, fence store.Revision) {
 	for batch := range slices.Chunk(changes, store.MaxEntries) {
-		if !s.keep(ctx) {
+		if !s.holdLock(ctx) {
 			return
 		}
 		s.record(ctx, batch)
 		s.recorded = append(s.pending(time.Now()), batch...)
 		s.report(s.announcement(batch), time.Now())
 		for _, c := range batch {
-			if !s.keep(ctx) {
+			if !s.holdLock(ctx) {
 				return
 			}
 			s.order(ctx, c, fence)
 		}
-		s.forget(ctx, batch)
+		s.removeRefused(ctx, batch)
 	}
 }
 
-// keep renews the right when it is time, and reports whether it is held.
-func (s *stager) keep(ctx context.Context) bool {
-	if now := time.Now(); now.Sub(s.renewed) > s.wait/renewals {
+// holdLock renews the lock when a renewal is due, and reports whether this process holds it.
+func (s *stager) holdLock(ctx context.Context) bool {
+	if now := time.Now(); now.Sub(s.renewedAt) > s.wait/renewalsPerLease {
 		s.renew(ctx, now)
 	}
 	_, _, held := s.lock.Held(boottime.Now())
 	return held
 }
 
-// mayTry reports whether this process should try for the right: only while the store is
-// known to hold nobody's. The first by name takes it at once, so that it is held before it
-// is needed; the others, one after the other, when what is wanted has stayed undone for so
-// long that the first can't do it.
-func (s *stager) mayTry(now time.Time) bool {
-	if s.ingress.Table() == nil || now.Before(s.retry) || !s.free.Load() {
+// mayAcquire reports whether this process should try to acquire the lock: only while the store shows it
+// as free. The first process by name acquires it at once, so that it is held before it is needed. The
+// others try one after another, when planned changes have been left undone for so long that the first
+// process must have failed.
+func (s *stager) mayAcquire(now time.Time) bool {
+	if s.ingress.Table() == nil || now.Before(s.retryAt) || !s.lockFree.Load() {
 		return false
 	}
-	if now.Sub(s.began) < meetFor {
+	if now.Sub(s.startedAt) < discoveryTime {
 		return false
 	}
 	rank := s.rank()
 	if rank == 0 {
 		return true
 	}
-	turn := time.Duration(rank) * nextTry
-	return !s.wrong.IsZero() && now.Sub(s.wrong) > s.restageTime()+s.wait+turn
+	turn := time.Duration(rank) * rankDelay
+	return !s.mismatchSince.IsZero() && now.Sub(s.mismatchSince) > s.restageTime()+s.wait+turn
 }
 
 // urgent reports whether a stage has no engine.
@@ -188,7 +188,7 @@
 	return slices.ContainsFunc(changes, func(c staging.Change) bool { return c.Urgent })
 }
 
-// patience is how long the stages must be wrong before one is changed.
+// patience returns how long the stages must differ from the plan before one is changed.
 func (s *stager) patience(changes []staging.Change, now time.Time) time.Duration {
 	if urgent(changes) {
 		return urgentPatience
@@ -201,7 +201,8 @@
 	return 0
 }
 
-// restageTime returns the longest time that a change of stage takes.
+// restageTime returns the longest time that a stage change takes, apart from the work that the engine
+// finishes first.
 func (s *stager) restageTime() time.Duration {
 	longest := time.Duration(0)
 	for _, service := range s.ingress.Table().Config.Services {
@@ -212,19 +213,19 @@
 	return longest
 }
 
-// changeLimit returns how long an engine of a service may take to change its stage:
-// it finishes what it runs, which takes as long as a route allows, and restarts.
+// changeLimit returns how long an engine of a service may take to change its stage: it finishes its
+// running work, which takes up to the longest timeout of a route, and restarts.
 func (s *stager) changeLimit(service string) time.Duration {
 	table := s.ingress.Table()
 	run := table.LongestTimeout(service)
 	if run == 0 {
-		run = longestRun
+		run = defaultLongestRun
 	}
 	return run + s.restageTime()
 }
 
-// plan returns the changes of all services with engines: exact ones while the engines
-// are idle, otherwise those beyond small differences.
+// plan returns the stage changes of all services with engines: exact ones while the engines are idle,
+// otherwise those beyond small differences.
 func (s *stager) plan(now time.Time) []staging.Change {
 	table := s.ingress.Table()
 	if table == nil || !s.settled(table.Config.Services, now) {
@@ -241,10 +242,10 @@
 	return out
 }
 
-// situation is what the stages of a service's engines are planned for.
+// situation returns the input for planning the stages of a service's engines.
 func (s *stager) situation(service string, now time.Time) staging.Situation {
 	out := staging.Situation{
-		Engines: s.counted(s.ingress.Directory.Present(service, now), now), Exact: s.idle(service, now),
+		Engines: s.servingEngines(s.ingress.Directory.Present(service, now), now), Exact: s.idle(service, now),
 		Admits: func(r *runners.State) bool { return r.Admits(notice.Work, now) == nil },
 	}
 	if pool := s.ingress.Pools()[service]; pool != nil {
@@ -254,12 +255,13 @@
 	return out
 }
 
-// refusalSpan is a period without work accepted, apart from single requests between two pauses.
+// refusalSpan is a period in which an engine accepts no work, apart from single requests between two
+// pauses.
 type refusalSpan struct{ first, last time.Time }
 
-// counted returns the engines that serve their stage: all but those that have refused work for longer than it
-// takes to replace them by an engine of the other stage.
-func (s *stager) counted(engines []*runners.State, now time.Time) []*runners.State {
+// servingEngines returns the engines that serve their stage: all but those that have refused work for
+// longer than it takes to replace them by an engine of the other stage.
+func (s *stager) servingEngines(engines []*runners.State, now time.Time) []*runners.State {
 	longest := s.restageTime()
 	return slices.DeleteFunc(engines, func(r *runners.State) bool {
 		span, refused := s.refusals[r.ID]
@@ -274,9 +276,9 @@
 	})
 }
 
-// idle reports whether a service's engines have nothing to do, as before the first
-// load: stages are set exactly then, and at once. A change under load costs an engine
-// for as long as it finishes its work and restarts.
+// idle reports whether a service's engines have no work, as before the first load. Stages are then set
+// exactly and at once. A change under load makes an engine unavailable while it finishes its work and
+// restarts.
 func (s *stager) idle(service string, now time.Time) bool {
 	pool := s.ingress.Pools()[service]
 	if pool == nil {
@@ -286,7 +288,7 @@
 	return status.Reserved == 0 && status.Reading == 0 && status.Waiting == 0
 }
 
-// settled reports whether the set of engines has been the same for a while.
+// settled reports whether the set of engines has been unchanged for settleTime.
 func (s *stager) settled(services map[string]routetable.Service, now time.Time) bool {
 	n := 0
 	for name, service := range services {
@@ -294,31 +296,31 @@
 			n += len(s.ingress.Directory.Present(name, now))
 		}
 	}
-	if n != s.engines {
-		s.engines, s.stable = n, now
+	if n != s.engineCount {
+		s.engineCount, s.stableSince = n, now
 	}
-	return n > 0 && now.Sub(s.stable) >= settleFor
+	return n > 0 && now.Sub(s.stableSince) >= settleTime
 }
 
-// win tries to get the right to give orders.
-func (s *stager) win(ctx context.Context, now time.Time) {
-	call, cancel := context.WithTimeout(ctx, orderCall)
+// acquire tries to acquire the order lock.
+func (s *stager) acquire(ctx context.Context, now time.Time) {
+	call, cancel := context.WithTimeout(ctx, orderCallTimeout)
 	defer cancel()
 	err := s.lock.Win(call)
 	var held *store.ErrHeld
 	if errors.As(err, &held) {
-		s.retry = now.Add(holdBack)
+		s.retryAt = now.Add(lockRetryDelay)
 	} else if err != nil {
-		s.retry = now.Add(orderCall)
+		s.retryAt = now.Add(orderCallTimeout)
 	}
 	fence, _, _ := s.lock.Held(boottime.Now())
 	s.log.Write(decisionlog.KindState, "order_right", decisionlog.F("won", err == nil), decisionlog.F("fence", fence), decisionlog.F("error", err))
 }
 
 func (s *stager) renew(ctx context.Context, now time.Time) {
-	call, cancel := context.WithTimeout(ctx, orderCall)
+	call, cancel := context.WithTimeout(ctx, orderCallTimeout)
 	defer cancel()
-	s.renewed = now
+	s.renewedAt = now
 	if err := s.lock.Renew(call); err != nil {
 		s.log.Write(decisionlog.KindProcess, "order_right_not_renewed", decisionlog.F("error", err))
 	}
--- a/pkg/process/state.go
+++ b/pkg/process/state.go
@@ -20,44 +20,45 @@
 )
 
 const (
-	// statePath is where a gateway hands out what it knows of the store. Its query has paramEras if the
-	// caller decodes revisions that hold an era. Older builds could never read the store again.
+	// statePath is where a gateway serves its snapshot of the store. The query contains paramEras if
+	// the client decodes revisions with an era. Older builds don't; with such a revision they could
+	// never read the store again.
 	statePath = "/state"
 	paramEras = "eras"
-	// stateCall bounds the silence of a call for it, stateRetry is the time between two rounds.
-	stateCall  = 300 * time.Millisecond
-	stateRetry = 200 * time.Millisecond
-	// stateAsked is how many gateways are asked in a round, besides the seeds: where all start at
-	// once none knows anything, and each would ask all others.
-	stateAsked = 4
-	// stateHanded is how many gateways are handed the state at a time: more would share the link of
-	// this one with its clients.
-	stateHanded = 2
-	// stateStall is how long one that is handed it may read nothing: it keeps others from it.
-	stateStall = 3 * time.Second
-	// maxState bounds such an answer, in bytes: some thousand runners and routes.
-	maxState = 8 << 20
-	// maxStateAge is how old a state may be: about the longest outage after which a
-	// gateway's runners are more likely gone than not, where 100 of 730 are replaced
-	// a day.
+	// stateReadTimeout bounds the time without data while a state is received, stateRetryInterval is
+	// the time between two rounds of requests.
+	stateReadTimeout   = 300 * time.Millisecond
+	stateRetryInterval = 200 * time.Millisecond
+	// maxPeersAsked is how many gateways are asked per round, besides the seeds: if all gateways start
+	// at once, none has a state, and each would ask all others.
+	maxPeersAsked = 4
+	// maxStateTransfers is how many gateways may receive the state at a time: more would share this
+	// gateway's link with its clients.
+	maxStateTransfers = 2
+	// stateWriteTimeout is how long a receiving gateway may read nothing: it blocks transfers to
+	// others.
+	stateWriteTimeout = 3 * time.Second
+	// maxStateBytes bounds a state: some thousand runners and routes.
+	maxStateBytes = 8 << 20
+	// maxStateAge is the maximum age of a state: about the longest outage after which a gateway's
+	// runners are more likely removed than not, if 100 of 730 are replaced a day.
 	maxStateAge = 10 * time.Minute
 )
 
-// sharedState is what a gateway knows of the store, for gateways that start while the
-// store does not answer.
+// sharedState is a gateway's snapshot of the store, for gateways that start while the store does not
+// respond.
 type sharedState struct {
-	// At is the store's revision that the items reach, AgeMs how long ago the store
-	// answered last.
+	// At is the store revision of the items, AgeMs how many milliseconds ago the store last responded.
 	At    store.Revision `json:"at"`
 	AgeMs int64          `json:"age_ms"`
 	Items []store.Item   `json:"items"`
 	// Config is the configuration in force if the items hold an older one, as after a restore of the
 	// store, and nil otherwise.
 	Config *store.Item `json:"config,omitempty"`
-	// Leaving are the starts of runners that said in their answers that they leave.
+	// Leaving are the incarnations of runners that announced their departure in responses.
 	Leaving []string `json:"leaving,omitempty"`
-	// AssuredUs is how long before this was sent the store surely held nothing else, in
-	// microseconds; 0 if that is not known.
+	// AssuredUs is how long before the sending of this state the store certainly held nothing else, in
+	// microseconds; 0 if that is unknown.
 	AssuredUs int64 `json:"assured_us,omitempty"`
 	// assured is that moment on the receiver's clock.
 	assured time.Time
@@ -78,14 +79,14 @@
 // Unwrap returns the cause.
 func (e *ErrState) Unwrap() error { return e.Err }
 
-// serveState hands out what this gateway knows of the store, to a few at a time.
+// serveState serves this gateway's snapshot of the store, to maxStateTransfers gateways at a time.
 func (p *Ingress) serveState(w http.ResponseWriter, r *http.Request) {
-	defer p.handing.Add(-1)
-	if p.handing.Add(1) > stateHanded || !p.feed.copy.known() {
+	defer p.stateTransfers.Add(-1)
+	if p.stateTransfers.Add(1) > maxStateTransfers || !p.feed.snapshot.loaded() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	s, _ := p.feed.copy.state(time.Now())
+	s, _ := p.feed.snapshot.export(time.Now())
 	if s.At.Era() > 0 && !r.URL.Query().Has(paramEras) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -95,13 +96,13 @@
 	if assured := p.feed.history.Assured(); !assured.IsZero() {
 		s.AssuredUs = boottime.Since(assured).Microseconds() + 1
 	}
-	if err := writeState(httpd.NewStallWriter(w, stateStall), r, s); err != nil {
+	if err := writeState(httpd.NewStallWriter(w, stateWriteTimeout), r, s); err != nil {
 		p.log.Write(decisionlog.KindProcess, "state_not_sent", decisionlog.F("error", err))
 	}
 }
 
-// writeState writes a state, compressed for those that read that: it shrinks to a tenth, and gateways
-// may have links on which the rest takes a second.
+// writeState writes a state, compressed for clients that accept gzip. That reduces it to a tenth:
+// gateways may have links on which the whole state takes a second.
 func writeState(w http.ResponseWriter, r *http.Request, s sharedState) error {
 	w.Header().Set("Content-Type", "application/json")
 	if !strings.Contains(r.Header.Get("Accept-Encoding"), "gzip") {
@@ -118,12 +119,12 @@
 	return z.Close()
 }
 
-// learnFromPeers asks other gateways for what they know of the store, as long as the
-// store does not answer and nothing is known yet. What the store says later replaces it. If the
-// store may have been restored shortly before, it asks gateways with a newer configuration.
+// learnFromPeers fetches the state of other gateways while the store does not respond and the snapshot
+// is empty. A later read of the store replaces it. If the store may have been restored shortly before,
+// it fetches the configuration from gateways that have a newer one.
 func (p *Ingress) learnFromPeers(ctx context.Context) {
 	client := stateClient()
-	tick := time.NewTicker(stateRetry)
+	tick := time.NewTicker(stateRetryInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -132,39 +133,39 @@
 		case now := <-tick.C:
 			switch {
 			case p.Ingress.Table() == nil:
-				if p.feed.copy.unknown() {
-					p.askPeers(ctx, client)
+				if p.feed.snapshot.emptyAndUnreachable() {
+					p.fetchStateFromPeers(ctx, client)
 				}
 			case !p.feed.mayBeStale(now):
 				return
 			case p.peers.NewestVersion() > p.Ingress.Version():
-				p.askForConfig(ctx, client)
+				p.fetchConfigFromPeers(ctx, client)
 			}
 		}
 	}
 }
 
-// askForConfig fetches a newer configuration from another gateway.
-func (p *Ingress) askForConfig(ctx context.Context, client *http.Client) {
-	for _, address := range someOf(p.peers.Addresses(), stateAsked) {
+// fetchConfigFromPeers fetches a newer configuration from another gateway.
+func (p *Ingress) fetchConfigFromPeers(ctx context.Context, client *http.Client) {
+	for _, address := range sample(p.peers.Addresses(), maxPeersAsked) {
 		s, err := fetchState(ctx, client, address)
 		if err != nil {
 			p.log.Write(decisionlog.KindProcess, "state_not_learned", decisionlog.F("error", err))
 			continue
 		}
-		if p.feed.learnConfig(s) {
+		if p.feed.loadPeerConfig(s) {
 			return
 		}
 	}
 }
 
-// stateClient returns the client that other gateways are asked by.
+// stateClient returns the HTTP client for requests to other gateways.
 func stateClient() *http.Client { return &http.Client{} }
 
-// askPeers takes the state of the first gateway that has one: of those with the newest configuration,
-// some others, and the seeds.
-func (p *Ingress) askPeers(ctx context.Context, client *http.Client) {
-	for _, address := range append(someOf(p.peers.Addresses(), stateAsked), p.seeds()...) {
+// fetchStateFromPeers loads the state of the first gateway that has one. It asks those with the newest
+// configuration, some others, and the seeds.
+func (p *Ingress) fetchStateFromPeers(ctx context.Context, client *http.Client) {
+	for _, address := range append(sample(p.peers.Addresses(), maxPeersAsked), p.seeds()...) {
 		s, err := fetchState(ctx, client, address)
 		if err != nil {
 			p.log.Write(decisionlog.KindProcess, "state_not_learned", decisionlog.F("error", err))
@@ -172,14 +173,14 @@
 		}
 		p.log.Write(decisionlog.KindState, "state_learned", decisionlog.F("gateway", address), decisionlog.F("at", s.At),
 			decisionlog.F("age", time.Duration(s.AgeMs)*time.Millisecond), decisionlog.F("items", len(s.Items)))
-		p.feed.learn(s)
+		p.feed.loadPeerState(s)
 		p.Ingress.Directory.Notices.Receive(address, s.Leaving, time.Now())
 		return
 	}
 }
 
-// someOf returns n of a list: the first half of them in order, the rest at random.
-func someOf(list []string, n int) []string {
+// sample returns n items of a list: the first half of them in order, the rest at random.
+func sample(list []string, n int) []string {
 	if len(list) <= n {
 		return list
 	}
@@ -188,8 +189,8 @@
 	return list[:n]
 }
 
-// seeds returns where gateways may be that the settings name: their hosts, at the own
-// port, since all gateways listen alike.
+// seeds returns the addresses of the gateways that the settings name: their hosts with this gateway's
+// port, since all gateways listen on the same one.
 func (p *Ingress) seeds() []string {
 	_, port, err := net.SplitHostPort(p.ports.Peers)
 	if err != nil {
@@ -204,10 +205,10 @@
 	return out
 }
 
-// fetchState asks one gateway. One whose state is too old is refused.
+// fetchState requests the state of one gateway. A state older than maxStateAge is rejected.
 func fetchState(ctx context.Context, client *http.Client, address string) (sharedState, error) {
 	var s sharedState
-	ctx, cancel := progress.Bound(ctx, stateCall)
+	ctx, cancel := progress.Bound(ctx, stateReadTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+statePath+"?"+paramEras, nil)
 	if err != nil {
@@ -216,13 +217,13 @@
 	asked := boottime.Now()
 	res, err := client.Do(req)
 	if err != nil {
-		return s, &ErrState{Address: address, Why: "no answer", Err: err}
+		return s, &ErrState{Address: address, Why: "no response", Err: err}
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		return s, &ErrState{Address: address, Why: "it knows nothing itself: " + res.Status}
+		return s, &ErrState{Address: address, Why: "it has no state: " + res.Status}
 	}
-	if err := json.NewDecoder(io.LimitReader(progress.Reader(ctx, res.Body), maxState)).Decode(&s); err != nil {
+	if err := json.NewDecoder(io.LimitReader(progress.Reader(ctx, res.Body), maxStateBytes)).Decode(&s); err != nil {
 		return s, &ErrState{Address: address, Why: "not readable", Err: err}
 	}
 	if age := time.Duration(s.AgeMs) * time.Millisecond; age < 0 || age > maxStateAge {
--- a/pkg/process/state_test.go
+++ b/pkg/process/state_test.go
@@ -19,8 +19,8 @@
 	"github.com/hopwell/hopwell/platform"
 )
 
-// Guards against a bound on the whole call, which ends answers that are coming over a slow link.
-func TestAStateThatKeepsComingIsWaitedFor(t *testing.T) {
+// Guards against a timeout of the whole call, which cuts off responses that arrive over a slow link.
+func TestSlowStateTransferIsNotCutOff(t *testing.T) {
 	g := NewWithT(t)
 	const parts = 8
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -28,7 +28,7 @@
 		for range parts {
 			fmt.Fprint(w, strings.Repeat(" ", 64))
 			_ = http.NewResponseController(w).Flush()
-			time.Sleep(stateCall / 4)
+			time.Sleep(stateReadTimeout / 4)
 		}
 		fmt.Fprint(w, `]}`)
 	}))
@@ -38,7 +38,7 @@
 	g.Expect(s.At).To(Equal(store.Revision(7)))
 }
 
-func TestAStateThatFallsSilentIsGivenUp(t *testing.T) {
+func TestStalledStateTransferTimesOut(t *testing.T) {
 	g := NewWithT(t)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprint(w, `{"at":7,`)
@@ -49,11 +49,11 @@
 	began := time.Now()
 	_, err := fetchState(t.Context(), stateClient(), strings.TrimPrefix(server.URL, "http://"))
 	g.Expect(err).To(MatchError(ContainSubstring("not readable")))
-	g.Expect(time.Since(began)).To(BeNumerically(">=", stateCall))
+	g.Expect(time.Since(began)).To(BeNumerically(">=", stateReadTimeout))
 }
 
-// Gateways may have links on which a whole state takes a second: it is sent compressed.
-func TestAStateIsSentCompressedToThoseThatReadIt(t *testing.T) {
+// Gateways may have links on which an uncompressed state takes a second.
+func TestStateIsCompressedForClientsThatAcceptGzip(t *testing.T) {
 	g := NewWithT(t)
 	sent := sharedState{At: 9}
 	for i := range 1000 {
@@ -70,27 +70,27 @@
 	got, err := fetchState(t.Context(), stateClient(), strings.TrimPrefix(server.URL, "http://"))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(got.Items).To(Equal(sent.Items))
-	g.Expect(bytes).To(BeNumerically("<", 40_000), "of some 200 kB")
+	g.Expect(bytes).To(BeNumerically("<", 40_000), "compressed from some 200 kB")
 
 	plain := httptest.NewRecorder()
 	g.Expect(writeState(plain, httptest.NewRequest(http.MethodGet, statePath, nil), sent)).To(Succeed())
-	g.Expect(plain.Header().Get("Content-Encoding")).To(BeEmpty(), "who does not say that it reads it")
+	g.Expect(plain.Header().Get("Content-Encoding")).To(BeEmpty(), "the client does not accept gzip")
 	g.Expect(plain.Body.Len()).To(BeNumerically(">", 100_000))
 }
 
-func TestSomeOfManyGatewaysAreAsked(t *testing.T) {
+func TestSampleKeepsFirstHalfInOrder(t *testing.T) {
 	g := NewWithT(t)
 	list := []string{"new", "newer", "c", "d", "e", "f"}
-	asked := someOf(slices.Clone(list), 4)
+	asked := sample(slices.Clone(list), 4)
 	g.Expect(asked).To(HaveLen(4))
 	g.Expect(asked[:2]).To(Equal([]string{"new", "newer"}))
 	g.Expect(list).To(ContainElements(asked))
-	g.Expect(someOf(list[:3], 4)).To(Equal(list[:3]))
+	g.Expect(sample(list[:3], 4)).To(Equal(list[:3]))
 }
 
-// Where many gateways start at once, the one that knows something would share its link among all of
-// them, and with its clients.
-func TestAStateIsHandedToAFewAtATime(t *testing.T) {
+// If many gateways start at once, the one with a state would share its link among all of them and with its
+// clients.
+func TestConcurrentStateTransfersAreLimited(t *testing.T) {
 	g := NewWithT(t)
 	p := &Ingress{feed: &feed{}, log: decisionlog.New("a", io.Discard), Ingress: ingress.New(ingress.Options{Name: "a"})}
 	ask := func() int {
@@ -98,21 +98,21 @@
 		p.serveState(w, httptest.NewRequest(http.MethodGet, statePath, nil))
 		return w.Code
 	}
-	g.Expect(ask()).To(Equal(http.StatusServiceUnavailable), "nothing is known")
-	p.feed.copy.replace([]store.Item{{Key: platform.ConfigKey, Revision: 1}}, 1)
-	p.handing.Store(stateHanded - 1)
+	g.Expect(ask()).To(Equal(http.StatusServiceUnavailable), "the snapshot is empty")
+	p.feed.snapshot.replace([]store.Item{{Key: platform.ConfigKey, Revision: 1}}, 1)
+	p.stateTransfers.Store(maxStateTransfers - 1)
 	g.Expect(ask()).To(Equal(http.StatusOK))
-	p.handing.Store(stateHanded)
-	g.Expect(ask()).To(Equal(http.StatusServiceUnavailable), "others are being told")
-	g.Expect(p.handing.Load()).To(Equal(int32(stateHanded)))
+	p.stateTransfers.Store(maxStateTransfers)
+	g.Expect(ask()).To(Equal(http.StatusServiceUnavailable), "the maximum number of transfers is in progress")
+	g.Expect(p.stateTransfers.Load()).To(Equal(int32(maxStateTransfers)))
 }
 
-// Guards against a gateway that starts while the store is away and sends work to runners of which the
-// others know that they leave.
-func TestAStartingGatewayIsToldWhichRunnersLeave(t *testing.T) {
+// Guards against a gateway that starts while the store does not respond and sends work to runners that
+// announced their departure to other gateways.
+func TestStateListsLeavingRunners(t *testing.T) {
 	g := NewWithT(t)
 	p := &Ingress{feed: &feed{}, log: decisionlog.New("a", io.Discard), Ingress: ingress.New(ingress.Options{Name: "a"})}
-	p.feed.copy.replace([]store.Item{{Key: platform.ConfigKey, Revision: 1}}, 1)
+	p.feed.snapshot.replace([]store.Item{{Key: platform.ConfigKey, Revision: 1}}, 1)
 	p.Ingress.Directory.Notices.Observe("r@1", notice.Notice{Leaving: true}, time.Now())
 	server := httptest.NewServer(http.HandlerFunc(p.serveState))
 	defer server.Close()
--- a/pkg/process/stop.go
+++ b/pkg/process/stop.go
@@ -6,34 +6,34 @@
 	"github.com/hopwell/hopwell/pkg/decisionlog"
 )
 
-// Stop carries out the planned stop: the health page fails first, what comes
-// meanwhile is served, and then only what runs.
+// Stop carries out the planned stop: first the health check fails while new requests are still served,
+// then only running requests are.
 func (p *Ingress) Stop() {
 	p.stop.Do(func() {
-		p.finish()
+		p.drain()
 		p.Close()
 		close(p.stopped)
 	})
 }
 
-func (p *Ingress) finish() {
+func (p *Ingress) drain() {
 	began := time.Now()
 	settings := p.settings.Load().Drain
 	wait := settings.BalancerWait.D()
 	p.log.Write(decisionlog.KindProcess, "stop", decisionlog.F("open", p.Ingress.Open()))
-	longest := settings.Longest.D() - endMargin
+	longest := settings.Longest.D() - stopMargin
 	p.Ingress.StartDrain(wait, longest)
 	end := began.Add(longest)
-	// Requests on kept connections are refused for a while after the last one was taken.
+	// Requests on kept-alive connections are refused for a while after the last request was accepted.
 	refusing := began.Add(wait)
 	for now := began; now.Before(end); now = time.Now() {
 		if p.Ingress.Streams() > 0 && now.After(refusing) {
 			refusing = now
 		}
-		if now.Sub(refusing) > lingerAfterWait && p.Ingress.Open() == 0 {
+		if now.Sub(refusing) > refusalTime && p.Ingress.Open() == 0 {
 			break
 		}
-		time.Sleep(drainLook)
+		time.Sleep(drainPollInterval)
 	}
 	p.log.Write(decisionlog.KindProcess, "stopped", decisionlog.F("open", p.Ingress.Open()), decisionlog.F("took", time.Since(began)))
 }
@@ -47,5 +47,5 @@
 	p.closePorts()
 	p.done.Wait()
 	p.client.Forget("")
-	p.log.Close(logClose)
+	p.log.Close(logCloseTimeout)
 }
