--- a/pkg/boottime/boottime.go
+++ b/pkg/boottime/boottime.go
@@ -1,10 +1,9 @@
-// Package boottime tells the time by a steady clock that goes on while the machine is suspended.
+// Package boottime provides a monotonic clock that keeps running while the machine is suspended.
 //
-// The clock by which time.Now measures spans stands still then: a lease that ran out, or keys that
-// were taken away, look as fresh after some seconds of suspension as before. Whatever must not be
-// believed longer than it holds is timed by this clock. Its times compare with each other; they
-// are later than those of time.Now by the time that the machine was suspended since the
-// process began.
+// The monotonic clock of time.Now stands still then: a lease that expired, or keys that were revoked,
+// look as fresh after some seconds of suspension as before. Whatever must not be relied on for longer
+// than it is valid is timed by this clock. Its times can be compared with each other. They are later
+// than those of time.Now by the time that the machine was suspended since the process started.
 package boottime
 
 import (
@@ -15,41 +14,42 @@
 )
 
 const (
-	// noticed is by how much the time of day must move against the steady clock for the time
-	// since boot to be read, which takes system calls: the time of day moves with each
-	// suspension, and otherwise by adjustments, some 0.5 ms a second at most.
-	noticed = time.Millisecond
-	// apart is how far the steady clock may move while the clocks are read, and readings how
-	// often they are read until it did not: the process may lose its processor in between.
-	apart    = time.Millisecond
-	readings = 5
+	// driftThreshold is by how much the wall clock must move against the monotonic clock for the time
+	// since boot to be read, which takes system calls. The wall clock moves with each suspension, and
+	// otherwise by adjustments of about 0.5 ms a second at most.
+	driftThreshold = time.Millisecond
+	// maxReadTime is how far the monotonic clock may advance while the clocks are read: the process may
+	// lose its CPU in between. maxReadings is how often they are read until it advances no further than
+	// that.
+	maxReadTime = time.Millisecond
+	maxReadings = 5
 )
 
-// clocks are what a suspension is seen by.
+// clocks are the clocks from which suspensions are detected.
 type clocks struct {
 	// now is time.Now.
 	now func() time.Time
-	// read returns a clock by its number.
+	// read returns the time of a clock by its ID.
 	read func(id int32) (time.Duration, error)
 }
 
-// watch finds how long the machine was suspended. It is safe for concurrent use.
-type watch struct {
+// clock measures how long the machine was suspended. It is safe for concurrent use.
+type clock struct {
 	clocks
-	began time.Time
+	start time.Time
 
 	mu sync.Mutex
-	// drift is the time of day less the steady clock when the clocks were read last.
-	drift time.Duration
-	// first is the time since boot less the steady clock at the beginning, if it is known, total
-	// by how much it has grown since.
-	first, total time.Duration
-	known        bool
-	// failed is set when a clock could not be read.
-	failed error
+	// lastDrift is the result of driftAt when the clocks were last read.
+	lastDrift time.Duration
+	// suspendedAtStart is the time since boot minus the monotonic clock at the start, if startKnown is
+	// set. suspendedTotal is by how much that difference has grown since.
+	suspendedAtStart, suspendedTotal time.Duration
+	startKnown                       bool
+	// readErr is the error of the last read of the clocks.
+	readErr error
 }
 
-var system = newWatch(clocks{now: time.Now, read: readClock})
+var systemClock = newWatch(clocks{now: time.Now, read: readClock})
 
 func readClock(id int32) (time.Duration, error) {
 	var t unix.Timespec
@@ -59,60 +59,61 @@
 	return time.Duration(t.Nano()), nil
 }
 
-func newWatch(c clocks) *watch {
-	w := &watch{clocks: c, began: c.now()}
-	w.first, w.failed = w.gap()
-	w.known = w.failed == nil
-	w.drift = w.driftAt(w.began)
+func newWatch(c clocks) *clock {
+	w := &clock{clocks: c, start: c.now()}
+	w.suspendedAtStart, w.readErr = w.suspendedSinceBoot()
+	w.startKnown = w.readErr == nil
+	w.lastDrift = w.driftAt(w.start)
 	return w
 }
 
-// Now returns the time.
-func Now() time.Time { return system.time() }
+// Now returns the current time of this clock.
+func Now() time.Time { return systemClock.time() }
 
-// Since returns how long ago a time was that Now returned.
+// Since returns the time elapsed since t, which Now returned.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
-// Err returns why suspensions can't be seen on this machine, nil if they can.
+// Err returns why suspensions can't be detected on this machine, nil if they can.
 func Err() error {
-	system.mu.Lock()
-	defer system.mu.Unlock()
-	return system.failed
+	systemClock.mu.Lock()
+	defer systemClock.mu.Unlock()
+	return systemClock.readErr
 }
 
-func (w *watch) time() time.Time {
+func (w *clock) time() time.Time {
 	now := w.now()
 	return now.Add(w.suspended(now))
 }
 
-// driftAt returns the time of day less the steady clock.
-func (w *watch) driftAt(now time.Time) time.Duration {
-	return now.Round(0).Sub(w.began.Round(0)) - now.Sub(w.began)
+// driftAt returns by how much the wall clock has moved against the monotonic clock since the start.
+func (w *clock) driftAt(now time.Time) time.Duration {
+	return now.Round(0).Sub(w.start.Round(0)) - now.Sub(w.start)
 }
 
-// suspended returns how long the machine was suspended until a moment.
-func (w *watch) suspended(now time.Time) time.Duration {
+// suspended returns how long the machine was suspended between the start and now.
+func (w *clock) suspended(now time.Time) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	drift := w.driftAt(now)
-	if (drift - w.drift).Abs() < noticed {
-		return w.total
+	if (drift - w.lastDrift).Abs() < driftThreshold {
+		return w.suspendedTotal
 	}
-	gap, err := w.gap()
-	if w.failed = err; err != nil {
-		return w.total
+	gap, err := w.suspendedSinceBoot()
+	if w.readErr = err; err != nil {
+		return w.suspendedTotal
 	}
-	if !w.known {
-		w.first, w.known = gap, true
+	if !w.startKnown {
+		w.suspendedAtStart, w.startKnown = gap, true
 	}
-	w.drift, w.total = drift, max(w.total, gap-w.first)
-	return w.total
+	w.lastDrift, w.suspendedTotal = drift, max(w.suspendedTotal, gap-w.suspendedAtStart)
+	return w.suspendedTotal
 }
 
-// gap returns the time since boot less the steady clock, at least.
-func (w *watch) gap() (time.Duration, error) {
+// suspendedSinceBoot returns the time since boot minus the monotonic clock. The result is at least that:
+// the time between the two reads adds to it.
+func (w *clock) suspendedSinceBoot() (time.Duration, error) {
 	var gap time.Duration
-	for range readings {
+	for range maxReadings {
 		before, err := w.read(unix.CLOCK_MONOTONIC)
 		if err != nil {
 			return 0, err
@@ -125,7 +126,7 @@
 		if err != nil {
 			return 0, err
 		}
-		if gap = boot - before; after-before <= apart {
+		if gap = boot - before; after-before <= maxReadTime {
 			break
 		}
 	}
--- a/pkg/boottime/boottime_test.go
+++ b/pkg/boottime/boottime_test.go
@@ -12,19 +12,19 @@
 	"github.com/hopwell/hopwell/pkg/spectest"
 )
 
-// machine is one whose clocks a test moves: the steady clock by running, the time since boot by
-// suspensions too.
+// machine has clocks that a test moves: running time advances the monotonic clock and the time since
+// boot, a suspension only the latter.
 type machine struct {
 	steady, suspended time.Duration
 	reads             int
 	broken            error
 }
 
-// origin has a reading of the steady clock, which times keep when they are added to.
+// origin has a reading of the monotonic clock, which Add advances too.
 var origin = time.Now()
 
-// watch returns a watch of the machine's clocks.
-func (m *machine) watch() *watch {
+// newClock returns a clock that reads the clocks of the machine.
+func (m *machine) newClock() *clock {
 	return newWatch(clocks{now: func() time.Time { return origin.Add(m.steady) }, read: m.read})
 }
 
@@ -36,19 +36,19 @@
 	return m.steady, m.broken
 }
 
-// at returns the time by a watch after the time of day has moved against the steady clock: a time of
+// at returns the time of a clock after the wall clock has moved against the monotonic clock. A time of
 // time.Now holds both, and a test can't move one of them alone.
-func (m *machine) at(w *watch, drift time.Duration) time.Time {
+func (m *machine) at(w *clock, drift time.Duration) time.Time {
 	w.mu.Lock()
-	w.drift -= drift
+	w.lastDrift -= drift
 	w.mu.Unlock()
 	return w.time()
 }
 
-func TestSuspensionsCount(t *testing.T) {
+func TestNowIncludesSuspensions(t *testing.T) {
 	g := NewWithT(t)
 	m := &machine{}
-	w := m.watch()
+	w := m.newClock()
 	began := w.time()
 	m.steady += time.Second
 	g.Expect(w.time().Sub(began)).To(Equal(time.Second))
@@ -57,24 +57,25 @@
 	g.Expect(m.at(w, 6*time.Second).Sub(began)).To(Equal(7 * time.Second))
 	g.Expect(m.reads).To(Equal(reads + 3))
 	g.Expect(w.time().Sub(began)).To(Equal(7 * time.Second))
-	g.Expect(m.reads).To(Equal(reads+3), "clocks are read when the time of day moves, not else")
+	g.Expect(m.reads).To(Equal(reads+3), "the clocks are read only when the wall clock moves")
 }
 
-func TestStepsOfTheTimeOfDayDoNotCount(t *testing.T) {
+func TestWallClockStepsAreIgnored(t *testing.T) {
 	g := NewWithT(t)
 	m := &machine{}
-	w := m.watch()
+	w := m.newClock()
 	began := w.time()
 	g.Expect(m.at(w, time.Hour).Sub(began)).To(BeZero())
 	g.Expect(m.at(w, -time.Minute).Sub(began)).To(BeZero())
 }
 
-// However the clocks move, the time never goes back, and grows by what ran and was suspended.
-func TestTheTimeGrowsByWhatRanAndWasSuspended(t *testing.T) {
+// The time must never go back, and must advance by the running and the suspended time, however the
+// clocks move.
+func TestTimeAdvancesByRunningAndSuspendedTime(t *testing.T) {
 	spectest.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		m := &machine{}
-		w := m.watch()
+		w := m.newClock()
 		began := w.time()
 		for range rapid.IntRange(1, 20).Draw(t, "steps") {
 			ran := time.Duration(rapid.IntRange(0, 5000).Draw(t, "ran")) * time.Millisecond
@@ -85,15 +86,15 @@
 	})
 }
 
-func TestAClockThatCantBeReadIsReported(t *testing.T) {
+func TestUnreadableClockIsReported(t *testing.T) {
 	g := NewWithT(t)
 	m := &machine{broken: errors.New("no clock")}
-	w := m.watch()
-	g.Expect(w.failed).To(MatchError(m.broken))
+	w := m.newClock()
+	g.Expect(w.readErr).To(MatchError(m.broken))
 	g.Expect(w.time()).To(Equal(origin))
 }
 
-func TestTheMachinesClocksAreRead(t *testing.T) {
+func TestSystemClocksAreReadable(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(Err()).To(Succeed())
 	before := Now()
--- a/pkg/boottime/suspend.go
+++ b/pkg/boottime/suspend.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Suspend makes Now jump as after a suspension of the machine, for tests of what must not outlive
-// one. It returns what takes the jump back.
+// Suspend makes Now jump as after a suspension of the machine, for tests of what must expire during one.
+// The returned function undoes the jump.
 func Suspend(d time.Duration) (restore func()) {
-	system.shift(d)
-	return func() { system.shift(-d) }
+	systemClock.shift(d)
+	return func() { systemClock.shift(-d) }
 }
 
-func (w *watch) shift(d time.Duration) {
+func (w *clock) shift(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.total += d
+	w.suspendedTotal += d
 }
