--- a/pkg/boottime/boottime.go
+++ b/pkg/boottime/boottime.go
@@ -49,7 +49,7 @@
 	readErr error
 }
 
-var systemClock = newWatch(clocks{now: time.Now, read: readClock})
+var systemClock = newClock(clocks{now: time.Now, read: readClock})
 
 func readClock(id int32) (time.Duration, error) {
 	var t unix.Timespec
@@ -59,12 +59,12 @@
 	return time.Duration(t.Nano()), nil
 }
 
-func newWatch(c clocks) *clock {
-	w := &clock{clocks: c, start: c.now()}
-	w.suspendedAtStart, w.readErr = w.suspendedSinceBoot()
-	w.startKnown = w.readErr == nil
-	w.lastDrift = w.driftAt(w.start)
-	return w
+func newClock(sources clocks) *clock {
+	c := &clock{clocks: sources, start: sources.now()}
+	c.suspendedAtStart, c.readErr = c.suspendedSinceBoot()
+	c.startKnown = c.readErr == nil
+	c.lastDrift = c.driftAt(c.start)
+	return c
 }
 
 // Now returns the current time of this clock.
@@ -80,55 +80,55 @@
 	return systemClock.readErr
 }
 
-func (w *clock) time() time.Time {
-	now := w.now()
-	return now.Add(w.suspended(now))
+func (c *clock) time() time.Time {
+	now := c.now()
+	return now.Add(c.suspended(now))
 }
 
 // driftAt returns by how much the wall clock has moved against the monotonic clock since the start.
-func (w *clock) driftAt(now time.Time) time.Duration {
-	return now.Round(0).Sub(w.start.Round(0)) - now.Sub(w.start)
+func (c *clock) driftAt(now time.Time) time.Duration {
+	return now.Round(0).Sub(c.start.Round(0)) - now.Sub(c.start)
 }
 
 // suspended returns how long the machine was suspended between the start and now.
-func (w *clock) suspended(now time.Time) time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	drift := w.driftAt(now)
-	if (drift - w.lastDrift).Abs() < driftThreshold {
-		return w.suspendedTotal
+func (c *clock) suspended(now time.Time) time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	drift := c.driftAt(now)
+	if (drift - c.lastDrift).Abs() < driftThreshold {
+		return c.suspendedTotal
 	}
-	gap, err := w.suspendedSinceBoot()
-	if w.readErr = err; err != nil {
-		return w.suspendedTotal
+	offset, err := c.suspendedSinceBoot()
+	if c.readErr = err; err != nil {
+		return c.suspendedTotal
 	}
-	if !w.startKnown {
-		w.suspendedAtStart, w.startKnown = gap, true
+	if !c.startKnown {
+		c.suspendedAtStart, c.startKnown = offset, true
 	}
-	w.lastDrift, w.suspendedTotal = drift, max(w.suspendedTotal, gap-w.suspendedAtStart)
-	return w.suspendedTotal
+	c.lastDrift, c.suspendedTotal = drift, max(c.suspendedTotal, offset-c.suspendedAtStart)
+	return c.suspendedTotal
 }
 
 // suspendedSinceBoot returns the time since boot minus the monotonic clock. The result is at least that:
 // the time between the two reads adds to it.
-func (w *clock) suspendedSinceBoot() (time.Duration, error) {
-	var gap time.Duration
+func (c *clock) suspendedSinceBoot() (time.Duration, error) {
+	var offset time.Duration
 	for range maxReadings {
-		before, err := w.read(unix.CLOCK_MONOTONIC)
+		before, err := c.read(unix.CLOCK_MONOTONIC)
 		if err != nil {
 			return 0, err
 		}
-		boot, err := w.read(unix.CLOCK_BOOTTIME)
+		boot, err := c.read(unix.CLOCK_BOOTTIME)
 		if err != nil {
 			return 0, err
 		}
-		after, err := w.read(unix.CLOCK_MONOTONIC)
+		after, err := c.read(unix.CLOCK_MONOTONIC)
 		if err != nil {
 			return 0, err
 		}
-		if gap = boot - before; after-before <= maxReadTime {
+		if offset = boot - before; after-before <= maxReadTime {
 			break
 		}
 	}
-	return gap, nil
+	return offset, nil
 }
--- a/pkg/boottime/suspend.go
+++ b/pkg/boottime/suspend.go
@@ -9,8 +9,8 @@
 	return func() { systemClock.shift(-d) }
 }
 
-func (w *clock) shift(d time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.suspendedTotal += d
+func (c *clock) shift(d time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.suspendedTotal += d
 }
--- a/pkg/process/announce.go
+++ b/pkg/process/announce.go
@@ -13,11 +13,12 @@
 const (
 	// gatewayPrefix is the prefix of the keys under which gateways publish their addresses.
 	gatewayPrefix = "hopwell/gateways/"
-	// announceTTL is the lease of such a key: as long as other gateways remember its gateway. A process
-	// that starts before the lease expires sends some datagrams to a removed gateway in vain.
+	// announceTTL is the lease of such a key. It is as long as other gateways remember a gateway that has
+	// stopped. A process that starts before the lease expires sends some datagrams in vain to the stopped
+	// gateway.
 	announceTTL = peers.RememberFor
-	// announceInterval is the interval between renewals of the lease; two renewals may be lost. At a
-	// third of this interval, the renewals of 356 gateways were 60 calls a second.
+	// announceInterval is the interval between renewals of the lease: two renewals may fail before
+	// the lease expires. At a third of this interval, the renewals of 356 gateways were 60 calls a second.
 	announceInterval = 18 * time.Second
 	// announceRetryDelay is the delay after the first failed attempt. It doubles with each further
 	// failure, up to announceInterval: gateways that have each other's addresses need none from the
--- a/pkg/process/copy.go
+++ b/pkg/process/copy.go
@@ -83,9 +83,8 @@
 	return nil
 }
 
-// changes returns the changes to the snapshot between two revisions, as far as the items of a full read
-// at the second show them. The read is not atomic: items of later revisions are left to the watch that
-// follows.
+// changes returns the differences between the snapshot at revision from and a full read at revision to.
+// The read is not atomic: items with later revisions are left to the watch that follows.
 func (c *storeSnapshot) changes(items []store.Item, from, to store.Revision) []store.Event {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/pkg/process/feed.go
+++ b/pkg/process/feed.go
@@ -37,7 +37,7 @@
 	// snapshot is the last state read from the store, history its latest changes.
 	snapshot storeSnapshot
 	history  relay.History
-	// relays are the gateways that send each other the changes of the store, pace their timing.
+	// relays are the other gateways, which relay the changes of the store; pace sets their timing.
 	relays relays
 	pace   relay.Pace
 
@@ -49,8 +49,8 @@
 	mu      sync.Mutex
 	store   store.Store
 	address string
-	// confirmAt is when the store is read although relays send its changes. retryAt is the earliest
-	// time of the next call while the store does not respond.
+	// confirmAt is when the store is called next even if relays send its changes. retryAt is the
+	// earliest time of the next call while the store does not respond.
 	confirmAt, retryAt time.Time
 	// firstRead is when this process first read the store.
 	firstRead time.Time
@@ -108,12 +108,12 @@
 	go f.runDeferred(ctx)
 	for ctx.Err() == nil {
 		f.mu.Lock()
-		s, restart := f.store, f.storeReplaced
+		s, storeReplaced := f.store, f.storeReplaced
 		f.mu.Unlock()
 		round, cancel := context.WithCancel(ctx)
 		go func() {
 			select {
-			case <-restart:
+			case <-storeReplaced:
 				cancel()
 			case <-round.Done():
 			}
@@ -239,8 +239,7 @@
 	f.snapshot.setReachable(false)
 }
 
-// loadPeerConfig applies the configuration of another gateway if it is newer, and reports whether it
-// was.
+// loadPeerConfig applies another gateway's configuration and reports whether it was newer.
 func (f *feed) loadPeerConfig(s sharedState) bool {
 	f.applyMu.Lock()
 	defer f.applyMu.Unlock()
--- a/pkg/process/ingress.go
+++ b/pkg/process/ingress.go
@@ -39,30 +39,32 @@
 	idleConnTimeout = 10 * time.Second
 	// maxIdleConns bounds the idle connections to one runner.
 	maxIdleConns = 24
-	// minIdleConns is how many idle connections are kept to each runner, however many gateways there
-	// are.
+	// minIdleConns is how many idle connections to each runner are always allowed, however many
+	// gateways there are.
 	minIdleConns = 2
-	// idleConnDivisor divides a runner's connection limit, to leave a part of the connections for busy
-	// ones.
+	// idleConnDivisor divides a runner's connection limit, so that a part of the connections is left for
+	// busy ones.
 	idleConnDivisor = 2
 	// sweepInterval is the interval between sweeps of the idle connections.
 	sweepInterval = time.Second
-	// stopMargin is how long the process ends before the platform would end it.
+	// stopMargin is the time between the end of a drain and the time at which the platform ends the
+	// process.
 	stopMargin = 400 * time.Millisecond
 	// refusalTime is how long requests on kept-alive connections are refused before a process without
 	// work ends.
 	refusalTime = 800 * time.Millisecond
 	// drainPollInterval is the interval between checks for running requests during a drain.
 	drainPollInterval = 20 * time.Millisecond
-	// memoryLimitFraction is the fraction of the process's memory from which the runtime collects
-	// garbage continuously; heldMemoryFraction is the fraction for held request and response bodies.
+	// memoryLimitFraction is the fraction of the process's memory above which the runtime
+	// collects garbage continuously; heldMemoryFraction is the fraction for request and response bodies
+	// that are held.
 	memoryLimitFraction = 0.7
 	heldMemoryFraction  = 0.3
-	// initialGateways is the number of gateways that the retry budget is divided by before others are
+	// initialGateways is the number of gateways that share the retry budget before any others are
 	// discovered.
 	initialGateways = 8
-	// minGateways is the minimum number of gateways that the retry budget is divided by: some may not
-	// be discovered yet.
+	// minGateways is the minimum number of gateways that the retry budget is divided among: some may
+	// not be discovered yet.
 	minGateways = 4
 	// logCloseTimeout bounds the wait for the last lines of the log.
 	logCloseTimeout = 200 * time.Millisecond
--- a/pkg/process/order.go
+++ b/pkg/process/order.go
@@ -64,7 +64,7 @@
 func (s *stager) removeRefused(ctx context.Context, changes []staging.Change) {
 	var refused []string
 	for _, c := range changes {
-		if _, pending := c.Runner.Changing(time.Now()); !pending {
+		if _, changing := c.Runner.Changing(time.Now()); !changing {
 			refused = append(refused, changePrefix+c.Runner.ID)
 		}
 	}
--- a/pkg/process/process.go
+++ b/pkg/process/process.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// newNode creates the part that both roles share. Its epoch is the start time: the processes of one
+// newNode creates the node that both roles use. Its epoch is the start time, since the processes of one
 // instance run one after another.
 func newNode(me platform.Instance, s Services, epoch uint64) *node.Node {
 	return node.New(node.Options{
--- a/pkg/process/quarantine.go
+++ b/pkg/process/quarantine.go
@@ -61,13 +61,13 @@
 	_, err := store.PutLeased(ctx, p.feed.currentStore(), r.Left, store.Change{If: []store.Condition{{Key: key}}, Put: []store.Put{{Key: key, Value: writer}}})
 	// On a conflict another gateway wrote it first, or the response to an earlier attempt was lost.
 	var conflict *store.ErrConflict
-	taken := errors.As(err, &conflict)
-	if taken {
+	exists := errors.As(err, &conflict)
+	if exists {
 		err = nil
 	}
-	if taken || err == nil {
+	if exists || err == nil {
 		p.suspects.Published(r.Digest, time.Now())
 	}
 	p.log.Write(decisionlog.KindState, "quarantine_written", decisionlog.F("asked", r.Digest), decisionlog.F("left", r.Left),
-		decisionlog.F("first", !taken), decisionlog.F("error", err))
+		decisionlog.F("first", !exists), decisionlog.F("error", err))
 }
--- a/pkg/process/relay.go
+++ b/pkg/process/relay.go
@@ -19,10 +19,10 @@
 	// one call a second, however many gateways there are.
 	confirmInterval   = 30 * time.Second
 	confirmPerGateway = time.Second
-	// firstReadRest is how long, at the shortest bound, a process that has just read the store does not
+	// delayAfterFirstRead is how long, at the shortest bound, a process that has just read the store does not
 	// read it again. By then it has discovered the other gateways, and relays have sent what it missed.
 	// Without this time each start costs two more watches.
-	firstReadRest = 1200 * time.Millisecond
+	delayAfterFirstRead = 1200 * time.Millisecond
 	// outageRetryDelay is the delay between two calls to a store that does not respond, if relays exist
 	// that will report when it responds again.
 	outageRetryDelay = 4 * time.Second
@@ -45,11 +45,11 @@
 // relayed waits while relays send the changes of the store. It implements store.Follower.Relayed.
 func (f *feed) relayed(ctx context.Context) (store.Revision, time.Duration) {
 	for {
-		rest, wait := f.nextWatch(time.Now())
-		if rest <= 0 || ctx.Err() != nil {
+		delay, wait := f.nextWatch(time.Now())
+		if delay <= 0 || ctx.Err() != nil {
 			return f.Reached(), wait
 		}
-		timer := time.NewTimer(rest)
+		timer := time.NewTimer(delay)
 		select {
 		case <-ctx.Done():
 		case <-timer.C:
@@ -63,29 +63,29 @@
 
 // nextWatch returns how long the store need not be watched, and how long the watch that follows may wait
 // for a change, 0 for the usual time.
-func (f *feed) nextWatch(now time.Time) (rest, wait time.Duration) {
+func (f *feed) nextWatch(now time.Time) (delay, wait time.Duration) {
 	if f.Reached() == 0 {
 		return 0, 0
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if rest := f.firstRead.Add(f.pace.Scale(firstReadRest)).Sub(now); rest > 0 {
-		return rest, 0
+	if left := f.firstRead.Add(f.pace.Scale(delayAfterFirstRead)).Sub(now); left > 0 {
+		return left, 0
 	}
 	if f.relays.Relay(now) {
 		return 0, f.relayWait(now)
 	}
-	covered := f.relays.Coverage(now)
-	until := covered.FreshUntil
+	coverage := f.relays.Coverage(now)
+	until := coverage.FreshUntil
 	if f.confirmAt.Before(until) {
 		until = f.confirmAt
 	}
 	switch {
 	case now.Before(until):
 		return until.Sub(now), 0
-	case now.Before(covered.FreshUntil):
+	case now.Before(coverage.FreshUntil):
 		f.confirmAt, wait = now.Add(f.confirmDelay()), confirmWatchWait
-	case f.snapshot.unreachable() && covered.Answering && now.Before(f.retryAt):
+	case f.snapshot.unreachable() && coverage.Answering && now.Before(f.retryAt):
 		return f.retryAt.Sub(now), 0
 	}
 	f.retryAt = now.Add(jitter(outageRetryDelay))
@@ -119,8 +119,8 @@
 	return 0
 }
 
-// relayWait returns how long the watch of a relay may wait for a change. The relay's state is confirmed
-// every WatchWait of the pace, also if it waited for further changes before.
+// relayWait returns how long the watch of a relay may wait for a change. A relay confirms its state
+// every WatchWait of the pace, even if it has waited for further changes since the last confirmation.
 func (f *feed) relayWait(now time.Time) time.Duration {
 	_, confirmed := f.history.Reached()
 	wait := f.pace.WatchWait - max(0, now.Sub(confirmed))
@@ -145,9 +145,9 @@
 
 // storeAnswered records that the store responded.
 func (f *feed) storeAnswered(now time.Time) {
-	pause := f.confirmDelay()
+	delay := f.confirmDelay()
 	f.mu.Lock()
-	f.confirmAt = now.Add(pause)
+	f.confirmAt = now.Add(delay)
 	f.mu.Unlock()
 	f.relays.StoreAnswers(now)
 }
@@ -200,8 +200,8 @@
 	if !u.More {
 		confirmed = time.Now().Add(-u.Age)
 	}
-	if news := f.applyUpdate(u, confirmed); news > 0 {
-		f.log.Write(decisionlog.KindState, "store_changes_relayed", decisionlog.F("changes", news), decisionlog.F("at", u.To))
+	if count := f.applyUpdate(u, confirmed); count > 0 {
+		f.log.Write(decisionlog.KindState, "store_changes_relayed", decisionlog.F("changes", count), decisionlog.F("at", u.To))
 	}
 	if u.More {
 		f.wake()
@@ -217,29 +217,29 @@
 func (f *feed) applyUpdate(u relay.Update, confirmed time.Time) int {
 	at := f.Reached()
 	u.To = max(u.To, at)
-	crosses := u.To.Era() > at.Era()
-	var news []store.Event
+	eraChanged := u.To.Era() > at.Era()
+	var fresh []store.Event
 	for _, e := range u.Changes {
 		if e.Revision > at && needed(e.Key) {
-			news = append(news, e)
+			fresh = append(fresh, e)
 		}
 	}
-	u.Changes = news
+	u.Changes = fresh
 	current := f.deferStale(u)
-	if crosses {
+	if eraChanged {
 		f.history.Restore(u, confirmed, boottime.Now().Add(assureTime))
 	} else {
-		f.history.Advance(u.To, news, confirmed)
+		f.history.Advance(u.To, fresh, confirmed)
 	}
-	f.snapshot.apply(news, u.To)
+	f.snapshot.apply(fresh, u.To)
 	for _, e := range current {
 		f.applyEvent(e, u.To)
 	}
-	if crosses {
-		f.storeRestored(at, u, len(news)-len(current))
+	if eraChanged {
+		f.storeRestored(at, u, len(fresh)-len(current))
 	}
-	if len(news) > 0 {
+	if len(fresh) > 0 {
 		f.relays.SendStoreUpdates(time.Now())
 	}
-	return len(news)
+	return len(fresh)
 }
--- a/pkg/process/relay_test.go
+++ b/pkg/process/relay_test.go
@@ -21,8 +21,8 @@
 	"github.com/hopwell/hopwell/platform/standin"
 )
 
-// readsAll are the features that a gateway of this build decodes.
-var readsAll = relay.Reads{Deltas: true, Eras: true}
+// allReads are the features that a gateway of this build decodes.
+var allReads = relay.Reads{Deltas: true, Eras: true}
 
 var pace = relay.PaceFor(relay.ShortestBound)
 
@@ -148,7 +148,7 @@
 		{Item: store.Item{Key: orderKey, Value: []byte("g"), Revision: 14}},
 	}, 15)
 	var keys []string
-	for _, c := range f.Since(10, readsAll, time.Now())[0].Changes {
+	for _, c := range f.Since(10, allReads, time.Now())[0].Changes {
 		keys = append(keys, c.Key)
 	}
 	g.Expect(keys).To(Equal([]string{standin.RunnerKey("e1"), gatewayPrefix + "g", orderKey}))
@@ -162,8 +162,8 @@
 	g.Expect(f.present("e1")).To(BeFalse())
 }
 
-// Guards against an update without all changes that counts as a confirmation: the subscribers of
-// this gateway would rely on it.
+// Guards against an incomplete update that counts as a confirmation: the subscribers of this gateway
+// would rely on it.
 func TestIncompleteUpdateConfirmsNothing(t *testing.T) {
 	g := NewWithT(t)
 	f := newFixture(t, 10)
@@ -184,7 +184,7 @@
 	g := NewWithT(t)
 	f := newFixture(t, 0)
 	var free []bool
-	f.onOrderLock = func(is bool) { free = append(free, is) }
+	f.onOrderLock = func(isFree bool) { free = append(free, isFree) }
 	f.loadPeerState(sharedState{At: 10, Items: []store.Item{entry("e1", "prefill", 5), {Key: orderKey, Value: []byte("g"), Revision: 7}}})
 	g.Expect(f.Receive(update(10, 12, store.Event{Item: entry("e1", "decode", 11)},
 		store.Event{Item: store.Item{Key: orderKey, Revision: 12}, Gone: true}))).To(BeTrue())
@@ -194,8 +194,8 @@
 	g.Expect(at).To(Equal(store.Revision(12)))
 }
 
-// waits returns how long a feed does not watch the store.
-func (f *fixture) waits(t *testing.T) time.Duration {
+// timeToNextWatch returns how long a feed does not watch the store.
+func (f *fixture) timeToNextWatch(t *testing.T) time.Duration {
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
 	began := time.Now()
@@ -207,15 +207,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newFixture(t, 10)
-		g.Expect(f.waits(t)).To(Equal(firstReadRest), "the store has just been read")
-		g.Expect(f.waits(t)).To(BeZero(), "no relay has sent anything")
+		g.Expect(f.timeToNextWatch(t)).To(Equal(delayAfterFirstRead), "the store has just been read")
+		g.Expect(f.timeToNextWatch(t)).To(BeZero(), "no relay has sent anything")
 		f.coverage.FreshUntil = time.Now().Add(pace.StaleAfter)
-		g.Expect(f.waits(t)).To(Equal(pace.StaleAfter), "both relays have stopped, are paused or unreachable")
+		g.Expect(f.timeToNextWatch(t)).To(Equal(pace.StaleAfter), "both relays have stopped, are paused or unreachable")
 		f.coverage.FreshUntil = time.Now().Add(time.Hour)
-		f.waits(t)
-		g.Expect(f.waits(t)).To(And(BeNumerically(">=", confirmInterval/2), BeNumerically("<=", 2*confirmInterval)), "also if the previous call failed")
+		f.timeToNextWatch(t)
+		g.Expect(f.timeToNextWatch(t)).To(And(BeNumerically(">=", confirmInterval/2), BeNumerically("<=", 2*confirmInterval)), "also if the previous call failed")
 		f.isRelay = true
-		g.Expect(f.waits(t)).To(BeZero(), "a relay watches the store")
+		g.Expect(f.timeToNextWatch(t)).To(BeZero(), "a relay watches the store")
 	})
 }
 
@@ -224,9 +224,9 @@
 		g := NewWithT(t)
 		f := newFixture(t, 10)
 		f.coverage.FreshUntil = time.Now().Add(time.Hour)
-		time.Sleep(firstReadRest)
+		time.Sleep(delayAfterFirstRead)
 		time.AfterFunc(100*time.Millisecond, f.Subscribed)
-		g.Expect(f.waits(t)).To(Equal(100 * time.Millisecond))
+		g.Expect(f.timeToNextWatch(t)).To(Equal(100 * time.Millisecond))
 	})
 }
 
@@ -236,9 +236,9 @@
 		g := NewWithT(t)
 		f := newFixture(t, 10)
 		f.coverage.FreshUntil = time.Now().Add(time.Hour)
-		time.Sleep(firstReadRest)
+		time.Sleep(delayAfterFirstRead)
 		time.AfterFunc(100*time.Millisecond, func() { f.Receive(relay.Update{From: 10, To: 11, More: true}) })
-		g.Expect(f.waits(t)).To(Equal(100 * time.Millisecond))
+		g.Expect(f.timeToNextWatch(t)).To(Equal(100 * time.Millisecond))
 	})
 }
 
@@ -248,12 +248,12 @@
 		g := NewWithT(t)
 		f := newFixture(t, 10)
 		f.snapshot.setReachable(false)
-		time.Sleep(firstReadRest)
+		time.Sleep(delayAfterFirstRead)
 		f.coverage = peers.Coverage{FreshUntil: time.Now().Add(-time.Second), Answering: true}
-		g.Expect(f.waits(t)).To(BeZero())
-		g.Expect(f.waits(t)).To(And(BeNumerically(">=", outageRetryDelay/2), BeNumerically("<=", 2*outageRetryDelay)))
+		g.Expect(f.timeToNextWatch(t)).To(BeZero())
+		g.Expect(f.timeToNextWatch(t)).To(And(BeNumerically(">=", outageRetryDelay/2), BeNumerically("<=", 2*outageRetryDelay)))
 		f.coverage.Answering = false
-		g.Expect(f.waits(t)).To(BeZero(), "no relay will report that the store responds again")
+		g.Expect(f.timeToNextWatch(t)).To(BeZero(), "no relay will report that the store responds again")
 	})
 }
 
@@ -262,10 +262,10 @@
 	g := NewWithT(t)
 	f := newFixture(t, 10, entry("e1", "prefill", 5), entry("e2", "decode", 6), entry("e3", "decode", 7))
 	f.apply([]store.Event{{Item: entry("e4", "decode", 12)}}, 12)
-	passed := f.forwarded
+	forwardedBefore := f.forwarded
 	g.Expect(f.reset([]store.Item{entry("e1", "decode", 15), entry("e2", "decode", 6), entry("e4", "prefill", 14), entry("e5", "decode", 21)}, 20)).To(Succeed())
-	g.Expect(f.forwarded).To(Equal(passed + 1))
-	updates := f.Since(11, readsAll, time.Now())
+	g.Expect(f.forwarded).To(Equal(forwardedBefore + 1))
+	updates := f.Since(11, allReads, time.Now())
 	g.Expect(updates).To(HaveLen(1))
 	g.Expect(updates[0].More).To(BeFalse(), "a subscriber need not read the store")
 	g.Expect(updates[0].To).To(Equal(store.Revision(20)))
@@ -316,9 +316,9 @@
 func TestLargeConfigurationIsRelayedAsDelta(t *testing.T) {
 	g := NewWithT(t)
 	first := largeConfig(1, 5)
-	relay, f, stranger := newFixture(t, 10, first), newFixture(t, 10, first), newFixture(t, 10, largeConfig(1, 6))
+	relay, f, mismatched := newFixture(t, 10, first), newFixture(t, 10, first), newFixture(t, 10, largeConfig(1, 6))
 	relay.apply([]store.Event{{Item: largeConfig(2, 12)}, {Item: entry("e1", "decode", 13)}}, 13)
-	updates := relay.Since(10, readsAll, time.Now())
+	updates := relay.Since(10, allReads, time.Now())
 	g.Expect(updates).To(HaveLen(1))
 	g.Expect(updates[0].Bytes()).To(BeNumerically("<", 2000))
 	g.Expect(f.Receive(updates[0])).To(BeTrue())
@@ -333,12 +333,12 @@
 		}
 	}
 
-	other := relay.Since(10, readsAll, time.Now())
+	other := relay.Since(10, allReads, time.Now())
 	other[0].Deltas[0].Bytes = append([]byte{2}, other[0].Deltas[0].Bytes...)
-	stranger.Receive(other[0])
-	g.Expect(stranger.ingress.Version()).To(Equal(uint64(1)), "a delta that can't be applied is left out")
-	g.Expect(stranger.Reached()).To(Equal(store.Revision(11)), "and the watch that follows reports it")
-	g.Expect(stranger.stage("e1")).To(BeEmpty(), "together with the later changes")
+	mismatched.Receive(other[0])
+	g.Expect(mismatched.ingress.Version()).To(Equal(uint64(1)), "a delta that can't be applied is left out")
+	g.Expect(mismatched.Reached()).To(Equal(store.Revision(11)), "and the watch that follows reports it")
+	g.Expect(mismatched.stage("e1")).To(BeEmpty(), "together with the later changes")
 }
 
 // Guards against gateways that all read the store when it drops its history.
--- a/pkg/process/restored.go
+++ b/pkg/process/restored.go
@@ -24,8 +24,8 @@
 	lapseTime = 4 * time.Second
 	// maxLoss bounds the age of the copy that the store is restored from.
 	maxLoss = time.Minute
-	// deferredEvery is the interval at which deferred changes are checked.
-	deferredEvery = 100 * time.Millisecond
+	// deferredCheckInterval is the interval at which deferred changes are checked.
+	deferredCheckInterval = 100 * time.Millisecond
 	// dropped is the deferral of a change that is never applied.
 	dropped time.Duration = -1
 )
@@ -120,7 +120,7 @@
 
 // runDeferred applies deferred changes when they are due, until the context ends.
 func (f *feed) runDeferred(ctx context.Context) {
-	tick := time.NewTicker(deferredEvery)
+	tick := time.NewTicker(deferredCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
--- a/pkg/process/restored_test.go
+++ b/pkg/process/restored_test.go
@@ -49,9 +49,9 @@
 	g := NewWithT(t)
 	first := []store.Item{written("e1", "decode", "ready", 0, 1, 20), written("e2", "prefill", "ready", 0, 1, 21), {Key: orderKey, Value: []byte("g"), Revision: 38}}
 	relay, f := newFixture(t, 39, first...), newFixture(t, 39, first...)
-	reading := []store.Item{written("e1", "decode", "draining", 0, 9, inEra(1, 39)), written("e2", "decode", "ready", 0, 9, inEra(1, 38))}
-	g.Expect(relay.reset(reading, inEra(1, 40))).To(Succeed())
-	for _, u := range relay.Since(39, readsAll, time.Now()) {
+	items := []store.Item{written("e1", "decode", "draining", 0, 9, inEra(1, 39)), written("e2", "decode", "ready", 0, 9, inEra(1, 38))}
+	g.Expect(relay.reset(items, inEra(1, 40))).To(Succeed())
+	for _, u := range relay.Since(39, allReads, time.Now()) {
 		g.Expect(f.Receive(u)).To(BeTrue())
 	}
 	for name, got := range map[string]*fixture{"the relay": relay, "a gateway": f} {
@@ -69,11 +69,11 @@
 	g := NewWithT(t)
 	relay, f := newFixture(t, 36, entry("e1", "decode", 20)), newFixture(t, 39, entry("e1", "decode", 20), entry("e2", "decode", 38))
 	g.Expect(relay.reset([]store.Item{entry("e1", "decode", inEra(1, 20))}, inEra(1, 36))).To(Succeed())
-	for _, u := range relay.Since(36, readsAll, time.Now()) {
+	for _, u := range relay.Since(36, allReads, time.Now()) {
 		g.Expect(f.Receive(u)).To(BeFalse())
 	}
 	g.Expect(f.Reached()).To(Equal(store.Revision(39)))
-	g.Expect(relay.Since(39, readsAll, time.Now())[0].More).To(BeTrue())
+	g.Expect(relay.Since(39, allReads, time.Now())[0].More).To(BeTrue())
 }
 
 // Guards against a relay that still follows an earlier era and confirms state of the current one.
@@ -107,7 +107,7 @@
 		old := []store.Item{written("leaves", "decode", "ready", 0, 1, inEra(1, 5)), written("gone", "decode", "ready", 0, 1, inEra(1, 6)),
 			written("again", "decode", "ready", 100, 7, inEra(1, 7)), evacuated("b", inEra(1, 8)), largeConfig(1, inEra(1, 9))}
 		g.Expect(f.reset(old, inEra(1, 20))).To(Succeed())
-		asKnown := func(when string) {
+		expectCurrentState := func(when string) {
 			g.Expect(f.present("leaves")).To(BeFalse(), when)
 			g.Expect(f.present("gone")).To(BeFalse(), when)
 			g.Expect(f.ingress.Directory.Current("again").Born).To(Equal(int64(200)), when)
@@ -115,10 +115,10 @@
 			g.Expect(f.ingress.Directory.Evacuated()).To(Equal([]string{"c"}), when)
 			g.Expect(f.ingress.Version()).To(Equal(uint64(2)), when)
 		}
-		asKnown("right after the restore")
+		expectCurrentState("right after the restore")
 		time.Sleep(rewriteTime - time.Millisecond)
 		f.applyDeferred(time.Now())
-		asKnown("while writers may still rewrite their state")
+		expectCurrentState("while writers may still rewrite their state")
 
 		f.apply([]store.Event{{Item: written("new", "decode", "ready", 0, 9, inEra(1, 21))}, {Item: evacuated("c", inEra(1, 22))},
 			{Item: store.Item{Key: platform.EvacuationPrefix + "b", Revision: inEra(1, 23)}, Gone: true},
@@ -149,7 +149,8 @@
 	})
 }
 
-// Guards against a second restore that applies changes which the first one deferred.
+// Guards against a second restore that applies changes which the first one deferred because they may be
+// stale.
 func TestRepeatedRestoreKeepsCurrentState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/pkg/process/state.go
+++ b/pkg/process/state.go
@@ -35,8 +35,8 @@
 	// maxStateTransfers is how many gateways may receive the state at a time: more would share this
 	// gateway's link with its clients.
 	maxStateTransfers = 2
-	// stateWriteTimeout is how long a receiving gateway may read nothing: it blocks transfers to
-	// others.
+	// stateWriteTimeout is how long a receiving gateway may read nothing, since its transfer keeps
+	// others waiting.
 	stateWriteTimeout = 3 * time.Second
 	// maxStateBytes bounds a state: some thousand runners and routes.
 	maxStateBytes = 8 << 20
@@ -57,10 +57,10 @@
 	Config *store.Item `json:"config,omitempty"`
 	// Leaving are the incarnations of runners that announced their departure in responses.
 	Leaving []string `json:"leaving,omitempty"`
-	// AssuredUs is how long before the sending of this state the store certainly held nothing else, in
-	// microseconds; 0 if that is unknown.
+	// AssuredUs is the time since the last moment at which the store certainly held nothing else, in
+	// microseconds when this was sent; 0 if that moment is unknown.
 	AssuredUs int64 `json:"assured_us,omitempty"`
-	// assured is that moment on the receiver's clock.
+	// assured is the same moment on the receiver's clock.
 	assured time.Time
 }
 
@@ -162,8 +162,8 @@
 // stateClient returns the HTTP client for requests to other gateways.
 func stateClient() *http.Client { return &http.Client{} }
 
-// fetchStateFromPeers loads the state of the first gateway that has one. It asks those with the newest
-// configuration, some others, and the seeds.
+// fetchStateFromPeers loads the state of the first gateway that has one. It asks those with the
+// newest configuration, some others, and the seeds.
 func (p *Ingress) fetchStateFromPeers(ctx context.Context, client *http.Client) {
 	for _, address := range append(sample(p.peers.Addresses(), maxPeersAsked), p.seeds()...) {
 		s, err := fetchState(ctx, client, address)
@@ -214,7 +214,7 @@
 	if err != nil {
 		return s, &ErrState{Address: address, Why: "bad address", Err: err}
 	}
-	asked := boottime.Now()
+	sentAt := boottime.Now()
 	res, err := client.Do(req)
 	if err != nil {
 		return s, &ErrState{Address: address, Why: "no response", Err: err}
@@ -230,7 +230,7 @@
 		return s, &ErrState{Address: address, Why: "too old: " + age.String()}
 	}
 	if s.AssuredUs > 0 {
-		s.assured = asked.Add(-time.Duration(s.AssuredUs) * time.Microsecond)
+		s.assured = sentAt.Add(-time.Duration(s.AssuredUs) * time.Microsecond)
 	}
 	return s, nil
 }
--- a/pkg/process/stop.go
+++ b/pkg/process/stop.go
@@ -7,7 +7,7 @@
 )
 
 // Stop carries out the planned stop: first the health check fails while new requests are still served,
-// then only running requests are.
+// then only running requests are finished.
 func (p *Ingress) Stop() {
 	p.stop.Do(func() {
 		p.drain()
@@ -25,12 +25,12 @@
 	p.Ingress.StartDrain(wait, longest)
 	end := began.Add(longest)
 	// Requests on kept-alive connections are refused for a while after the last request was accepted.
-	refusing := began.Add(wait)
+	refusedSince := began.Add(wait)
 	for now := began; now.Before(end); now = time.Now() {
-		if p.Ingress.Streams() > 0 && now.After(refusing) {
-			refusing = now
+		if p.Ingress.Streams() > 0 && now.After(refusedSince) {
+			refusedSince = now
 		}
-		if now.Sub(refusing) > refusalTime && p.Ingress.Open() == 0 {
+		if now.Sub(refusedSince) > refusalTime && p.Ingress.Open() == 0 {
 			break
 		}
 		time.Sleep(drainPollInterval)
