--- a/pkg/process/relay_test.go
+++ b/pkg/process/relay_test.go
@@ -194,7 +194,7 @@
 	g.Expect(at).To(Equal(store.Revision(12)))
 }
 
-// timeToNextWatch returns how long a feed does not watch the store.
+// timeToNextWatch returns how long a feed waits before its next watch of the store.
 func (f *fixture) timeToNextWatch(t *testing.T) time.Duration {
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
