--- a/pkg/quota/account.go
+++ b/pkg/quota/account.go
@@ -8,88 +8,98 @@
 	"github.com/hopwell/hopwell/pkg/workspace"
 )
 
-// account is the bucket of one workspace.
+// account is the token bucket of one workspace and the spending counted in it. All amounts are in
+// units of the workspace's limit.
 type account struct {
 	name  string
 	key   Key
 	limit workspace.Limit
-	// size is what the bucket holds at most, level what it holds. Less than nothing is owed.
+	// size is the capacity of the bucket. level is its content without the amounts in withheld; a
+	// negative level is debt.
 	size, level float64
-	// rate is what all gateways together fill in, in a second.
-	rate float64
-	// credited is how far it was filled, in the fleet's seconds.
-	credited float64
-	// aside is what gateways that are not heard of may spend of it.
-	aside map[string]float64
-	// spent is what this gateway spent since its process began, heard what others did.
-	spent int64
-	heard map[string]int64
-	// adopted is set once the level was taken over from a gateway that knew it.
+	// refillRate is the rate at which all gateways together refill the bucket, in units per
+	// second.
+	refillRate float64
+	// refilledTo is the value of fleet.refillTime up to which the bucket was refilled, in
+	// seconds.
+	refilledTo float64
+	// withheld maps each peer that is not alive to the amount that it may spend while this
+	// gateway receives nothing from it.
+	withheld map[string]float64
+	// spent is what this gateway has spent since its process started. reported is the last total
+	// that each peer reported.
+	spent    int64
+	reported map[string]int64
+	// adopted is set once the level was taken over from a settled peer, one that has seen all
+	// spending of a window.
 	adopted bool
-	// changed is the revision of the last own change, place that among the recent ones.
-	changed uint64
-	place   *list.Element
+	// lastRevision is the ledger's revision at the last spending of this gateway from the bucket.
+	// recentElement is the account's element in Ledger.recent, nil before the first spending.
+	lastRevision  uint64
+	recentElement *list.Element
 }
 
-// resize takes over a limit. The bucket stays as full as it was.
+// resize sets a new limit. The bucket stays as full as it was, as a fraction of its size.
 func (a *account) resize(limit workspace.Limit, allowance Allowance, shares Shares) {
-	before := a.size
-	allowed := limit.Rate*allowance.Window.Seconds() + limit.Burst + allowance.beyond(limit)
+	oldSize := a.size
+	allowed := limit.Rate*allowance.Window.Seconds() + limit.Burst + allowance.excess(limit)
 	a.limit = limit
-	// A bucket takes at least one request, and is filled more slowly then: in a window it
-	// lets through its size and what is filled in.
-	a.size = max(limit.Burst+shares.Bucket*allowance.beyond(limit), 1)
-	a.rate = min(limit.Rate, max(0, allowed-a.size)/allowance.Window.Seconds())
-	if before <= 0 {
+	// The size is at least 1, so that one request can pass. The refill rate is lowered
+	// accordingly, because a bucket lets through its size plus the refill in a window.
+	a.size = max(limit.Burst+shares.Bucket*allowance.excess(limit), 1)
+	a.refillRate = min(limit.Rate, max(0, allowed-a.size)/allowance.Window.Seconds())
+	if oldSize <= 0 {
 		return
 	}
-	scale := a.size / before
+	scale := a.size / oldSize
 	a.level *= scale
-	for name := range a.aside {
-		a.aside[name] *= scale
+	for name := range a.withheld {
+		a.withheld[name] *= scale
 	}
 }
 
-// refill fills the bucket up to the fleet's seconds.
-func (a *account) refill(credited float64) {
-	a.level = min(a.level+a.rate*(credited-a.credited), a.size-a.asideSum())
-	a.credited = credited
+// refill adds the refill since the last call. refillTime is the fleet's current refill time, in
+// seconds.
+func (a *account) refill(refillTime float64) {
+	a.level = min(a.level+a.refillRate*(refillTime-a.refilledTo), a.size-a.withheldSum())
+	a.refilledTo = refillTime
 }
 
-func (a *account) asideSum() float64 {
+func (a *account) withheldSum() float64 {
 	sum := 0.0
-	for _, v := range a.aside {
+	for _, v := range a.withheld {
 		sum += v
 	}
 	return sum
 }
 
-// take takes an amount out, or puts it back if it is negative.
-func (a *account) take(amount float64) { a.level = min(a.level-amount, a.size-a.asideSum()) }
+// take withdraws an amount, or returns it if it is negative.
+func (a *account) take(amount float64) { a.level = min(a.level-amount, a.size-a.withheldSum()) }
 
-// setAside puts a part of what the bucket holds aside for a gateway that is not heard of.
-func (a *account) setAside(gateway string, part, level float64) {
-	a.aside[gateway] += max(0, level) * part
+// withhold adds a fraction of a level to the amount withheld for a peer that is not alive. The
+// caller subtracts it from a.level.
+func (a *account) withhold(name string, fraction, level float64) {
+	a.withheld[name] += max(0, level) * fraction
 }
 
-// release puts back what was aside for a gateway that is heard of again, or gone for good.
-func (a *account) release(gateway string) {
-	a.level += a.aside[gateway]
-	delete(a.aside, gateway)
+// release returns the amount withheld for a peer to the bucket.
+func (a *account) release(name string) {
+	a.level += a.withheld[name]
+	delete(a.withheld, name)
 }
 
-// until returns how long it takes until the bucket holds an amount, where a part of it is
-// filled in.
-func (a *account) until(amount, part float64) time.Duration {
+// timeUntil returns how long it takes until the bucket holds an amount, at a fraction of its
+// refill rate.
+func (a *account) timeUntil(amount, fraction float64) time.Duration {
 	missing := min(amount, a.size) - a.level
 	if missing <= 0 {
 		return 0
 	}
-	if a.rate*part <= 0 {
+	if a.refillRate*fraction <= 0 {
 		return math.MaxInt64
 	}
-	return time.Duration(min(missing/(a.rate*part), maxUntil.Seconds()) * float64(time.Second))
+	return time.Duration(min(missing/(a.refillRate*fraction), maxWait.Seconds()) * float64(time.Second))
 }
 
-// maxUntil is the longest time that a client is told to wait for its limit.
-const maxUntil = time.Minute
+// maxWait is the longest wait that is reported to a client over its limit.
+const maxWait = time.Minute
--- a/pkg/quota/exchange.go
+++ b/pkg/quota/exchange.go
@@ -5,134 +5,138 @@
 	"time"
 )
 
-// Members sets which other gateways there are, heard of or not, and how long after it was heard
-// of one is taken to be there: somewhat more than the time between two datagrams.
+// Members sets the names of all peers, alive or not, and the grace period: how long after its
+// last datagram a peer counts as alive. It should be somewhat longer than the interval between
+// two datagrams.
 func (l *Ledger) Members(names []string, grace time.Duration, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.advance(now)
 	l.fleet.grace = grace
 	for _, name := range names {
-		l.join(name)
+		l.addPeer(name)
 	}
-	for name := range l.fleet.others {
+	for name := range l.fleet.peers {
 		if !slices.Contains(names, name) {
-			l.leave(name)
+			l.removePeer(name)
 		}
 	}
 }
 
-// join adds a gateway that is not heard of yet. The caller holds the lock.
-func (l *Ledger) join(name string) *gateway {
-	g := l.fleet.others[name]
-	if g != nil {
-		return g
-	}
-	g = &gateway{name: name}
-	l.fleet.others[name] = g
+// addPeer returns the peer with a name. A new peer is added as not alive. The caller must hold
+// l.mu.
+func (l *Ledger) addPeer(name string) *peer {
+	p := l.fleet.peers[name]
+	if p != nil {
+		return p
+	}
+	p = &peer{name: name}
+	l.fleet.peers[name] = p
 	for _, a := range l.accounts {
-		a.refill(l.fleet.credited)
-		a.setAside(name, 1/float64(l.fleet.size()), a.level)
-		a.level -= a.aside[name]
+		a.refill(l.fleet.refillTime)
+		a.withhold(name, 1/float64(l.fleet.size()), a.level)
+		a.level -= a.withheld[name]
 	}
-	return g
+	return p
 }
 
-// leave drops a gateway that is gone for good. What was put aside for it is free again. The
-// caller holds the lock.
-func (l *Ledger) leave(name string) {
-	delete(l.fleet.others, name)
+// removePeer removes a peer for good. The amounts withheld for it become available again. The
+// caller must hold l.mu.
+func (l *Ledger) removePeer(name string) {
+	delete(l.fleet.peers, name)
 	for _, a := range l.accounts {
 		a.release(name)
-		delete(a.heard, name)
+		delete(a.reported, name)
 	}
 }
 
-// Heard notes that a gateway told all that it has spent: in this datagram, or in earlier ones
-// of which none was lost. Whole says that it names all workspaces that it ever spent for, settled
-// that it has seen all spending of a window.
-func (l *Ledger) Heard(name string, incarnation uint64, spending []Spending, whole, settled bool, now time.Time) {
+// Heard records the spending that a peer reported in a datagram. The report must complete what is
+// known of the peer's spending: it is full, or no earlier datagram of the peer was lost. full
+// means that the report names every workspace that the peer ever spent for. settled means that
+// the peer has seen all spending of a window.
+func (l *Ledger) Heard(name string, incarnation uint64, spending []Spending, full, settled bool, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.fleet.upToDate(name, now) {
 		l.advance(now)
 	}
-	g := l.join(name)
-	if g.incarnation != incarnation {
-		l.restarted(g, incarnation, now)
+	p := l.addPeer(name)
+	if p.incarnation != incarnation {
+		l.handleRestart(p, incarnation, now)
 	}
-	l.present(g, now)
+	l.markAlive(p, now)
 	for _, s := range spending {
-		l.charge(g, s)
-		if whole {
+		l.charge(p, s)
+		if full {
 			l.adopt(s, settled, now)
 		}
 	}
-	g.counted = g.counted || whole
+	p.baselineKnown = p.baselineKnown || full
 }
 
-// adopt takes over what another gateway's bucket holds, where this process can't know it by
-// itself: all of a gateway that has seen a whole window, the less of both otherwise. The caller
-// holds the lock.
+// adopt takes over the level of a peer's bucket while this process has not yet seen a whole
+// window itself. The level of a settled peer replaces the own one; that of any other peer does so
+// only if it is lower. The caller must hold l.mu.
 func (l *Ledger) adopt(s Spending, settled bool, now time.Time) {
 	a := l.accounts[s.Workspace]
 	if a == nil || a.adopted || l.settled(now) {
 		return
 	}
-	if own := a.level + a.asideSum(); settled || float64(s.Level) < own {
-		l.divide(a, float64(s.Level))
+	if own := a.level + a.withheldSum(); settled || float64(s.Level) < own {
+		l.setLevel(a, float64(s.Level))
 	}
 	a.adopted = settled
 }
 
-// restarted notes that a gateway's process is not the one that was known. What an earlier one
-// spent while it was not heard of will never be told: its part of that time, and what was put
-// aside for it, are taken for spent. The caller holds the lock.
-func (l *Ledger) restarted(g *gateway, incarnation uint64, now time.Time) {
-	known := g.incarnation != 0
+// handleRestart resets the state of a peer whose incarnation is new. What an earlier process of
+// the peer spent while this gateway received nothing from it will never be reported. Its share of
+// the refill for that time and the amounts withheld for it therefore count as spent. The caller
+// must hold l.mu.
+func (l *Ledger) handleRestart(p *peer, incarnation uint64, now time.Time) {
+	restarted := p.incarnation != 0
 	for _, a := range l.accounts {
-		delete(a.heard, g.name)
-		if known {
-			delete(a.aside, g.name)
+		delete(a.reported, p.name)
+		if restarted {
+			delete(a.withheld, p.name)
 		}
 	}
-	if known {
-		g.creditedAt = now
+	if restarted {
+		p.creditedTo = now
 	}
-	// A process that started while this one ran began with nothing spent.
-	g.counted, g.incarnation = known, incarnation
+	// A process that started while this one was running began with nothing spent.
+	p.baselineKnown, p.incarnation = restarted, incarnation
 }
 
-// present notes that a gateway is there: what it may have spent meanwhile is told with it, so
-// that what was put aside, and its part of the time, belong to all again. The caller holds the
-// lock.
-func (l *Ledger) present(g *gateway, now time.Time) {
-	wasHere := g.present
-	g.present, g.heardAt = true, later(g.heardAt, now)
-	l.fleet.credit(g, now, 1/float64(l.fleet.size()))
-	if wasHere {
+// markAlive records that a datagram from a peer arrived. The datagram reports what the peer spent
+// in the meantime, so the amounts withheld for it and its share of the refill become available to
+// all gateways again. The caller must hold l.mu.
+func (l *Ledger) markAlive(p *peer, now time.Time) {
+	wasAlive := p.alive
+	p.alive, p.lastReceived = true, later(p.lastReceived, now)
+	l.fleet.credit(p, now, 1/float64(l.fleet.size()))
+	if wasAlive {
 		return
 	}
 	for _, a := range l.accounts {
-		a.level += a.aside[g.name] + a.rate*(l.fleet.credited-a.credited)
-		a.credited = l.fleet.credited
-		delete(a.aside, g.name)
+		a.level += a.withheld[p.name] + a.refillRate*(l.fleet.refillTime-a.refilledTo)
+		a.refilledTo = l.fleet.refillTime
+		delete(a.withheld, p.name)
 	}
 }
 
-// charge counts what another gateway spent. What it had spent before this process knew it is
-// left: a bucket at the start of a process holds little for that reason. The caller holds the
-// lock.
-func (l *Ledger) charge(g *gateway, s Spending) {
+// charge counts what a peer has spent since its last report. What it spent before this process
+// knew it is not counted: this is why a bucket holds little when a process starts. The caller
+// must hold l.mu.
+func (l *Ledger) charge(p *peer, s Spending) {
 	a := l.accounts[s.Workspace]
 	if a == nil {
 		return
 	}
-	a.refill(l.fleet.credited)
-	before, known := a.heard[g.name]
-	a.heard[g.name] = s.Total
-	if known || g.counted {
-		a.take(float64(s.Total - before))
+	a.refill(l.fleet.refillTime)
+	previous, found := a.reported[p.name]
+	a.reported[p.name] = s.Total
+	if found || p.baselineKnown {
+		a.take(float64(s.Total - previous))
 	}
 }
 
@@ -143,53 +147,53 @@
 	return len(l.accounts) > 0
 }
 
-// Revision returns the revision of the newest own spending.
+// Revision returns the revision of this gateway's latest spending.
 func (l *Ledger) Revision() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.revision
 }
 
-// Since returns what this gateway spent for the workspaces whose spending changed after a
-// revision, the newest first and at most a number of them, and the revision reached.
-func (l *Ledger) Since(revision uint64, most int) ([]Spending, uint64) {
+// Since returns this gateway's spending for the workspaces whose spending changed after a
+// revision, the latest first and at most maxEntries of them, and the current revision.
+func (l *Ledger) Since(revision uint64, maxEntries int) ([]Spending, uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []Spending
-	for e := l.recent.Front(); e != nil && len(out) < most; e = e.Next() {
+	for e := l.recent.Front(); e != nil && len(out) < maxEntries; e = e.Next() {
 		a := e.Value.(*account)
-		if a.changed <= revision {
+		if a.lastRevision <= revision {
 			break
 		}
-		a.refill(l.fleet.credited)
-		out = append(out, Spending{Workspace: a.key, Total: a.spent, Level: int64(a.level + a.asideSum())})
+		a.refill(l.fleet.refillTime)
+		out = append(out, Spending{Workspace: a.key, Total: a.spent, Level: int64(a.level + a.withheldSum())})
 	}
 	return out, l.revision
 }
 
-// Settled reports whether this process has seen all that was spent in the last window.
+// Settled reports whether this process has seen all spending of the last window.
 func (l *Ledger) Settled(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.settled(now)
 }
 
-// Pressed reports whether spending after a revision is from a bucket that is less than half
-// full: others should hear of it at once.
+// Pressed reports whether this gateway spent, after a revision, from a bucket that is less than
+// half full. Peers should receive such spending at once.
 func (l *Ledger) Pressed(revision uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for e := l.recent.Front(); e != nil; e = e.Next() {
 		a := e.Value.(*account)
-		if a.changed <= revision {
+		if a.lastRevision <= revision {
 			return false
 		}
-		if a.level < pressedBelow*a.size {
+		if a.level < lowLevel*a.size {
 			return true
 		}
 	}
 	return false
 }
 
-// pressedBelow is the part of a bucket below which it is pressed.
-const pressedBelow = 0.5
+// lowLevel is the level, as a fraction of the bucket's size, below which Pressed returns true.
+const lowLevel = 0.5
--- a/pkg/quota/fleet.go
+++ b/pkg/quota/fleet.go
@@ -6,135 +6,140 @@
 	"time"
 )
 
-// fleet is the gateways that share the buckets.
+// fleet is the set of gateways that share the buckets.
 type fleet struct {
-	others map[string]*gateway
-	// grace is how long after a gateway was heard of it is taken to be there.
+	peers map[string]*peer
+	// grace is how long after its last datagram a peer counts as alive.
 	grace time.Duration
-	// credited is up to when buckets are filled, in seconds: each gateway adds its part of
-	// the time in which it was there. at is when the own part was added last.
-	credited float64
-	at       time.Time
+	// refillTime is the time for which the buckets have been refilled, in seconds. Each of n
+	// gateways adds 1/n of the time for which it was alive. advancedAt is when the share of this
+	// gateway was last added.
+	refillTime float64
+	advancedAt time.Time
 }
 
-// gateway is another gateway.
-type gateway struct {
+// peer is what this gateway knows of another one.
+type peer struct {
 	name        string
 	incarnation uint64
-	// heardAt is when it was heard of last, zero for never; creditedAt up to when its
-	// part was added. Present says that it was there when that was looked at last.
-	heardAt, creditedAt time.Time
-	present             bool
-	// counted is set once all that it has spent is known.
-	counted bool
+	// lastReceived is when the last datagram arrived, zero for never. creditedTo is the time up to
+	// which the peer's share was added to refillTime. alive says whether the peer was alive at
+	// the last check.
+	lastReceived, creditedTo time.Time
+	alive                    bool
+	// baselineKnown is set once all that the peer has spent is known: the first total that it
+	// reports for a workspace is then counted in full.
+	baselineKnown bool
 }
 
-// lateAfter is the part of the grace after which a gateway begins to count as late: that in which
-// most are heard of while anything is spent.
-const lateAfter = 4
+// lateDivisor sets when a peer begins to count as late: grace/lateDivisor after its last
+// datagram. While anything is spent, most datagrams arrive within that time.
+const lateDivisor = 4
 
-// defaultGrace holds until the first Members.
+// defaultGrace applies until the first call of Members.
 const defaultGrace = time.Second
 
-func newFleet() fleet { return fleet{others: map[string]*gateway{}, grace: defaultGrace} }
+func newFleet() fleet { return fleet{peers: map[string]*peer{}, grace: defaultGrace} }
 
-// size returns how many gateways there are.
-func (f *fleet) size() int { return len(f.others) + 1 }
+// size returns the number of gateways, including this one.
+func (f *fleet) size() int { return len(f.peers) + 1 }
 
-// part returns the part of the gateways that are there, with the own one.
-func (f *fleet) part() float64 {
-	heard, _ := f.heard()
-	return float64(heard+1) / float64(f.size())
+// aliveFraction returns the fraction of the gateways that are alive, including this one.
+func (f *fleet) aliveFraction() float64 {
+	alive, _ := f.countAlive()
+	return float64(alive+1) / float64(f.size())
 }
 
-// heard returns how many other gateways are there, and how many there are.
-func (f *fleet) heard() (here, known int) {
-	for _, g := range f.others {
-		if g.present {
-			here++
+// countAlive returns how many peers are alive, and how many there are.
+func (f *fleet) countAlive() (alive, total int) {
+	for _, p := range f.peers {
+		if p.alive {
+			alive++
 		}
 	}
-	return here, len(f.others)
+	return alive, len(f.peers)
 }
 
-// certainty returns the part of what a bucket holds that others surely have not spent: what
-// belongs to a gateway that is late is put aside bit by bit, until it is taken for silent.
-func (f *fleet) certainty(now time.Time) float64 {
-	here, late := 0, 0.0
-	for _, g := range f.others {
-		if !g.present {
+// spendableFraction returns the fraction of a bucket's level that peers have certainly not spent.
+// The share of a late peer is excluded gradually, until the peer times out.
+func (f *fleet) spendableFraction(now time.Time) float64 {
+	alive, late := 0, 0.0
+	for _, p := range f.peers {
+		if !p.alive {
 			continue
 		}
-		here++
-		over := now.Sub(g.heardAt) - f.grace/lateAfter
-		late += max(0, min(1, over.Seconds()/(f.grace-f.grace/lateAfter).Seconds()))
+		alive++
+		over := now.Sub(p.lastReceived) - f.grace/lateDivisor
+		late += max(0, min(1, over.Seconds()/(f.grace-f.grace/lateDivisor).Seconds()))
 	}
-	return 1 - late/float64(here+1)
+	return 1 - late/float64(alive+1)
 }
 
-// advanceEvery is how long what others fill in may stay uncounted when one of them is heard of; it
-// is counted before anything is taken. Datagrams come from hundreds of gateways, and counting looks through
-// all of them.
-const advanceEvery = 20 * time.Millisecond
+// advanceInterval is how long the refill by peers may stay uncounted when a datagram arrives.
+// Datagrams come from hundreds of gateways, and advance loops over all of them. Before a request
+// is admitted, the refill is always counted.
+const advanceInterval = 20 * time.Millisecond
 
-// upToDate reports whether hearing of a gateway changes nothing for the others: it was there all the
-// time, and they were looked at a moment ago.
+// upToDate reports whether a datagram from a peer needs no call of advance: the peer was alive
+// all the time, and advance was called less than advanceInterval ago.
 func (f *fleet) upToDate(name string, now time.Time) bool {
-	g := f.others[name]
-	return g != nil && g.present && !now.After(g.heardAt.Add(f.grace)) && now.Sub(f.at) < advanceEvery
+	p := f.peers[name]
+	return p != nil && p.alive && !now.After(p.lastReceived.Add(f.grace)) && now.Sub(f.advancedAt) < advanceInterval
 }
 
-// silence is a gateway that fell silent, and its part of what those hold that were there.
-type silence struct {
-	name string
-	part float64
+// timedOutPeer is a peer that has timed out, and the fraction of a bucket's level to withhold for
+// it.
+type timedOutPeer struct {
+	name     string
+	fraction float64
 }
 
-// advance adds the parts of the own gateway and of those that are there, and returns those that
-// have fallen silent. Each takes its part of what those before it left.
-func (f *fleet) advance(now time.Time) []silence {
+// advance adds the refill shares of this gateway and of the peers that are alive, and returns the
+// peers that have timed out. The fraction of each applies to the level that is left after the
+// peers before it.
+func (f *fleet) advance(now time.Time) []timedOutPeer {
 	share := 1 / float64(f.size())
-	if f.at.IsZero() {
-		f.at = now
+	if f.advancedAt.IsZero() {
+		f.advancedAt = now
 	}
-	f.credited += share * max(0, now.Sub(f.at).Seconds())
-	f.at = later(f.at, now)
-	here, _ := f.heard()
-	var silent []silence
-	for _, g := range f.others {
-		if !g.present {
+	f.refillTime += share * max(0, now.Sub(f.advancedAt).Seconds())
+	f.advancedAt = later(f.advancedAt, now)
+	alive, _ := f.countAlive()
+	var timedOut []timedOutPeer
+	for _, p := range f.peers {
+		if !p.alive {
 			continue
 		}
-		until := g.heardAt.Add(f.grace)
-		f.credit(g, earlier(now, until), share)
-		if now.After(until) {
-			g.present = false
-			silent = append(silent, silence{name: g.name})
+		aliveUntil := p.lastReceived.Add(f.grace)
+		f.credit(p, earlier(now, aliveUntil), share)
+		if now.After(aliveUntil) {
+			p.alive = false
+			timedOut = append(timedOut, timedOutPeer{name: p.name})
 		}
 	}
-	slices.SortFunc(silent, func(a, b silence) int { return cmp.Compare(a.name, b.name) })
-	for i := range silent {
-		silent[i].part = 1 / float64(here+1-i)
+	slices.SortFunc(timedOut, func(a, b timedOutPeer) int { return cmp.Compare(a.name, b.name) })
+	for i := range timedOut {
+		timedOut[i].fraction = 1 / float64(alive+1-i)
 	}
-	return silent
+	return timedOut
 }
 
-// uncounted notes that what others have spent so far was not counted: there was no account for
-// it.
-func (f *fleet) uncounted() {
-	for _, g := range f.others {
-		g.counted = false
+// resetBaselines marks the spending of all peers as unknown, because there was no account to
+// count it in so far.
+func (f *fleet) resetBaselines() {
+	for _, p := range f.peers {
+		p.baselineKnown = false
 	}
 }
 
-// credit adds a gateway's part up to a time.
-func (f *fleet) credit(g *gateway, to time.Time, share float64) {
-	if g.creditedAt.IsZero() {
-		g.creditedAt = to
+// credit adds a peer's share of the refill up to a time.
+func (f *fleet) credit(p *peer, to time.Time, share float64) {
+	if p.creditedTo.IsZero() {
+		p.creditedTo = to
 	}
-	if to.After(g.creditedAt) {
-		f.credited += share * to.Sub(g.creditedAt).Seconds()
-		g.creditedAt = to
+	if to.After(p.creditedTo) {
+		f.refillTime += share * to.Sub(p.creditedTo).Seconds()
+		p.creditedTo = to
 	}
 }
 
--- a/pkg/quota/fleet_test.go
+++ b/pkg/quota/fleet_test.go
@@ -8,51 +8,55 @@
 	"github.com/hopwell/hopwell/pkg/workspace"
 )
 
-// world plays gateways that share limits, with the network between them, step by step.
-type world struct {
-	rng       *rand.Rand
-	now       time.Time
-	allowance Allowance
-	spaces    []*workspace.Workspace
-	gateways  []*node
-	mail      []letter
-	// delay and loss are the network's; island says who reaches whom.
-	delay  time.Duration
-	loss   float64
-	island []int
-	ran    []run
-	// refused is what was refused, of asked.
-	asked, refused float64
-	// sent is the bytes of all datagrams that carry spending, entries the spending in them.
-	sent, entries int
+// simulation runs gateways that share limits, and the network between them, in fixed time steps.
+type simulation struct {
+	rng        *rand.Rand
+	now        time.Time
+	allowance  Allowance
+	workspaces []*workspace.Workspace
+	gateways   []*process
+	inFlight   []datagram
+	// delay and loss are the delay and the loss rate of the network. partition is the partition
+	// of each gateway: only gateways in the same partition reach each other.
+	delay     time.Duration
+	loss      float64
+	partition []int
+	admitted  []admittedRequest
+	// requested is the total cost of all requests, refused the cost of those that were refused.
+	requested, refused float64
+	// sentBytes is the size of all datagrams that carry spending, sentEntries the number of
+	// workspaces in them.
+	sentBytes, sentEntries int
 }
 
-// node is one gateway's process.
-type node struct {
+// process is one gateway, running or about to start.
+type process struct {
 	name        string
 	ledger      *Ledger
 	incarnation uint64
-	upAt        time.Time
-	peers       map[string]*link
+	startsAt    time.Time
+	links       map[string]*link
 }
 
-// link is what a process knows of its exchange with another one.
+// link is the state that a process keeps for its exchange with one peer.
 type link struct {
-	sent, revision    uint64
-	seen, incarnation uint64
-	missing, wanted   bool
-	lastSent          time.Time
+	sentSequence, sentRevision uint64
+	seenSequence, incarnation  uint64
+	// needFull is set after a lost datagram until the peer has sent a full report. sendFull is
+	// set if the peer needs a full report.
+	needFull, sendFull bool
+	lastSent           time.Time
 }
 
-type letter struct {
-	at                    time.Time
-	from, to              int
-	incarnation, sequence uint64
-	whole, want, settled  bool
-	spending              []Spending
+type datagram struct {
+	at                         time.Time
+	from, to                   int
+	incarnation, sequence      uint64
+	full, requestFull, settled bool
+	spending                   []Spending
 }
 
-type run struct {
+type admittedRequest struct {
 	at        time.Time
 	workspace string
 	cost      float64
@@ -61,29 +65,30 @@
 const (
 	step      = 20 * time.Millisecond
 	heartbeat = 300 * time.Millisecond
-	// newsEvery is the time after which spending is told that is from a bucket with much in
-	// it.
-	newsEvery = 300 * time.Millisecond
-	// datagramHead is what a datagram takes besides its entries, with the heads of IP and
-	// UDP; entryBytes what a workspace's spending takes.
-	datagramHead = 73
-	entryBytes   = 12
+	// reportInterval is the time after which spending is reported if its bucket is at least half
+	// full.
+	reportInterval = 300 * time.Millisecond
+	// datagramOverhead is the size of a datagram without its entries, including the IP and UDP
+	// headers. entryBytes is the size of the entry of one workspace. Both are in bytes.
+	datagramOverhead = 73
+	entryBytes       = 12
 )
 
-func newWorld(n int, a Allowance, spaces []*workspace.Workspace, seed uint64) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), allowance: a, spaces: spaces, delay: 5 * time.Millisecond, island: make([]int, n)}
+func newSimulation(n int, a Allowance, workspaces []*workspace.Workspace, seed uint64) *simulation {
+	w := &simulation{rng: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), allowance: a, workspaces: workspaces, delay: 5 * time.Millisecond, partition: make([]int, n)}
 	for i := range n {
-		w.gateways = append(w.gateways, &node{name: fmt.Sprint("g", i)})
+		w.gateways = append(w.gateways, &process{name: fmt.Sprint("g", i)})
 		w.start(i)
 	}
 	return w
 }
 
-// start starts a gateway's process: it knows the others' names, and nothing else.
-func (w *world) start(i int) {
+// start starts a gateway's process. It knows the names of its peers and the limits, and nothing
+// else.
+func (w *simulation) start(i int) {
 	g := w.gateways[i]
-	g.ledger, g.incarnation, g.peers = New(w.allowance, DefaultShares()), g.incarnation+1, map[string]*link{}
-	g.upAt = w.now
+	g.ledger, g.incarnation, g.links = New(w.allowance, DefaultShares()), g.incarnation+1, map[string]*link{}
+	g.startsAt = w.now
 	var names []string
 	for j, other := range w.gateways {
 		if j != i {
@@ -91,20 +96,20 @@
 		}
 	}
 	g.ledger.Members(names, heartbeat*5/4, w.now)
-	g.ledger.Configure(w.spaces, w.now)
+	g.ledger.Configure(w.workspaces, w.now)
 }
 
-func (g *node) up(now time.Time) bool { return !now.Before(g.upAt) }
+func (g *process) up(now time.Time) bool { return !now.Before(g.startsAt) }
 
-// kill ends a gateway's process; another begins after a time.
-func (w *world) kill(i int, down time.Duration) {
+// kill ends a gateway's process. A new one starts after a delay.
+func (w *simulation) kill(i int, down time.Duration) {
 	w.start(i)
-	w.gateways[i].upAt = w.now.Add(down)
+	w.gateways[i].startsAt = w.now.Add(down)
 }
 
-// run plays a time in which each gateway is asked for some units of each workspace a second, in
-// requests of about a size.
-func (w *world) run(d time.Duration, rates []float64, size float64) {
+// run simulates a period. rates are the units requested per second of each workspace, spread
+// evenly over the gateways, in requests of about the given size.
+func (w *simulation) run(d time.Duration, rates []float64, size float64) {
 	for end := w.now.Add(d); w.now.Before(end); w.now = w.now.Add(step) {
 		w.deliver()
 		for i, g := range w.gateways {
@@ -112,108 +117,109 @@
 				continue
 			}
 			for s, rate := range rates {
-				w.ask(g, w.spaces[s], rate/float64(len(w.gateways)), size)
+				w.generateRequests(g, w.workspaces[s], rate/float64(len(w.gateways)), size)
 			}
 			w.send(i)
 		}
 	}
 }
 
-// ask has requests come at random.
-func (w *world) ask(g *node, space *workspace.Workspace, rate, size float64) {
+// generateRequests makes requests at random in one time step. One request in 20 does not run and
+// is refunded.
+func (w *simulation) generateRequests(g *process, ws *workspace.Workspace, rate, size float64) {
 	expected := rate * step.Seconds() / size
 	for n := expected; n > 0; n-- {
 		if w.rng.Float64() >= min(1, n) {
 			continue
 		}
 		cost := float64(int(size * (0.5 + w.rng.Float64())))
-		w.asked += cost
-		if g.ledger.Admit(space, cost, w.now) != nil {
+		w.requested += cost
+		if g.ledger.Admit(ws, cost, w.now) != nil {
 			w.refused += cost
 			continue
 		}
 		if w.rng.IntN(20) == 0 {
-			g.ledger.GiveBack(space, cost, w.now)
+			g.ledger.GiveBack(ws, cost, w.now)
 			continue
 		}
-		w.ran = append(w.ran, run{w.now, space.Name, cost})
+		w.admitted = append(w.admitted, admittedRequest{w.now, ws.Name, cost})
 	}
 }
 
-// send sends what a gateway owes the others.
-func (w *world) send(i int) {
+// send sends the datagrams of a gateway that are due.
+func (w *simulation) send(i int) {
 	g := w.gateways[i]
 	for j, other := range w.gateways {
 		if i == j {
 			continue
 		}
 		l := g.link(other.name)
-		news := g.ledger.Revision() != l.revision && (w.now.Sub(l.lastSent) >= newsEvery || g.ledger.Pressed(l.revision))
-		if !l.wanted && !l.missing && !news && w.now.Sub(l.lastSent) < heartbeat {
+		due := g.ledger.Revision() != l.sentRevision && (w.now.Sub(l.lastSent) >= reportInterval || g.ledger.Pressed(l.sentRevision))
+		if !l.sendFull && !l.needFull && !due && w.now.Sub(l.lastSent) < heartbeat {
 			continue
 		}
-		if l.wanted {
-			l.revision = 0
+		if l.sendFull {
+			l.sentRevision = 0
 		}
-		m := letter{from: i, to: j, incarnation: g.incarnation, whole: l.wanted, want: l.missing, settled: g.ledger.Settled(w.now), at: w.now.Add(w.delay)}
-		m.spending, l.revision = g.ledger.Since(l.revision, 1000)
+		m := datagram{from: i, to: j, incarnation: g.incarnation, full: l.sendFull, requestFull: l.needFull, settled: g.ledger.Settled(w.now), at: w.now.Add(w.delay)}
+		m.spending, l.sentRevision = g.ledger.Since(l.sentRevision, 1000)
 		if len(m.spending) > 0 {
-			w.sent += datagramHead + entryBytes*len(m.spending)
-			w.entries += len(m.spending)
+			w.sentBytes += datagramOverhead + entryBytes*len(m.spending)
+			w.sentEntries += len(m.spending)
 		}
-		l.sent++
-		m.sequence, l.lastSent, l.wanted = l.sent, w.now, false
-		if w.island[i] == w.island[j] && w.rng.Float64() >= w.loss {
-			w.mail = append(w.mail, m)
+		l.sentSequence++
+		m.sequence, l.lastSent, l.sendFull = l.sentSequence, w.now, false
+		if w.partition[i] == w.partition[j] && w.rng.Float64() >= w.loss {
+			w.inFlight = append(w.inFlight, m)
 		}
 	}
 }
 
-func (g *node) link(name string) *link {
-	if g.peers[name] == nil {
-		g.peers[name] = &link{wanted: true}
+func (g *process) link(name string) *link {
+	if g.links[name] == nil {
+		g.links[name] = &link{sendFull: true}
 	}
-	return g.peers[name]
+	return g.links[name]
 }
 
-func (w *world) deliver() {
-	var later []letter
-	for _, m := range w.mail {
+func (w *simulation) deliver() {
+	var pending []datagram
+	for _, m := range w.inFlight {
 		if m.at.After(w.now) {
-			later = append(later, m)
+			pending = append(pending, m)
 			continue
 		}
 		if to := w.gateways[m.to]; to.up(w.now) && w.gateways[m.from].incarnation == m.incarnation {
 			to.receive(w.gateways[m.from].name, m, w.now)
 		}
 	}
-	w.mail = later
+	w.inFlight = pending
 }
 
-func (g *node) receive(from string, m letter, now time.Time) {
+func (g *process) receive(from string, m datagram, now time.Time) {
 	l := g.link(from)
-	lost := m.incarnation != l.incarnation || m.sequence != l.seen+1
-	l.missing = !m.whole && (l.missing || lost)
-	l.wanted = l.wanted || m.want || m.incarnation != l.incarnation
-	l.incarnation, l.seen = m.incarnation, m.sequence
-	if !l.missing {
-		g.ledger.Heard(from, m.incarnation, m.spending, m.whole, m.settled, now)
+	lost := m.incarnation != l.incarnation || m.sequence != l.seenSequence+1
+	l.needFull = !m.full && (l.needFull || lost)
+	l.sendFull = l.sendFull || m.requestFull || m.incarnation != l.incarnation
+	l.incarnation, l.seenSequence = m.incarnation, m.sequence
+	if !l.needFull {
+		g.ledger.Heard(from, m.incarnation, m.spending, m.full, m.settled, now)
 	}
 }
 
-// most returns the most that a workspace used in any window, and how much it may.
-func (w *world) most(space *workspace.Workspace) (used, allowed float64) {
-	l := space.Limit
-	allowed = l.Rate*w.allowance.Window.Seconds() + l.Burst + w.allowance.beyond(l)
+// maxUsage returns the most units that a workspace used in any window, and how many are allowed.
+func (w *simulation) maxUsage(ws *workspace.Workspace) (used, allowed float64) {
+	l := ws.Limit
+	allowed = l.Rate*w.allowance.Window.Seconds() + l.Burst + w.allowance.excess(l)
 	sum, first := 0.0, 0
-	for _, r := range w.ran {
-		if r.workspace != space.Name {
+	for _, r := range w.admitted {
+		if r.workspace != ws.Name {
 			continue
 		}
 		sum += r.cost
-		for ; first < len(w.ran) && w.ran[first].at.Add(w.allowance.Window).Before(r.at); first++ {
-			if w.ran[first].workspace == space.Name {
-				sum -= w.ran[first].cost
+		for ; first < len(w.admitted) && w.admitted[first].at.Add(w.allowance.Window).Before(r.at); first++ {
+			if w.admitted[first].workspace == ws.Name {
+				sum -= w.admitted[first].cost
 			}
 		}
 		used = max(used, sum)
--- a/pkg/quota/quota.go
+++ b/pkg/quota/quota.go
@@ -1,12 +1,13 @@
-// Package quota keeps workspaces within their limits over all gateways together, without a
-// coordinator and without a call for each request. Every gateway counts what all spend in one
-// bucket for each workspace: what it admits itself at once, what others admit when it hears of
-// it. Nothing here does I/O; the time is passed in.
+// Package quota enforces the limits of workspaces over all gateways together, without a
+// coordinator and without a call for each request. Every gateway has a token bucket for each
+// workspace, in which it counts the spending of all gateways: its own when it admits a request,
+// that of a peer when the peer reports it. The package does no I/O; the time is passed in.
 //
-// A bucket fills at the limit's rate, in equal parts for all gateways that are known. The part
-// of a gateway is filled in only once that has been heard of, and what the bucket holds is put
-// aside for it while it isn't: gateways that are cut off from each other so never spend the
-// same twice. What of the allowance beyond the limit each of these may use is in Shares.
+// A bucket is refilled at the limit's rate, with an equal share for each known gateway. The share
+// of a peer is added only once a datagram from that peer has arrived, and a share of the bucket's
+// level is withheld for a peer that is not alive. Gateways that are partitioned from each other
+// therefore never spend the same units twice. Shares sets how the allowance beyond the limit is
+// used.
 package quota
 
 import (
@@ -21,46 +22,49 @@
 	"github.com/hopwell/hopwell/pkg/workspace"
 )
 
-// Allowance is how much more than its limit a workspace may use in each window of time, by all
+// Allowance is how much more than its limit a workspace may use in each window of time, at all
 // gateways together.
 type Allowance struct {
 	Window time.Duration
-	// Overshoot is a part of what the limit allows in the window, Slack an amount in units
-	// of the limit.
+	// Overshoot is a fraction of what the limit allows in the window. Slack is an additional
+	// amount, in units of the limit.
 	Overshoot, Slack float64
 }
 
-// beyond returns how many units a limit may be exceeded by in a window.
-func (a Allowance) beyond(l workspace.Limit) float64 {
+// excess returns by how many units a limit may be exceeded in a window.
+func (a Allowance) excess(l workspace.Limit) float64 {
 	return a.Overshoot*(l.Rate*a.Window.Seconds()+l.Burst) + a.Slack
 }
 
-// Shares say what the allowance beyond a limit is used for. Together they are below 1.
+// Shares sets how the allowance beyond a limit is used. Its fields are fractions of the
+// allowance, and their sum is below 1.
 type Shares struct {
-	// Bucket is added to what a bucket holds at most: it lets through what the limit allows
-	// although this gateway counts some of it late or twice.
+	// Bucket is added to the size of a bucket. It lets through what the limit allows even though
+	// this gateway counts some spending late or twice.
 	Bucket float64
-	// Start is what buckets of a process hold at its start, when it does not know what was
+	// Start is what a bucket holds when a process starts: the process does not know yet what was
 	// spent in the window before.
 	Start float64
 }
 
-// DefaultShares leave a quarter of the allowance for what gateways spend before they hear of
-// each other: at ten times the rate, with news after 0.1 s, about one rate's second.
+// DefaultShares leaves at least a quarter of the allowance for what gateways spend before they
+// receive each other's reports: at ten times the rate, with reports after 0.1 s, this is what the
+// rate gives in about one second.
 func DefaultShares() Shares { return Shares{Bucket: 0.25, Start: 0.3} }
 
-// Key names a workspace between gateways.
+// Key identifies a workspace in reports between gateways.
 type Key uint64
 
-// KeyOf returns the key of a workspace.
+// KeyOf returns the key of a workspace, a hash of its name.
 func KeyOf(name string) Key { return Key(xxhash.Sum64String(name)) }
 
-// Spending is what a gateway has spent for a workspace since its process began.
+// Spending is what a gateway has spent for a workspace since its process started, in units of the
+// limit.
 type Spending struct {
 	Workspace Key
 	Total     int64
-	// Level is what the gateway's own bucket holds, with what is put aside: for processes
-	// that start.
+	// Level is the level of the gateway's own bucket, including the withheld amounts. Processes
+	// that have just started adopt it.
 	Level int64
 }
 
@@ -68,11 +72,12 @@
 type ErrQuota struct {
 	Workspace string
 	Limit     workspace.Limit
-	// Cost is what the request takes, Level what is left.
+	// Cost is the cost of the request, Level the part of the bucket's level that can be spent,
+	// both in units of the limit.
 	Cost, Level float64
-	// Heard of Known other gateways were heard of lately.
+	// Heard is how many of the Known peers are alive.
 	Heard, Known int
-	// After is when there will be room.
+	// After is how long it takes until the bucket holds enough for the request.
 	After time.Duration
 }
 
@@ -82,19 +87,19 @@
 		e.Workspace, e.Limit.Unit, e.Limit.Rate, e.Limit.Burst, e.Cost, e.Level, e.Heard, e.Known, e.After)
 }
 
-// Ledger is one gateway's count of what all spend. It is safe for concurrent use.
+// Ledger is one gateway's count of the spending of all gateways. It is safe for concurrent use.
 type Ledger struct {
 	mu        sync.Mutex
 	allowance Allowance
 	shares    Shares
 	accounts  map[Key]*account
-	// recent holds the accounts that this gateway spent from, the newest change first.
+	// recent holds the accounts that this gateway has spent from, the latest change first.
 	recent   *list.List
 	revision uint64
-	// began is when limits were first known: buckets that come later belong to new
-	// workspaces, of which nothing was spent.
-	began time.Time
-	fleet fleet
+	// configuredAt is when limits were first configured. Accounts that are opened later belong to
+	// new workspaces, for which nothing has been spent.
+	configuredAt time.Time
+	fleet        fleet
 }
 
 // New returns a ledger without limits.
@@ -102,76 +107,76 @@
 	return &Ledger{allowance: a, shares: s, accounts: map[Key]*account{}, recent: list.New(), fleet: newFleet()}
 }
 
-// Configure takes over the limits of all workspaces. What was spent stays counted: a bucket
-// whose limit changes is as full as it was.
-func (l *Ledger) Configure(all []*workspace.Workspace, now time.Time) {
+// Configure sets the limits of all workspaces. Earlier spending stays counted: a bucket whose
+// limit changes stays as full as it was, as a fraction of its size.
+func (l *Ledger) Configure(workspaces []*workspace.Workspace, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.fleet.advance(now)
-	named := map[Key]bool{}
-	for _, w := range all {
+	limited := map[Key]bool{}
+	for _, w := range workspaces {
 		if !w.Limit.Bounded() {
 			continue
 		}
 		key := KeyOf(w.Name)
-		named[key] = true
+		limited[key] = true
 		if a := l.accounts[key]; a != nil {
-			a.refill(l.fleet.credited)
+			a.refill(l.fleet.refillTime)
 			a.resize(w.Limit, l.allowance, l.shares)
 		} else {
-			l.open(key, w)
+			l.openAccount(key, w)
 		}
 	}
 	for key, a := range l.accounts {
-		if !named[key] {
-			l.close(key, a)
+		if !limited[key] {
+			l.closeAccount(key, a)
 		}
 	}
-	if l.began.IsZero() {
-		l.began = now
-		l.fleet.uncounted()
+	if l.configuredAt.IsZero() {
+		l.configuredAt = now
+		l.fleet.resetBaselines()
 	}
 }
 
-// settled reports whether this process has seen all that was spent in the last window. The
-// caller holds the lock.
+// settled reports whether this process has seen all spending of the last window. The caller must
+// hold l.mu.
 func (l *Ledger) settled(now time.Time) bool {
-	return !l.began.IsZero() && now.Sub(l.began) >= l.allowance.Window
+	return !l.configuredAt.IsZero() && now.Sub(l.configuredAt) >= l.allowance.Window
 }
 
-// open begins the account of a workspace. The caller holds the lock.
-func (l *Ledger) open(key Key, w *workspace.Workspace) {
-	a := &account{name: w.Name, key: key, credited: l.fleet.credited, heard: map[string]int64{}, aside: map[string]float64{}}
+// openAccount adds the account of a workspace. The caller must hold l.mu.
+func (l *Ledger) openAccount(key Key, w *workspace.Workspace) {
+	a := &account{name: w.Name, key: key, refilledTo: l.fleet.refillTime, reported: map[string]int64{}, withheld: map[string]float64{}}
 	a.resize(w.Limit, l.allowance, l.shares)
 	a.level = a.size
-	if l.began.IsZero() {
-		a.level = min(a.size, l.shares.Start*l.allowance.beyond(w.Limit))
+	if l.configuredAt.IsZero() {
+		a.level = min(a.size, l.shares.Start*l.allowance.excess(w.Limit))
 	}
-	l.divide(a, a.level)
+	l.setLevel(a, a.level)
 	l.accounts[key] = a
 }
 
-// divide sets what a bucket holds, of which the parts of gateways that are not heard of are put
-// aside. The caller holds the lock.
-func (l *Ledger) divide(a *account, level float64) {
-	clear(a.aside)
-	for name, g := range l.fleet.others {
-		if !g.present {
-			a.setAside(name, 1/float64(l.fleet.size()), level)
+// setLevel sets the level of a bucket and withholds the shares of the peers that are not alive.
+// The caller must hold l.mu.
+func (l *Ledger) setLevel(a *account, level float64) {
+	clear(a.withheld)
+	for name, p := range l.fleet.peers {
+		if !p.alive {
+			a.withhold(name, 1/float64(l.fleet.size()), level)
 		}
 	}
-	a.level = level - a.asideSum()
+	a.level = level - a.withheldSum()
 }
 
-// close ends an account. The caller holds the lock.
-func (l *Ledger) close(key Key, a *account) {
-	if a.place != nil {
-		l.recent.Remove(a.place)
+// closeAccount removes an account. The caller must hold l.mu.
+func (l *Ledger) closeAccount(key Key, a *account) {
+	if a.recentElement != nil {
+		l.recent.Remove(a.recentElement)
 	}
 	delete(l.accounts, key)
 }
 
-// Admit takes what a request costs from its workspace's bucket. It fails with *ErrQuota.
+// Admit withdraws the cost of a request from its workspace's bucket. It fails with *ErrQuota.
 func (l *Ledger) Admit(w *workspace.Workspace, cost float64, now time.Time) error {
 	if !w.Limit.Bounded() {
 		return nil
@@ -182,15 +187,15 @@
 	if a == nil {
 		return nil
 	}
-	if level := a.level * l.fleet.certainty(now); level < min(cost, a.size) {
-		heard, known := l.fleet.heard()
-		return &ErrQuota{Workspace: w.Name, Limit: a.limit, Cost: cost, Level: level, Heard: heard, Known: known, After: a.until(cost, l.fleet.part())}
+	if level := a.level * l.fleet.spendableFraction(now); level < min(cost, a.size) {
+		heard, known := l.fleet.countAlive()
+		return &ErrQuota{Workspace: w.Name, Limit: a.limit, Cost: cost, Level: level, Heard: heard, Known: known, After: a.timeUntil(cost, l.fleet.aliveFraction())}
 	}
 	l.spend(a, cost)
 	return nil
 }
 
-// GiveBack returns what was taken for a request that has not run and won't.
+// GiveBack refunds the cost of a request that has not run and will not run.
 func (l *Ledger) GiveBack(w *workspace.Workspace, cost float64, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -199,39 +204,39 @@
 	}
 }
 
-// account returns a workspace's account, filled up to now; nil if it has none. The caller holds
-// the lock.
+// account returns a workspace's account, refilled up to now, or nil if it has none. The caller
+// must hold l.mu.
 func (l *Ledger) account(w *workspace.Workspace, now time.Time) *account {
 	l.advance(now)
 	a := l.accounts[KeyOf(w.Name)]
 	if a != nil {
-		a.refill(l.fleet.credited)
+		a.refill(l.fleet.refillTime)
 	}
 	return a
 }
 
-// spend counts own spending. The caller holds the lock.
+// spend counts spending of this gateway; a negative cost is a refund. The caller must hold l.mu.
 func (l *Ledger) spend(a *account, cost float64) {
 	a.take(cost)
 	a.spent += int64(math.Round(cost))
 	l.revision++
-	a.changed = l.revision
-	if a.place == nil {
-		a.place = l.recent.PushFront(a)
+	a.lastRevision = l.revision
+	if a.recentElement == nil {
+		a.recentElement = l.recent.PushFront(a)
 		return
 	}
-	l.recent.MoveToFront(a.place)
+	l.recent.MoveToFront(a.recentElement)
 }
 
-// advance counts what gateways that were heard of fill in, and puts aside what belongs to those
-// that fell silent. The caller holds the lock.
+// advance adds the refill of the gateways that are alive, and withholds the shares of the peers
+// that have timed out. The caller must hold l.mu.
 func (l *Ledger) advance(now time.Time) {
-	for _, silent := range l.fleet.advance(now) {
-		part := silent.part
+	for _, timedOut := range l.fleet.advance(now) {
+		fraction := timedOut.fraction
 		for _, a := range l.accounts {
-			a.refill(l.fleet.credited)
-			a.setAside(silent.name, part, a.level)
-			a.level -= a.aside[silent.name]
+			a.refill(l.fleet.refillTime)
+			a.withhold(timedOut.name, fraction, a.level)
+			a.level -= a.withheld[timedOut.name]
 		}
 	}
 }
@@ -240,25 +245,25 @@
 type Status struct {
 	Workspace string
 	Limit     workspace.Limit
-	// Level is what is left, Size what the bucket holds at most, Spent what this gateway
-	// spent since its process began.
+	// Level is what is left in the bucket and Size its capacity, in units of the limit. Spent is
+	// what this gateway has spent since its process started.
 	Level, Size float64
 	Spent       int64
-	// Heard of Known other gateways were heard of lately.
+	// Heard is how many of the Known peers are alive.
 	Heard, Known int
 }
 
-// Status returns the state of the workspaces that this gateway spent for, the latest first, at
-// most a number of them.
-func (l *Ledger) Status(most int, now time.Time) []Status {
+// Status returns the state of the workspaces that this gateway has spent for, the latest first
+// and at most maxEntries of them.
+func (l *Ledger) Status(maxEntries int, now time.Time) []Status {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.advance(now)
-	heard, known := l.fleet.heard()
+	heard, known := l.fleet.countAlive()
 	var out []Status
-	for e := l.recent.Front(); e != nil && len(out) < most; e = e.Next() {
+	for e := l.recent.Front(); e != nil && len(out) < maxEntries; e = e.Next() {
 		a := e.Value.(*account)
-		a.refill(l.fleet.credited)
+		a.refill(l.fleet.refillTime)
 		out = append(out, Status{Workspace: a.name, Limit: a.limit, Level: a.level, Size: a.size, Spent: a.spent, Heard: heard, Known: known})
 	}
 	return out
