--- a/pkg/workspace/credential.go
+++ b/pkg/workspace/credential.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// scheme is how a header says that what follows is a key (RFC 6750).
-const scheme = "Bearer"
+// bearerScheme is the authentication scheme of a key in an Authorization header (RFC 6750).
+const bearerScheme = "Bearer"
 
-// ErrCredential reports that a request has no key that speaks for a workspace.
+// ErrCredential reports that a request has no valid key of a workspace.
 type ErrCredential struct {
 	// Why is "missing", "malformed" or "unknown".
 	Why string
-	// Fingerprint tells which key it is, where there is one.
+	// Fingerprint identifies the key; it is empty if there is none.
 	Fingerprint string
 }
 
@@ -21,15 +21,15 @@
 	return fmt.Sprintf("no valid key: why=%s key=%s", e.Why, e.Fingerprint)
 }
 
-// Why a request has no valid key.
+// Values of ErrCredential.Why.
 const (
 	Missing   = "missing"
 	Malformed = "malformed"
 	Unknown   = "unknown"
 )
 
-// Credential returns the digest of the key in the values of a request's Authorization
-// header. It fails with *ErrCredential if there is none, or not exactly one.
+// Credential returns the digest of the key in the values of a request's Authorization header. It
+// fails with *ErrCredential unless there is exactly one key.
 func Credential(values []string) (Digest, error) {
 	switch len(values) {
 	case 0:
@@ -38,16 +38,16 @@
 	default:
 		return Digest{}, &ErrCredential{Why: Malformed}
 	}
-	name, key, found := strings.Cut(strings.TrimSpace(values[0]), " ")
+	scheme, key, found := strings.Cut(strings.TrimSpace(values[0]), " ")
 	key = strings.TrimLeft(key, " ")
-	if !found || !strings.EqualFold(name, scheme) || key == "" || strings.ContainsAny(key, " \t,") {
+	if !found || !strings.EqualFold(scheme, bearerScheme) || key == "" || strings.ContainsAny(key, " \t,") {
 		return Digest{}, &ErrCredential{Why: Malformed}
 	}
 	return DigestOf(key), nil
 }
 
-// Authenticate returns the workspace that the values of a request's Authorization header
-// speak for, and the digest of its key. It fails with *ErrCredential.
+// Authenticate returns the workspace that the key in the values of a request's Authorization
+// header belongs to, and the digest of the key. It fails with *ErrCredential.
 func (d *Directory) Authenticate(values []string) (*Workspace, Digest, error) {
 	key, err := Credential(values)
 	if err != nil {
--- a/pkg/workspace/workspace.go
+++ b/pkg/workspace/workspace.go
@@ -1,6 +1,6 @@
-// Package workspace holds the workspaces that share a system: which keys speak for them,
-// how urgent their requests are, and how much they may use. Keys are kept as digests; what
-// is written of one anywhere is its fingerprint.
+// Package workspace holds the workspaces that share a system: their keys, the priority of their
+// requests, and their limits. Only digests of keys are stored; logs and other output show no more
+// of a key than its fingerprint.
 package workspace
 
 import (
@@ -10,79 +10,79 @@
 	"math"
 )
 
-// Digest is what is kept of a key.
+// Digest is the SHA-256 digest of a key.
 type Digest [sha256.Size]byte
 
 // DigestOf returns the digest of a key.
 func DigestOf(key string) Digest { return sha256.Sum256([]byte(key)) }
 
-// fingerprintBytes is how much of a digest a fingerprint shows: enough to tell some
-// thousand keys apart, far too little to find one.
+// fingerprintBytes is how many bytes of a digest a fingerprint shows: enough to distinguish
+// several thousand keys, far too few to find one.
 const fingerprintBytes = 4
 
-// Fingerprint returns a short text that tells a key from others in logs.
+// Fingerprint returns a short text that identifies a key in logs.
 func (d Digest) Fingerprint() string { return hex.EncodeToString(d[:fingerprintBytes]) }
 
-// String implements fmt.Stringer, so that a digest that is printed by accident shows no
-// more than its fingerprint.
+// String implements fmt.Stringer, so that a digest printed by accident shows no more than its
+// fingerprint.
 func (d Digest) String() string { return d.Fingerprint() }
 
 // Unit is what a limit counts.
 type Unit string
 
-// The units.
+// Units of a limit.
 const (
 	// Requests counts each request as one.
 	Requests Unit = "requests"
-	// Tokens counts the tokens of the prompt and the most that the answer may have.
+	// Tokens counts the tokens of the prompt and the most that the response may have.
 	Tokens Unit = "tokens"
 )
 
 // Limit bounds what a workspace uses at all gateways together.
 type Limit struct {
 	Unit Unit
-	// Rate is how many units it may use a second, 0 for any number, and Burst how many
-	// more at once.
+	// Rate is how many units the workspace may use per second, 0 for no limit. Burst is how many
+	// more it may use at once.
 	Rate, Burst float64
-	// PlainTokens is what a request without a number of tokens counts, where the unit
-	// is Tokens.
+	// PlainTokens is the cost of a request without a number of tokens, if Unit is Tokens.
 	PlainTokens float64
 }
 
-// Bounded reports whether there is a limit.
+// Bounded reports whether the rate is limited.
 func (l Limit) Bounded() bool { return l.Rate > 0 }
 
-// Cost returns how many units a request takes that says how many tokens its prompt has
-// and its answer may have, both 0 if it does not say.
-func (l Limit) Cost(prompt, answer int) float64 {
+// Cost returns the cost of a request, in units of the limit. prompt is the number of tokens of
+// its prompt, maxResponse the most that its response may have; both are 0 if the request states
+// neither.
+func (l Limit) Cost(prompt, maxResponse int) float64 {
 	switch {
 	case l.Unit != Tokens:
 		return 1
-	case prompt+answer > 0:
-		return float64(prompt + answer)
+	case prompt+maxResponse > 0:
+		return float64(prompt + maxResponse)
 	default:
 		return l.PlainTokens
 	}
 }
 
-// Workspace is one user of the system.
+// Workspace is one tenant of the system.
 type Workspace struct {
 	Name string
 	Keys []Digest
-	// Priority ranks its requests in place of the route's, 0 first; nil leaves the
-	// route's.
+	// Priority replaces the priority of the route for the workspace's requests. 0 is served
+	// first; nil keeps the priority of the route.
 	Priority *int
 	Limit    Limit
-	// Regions are those in which its requests may be served; empty for all.
+	// Regions lists the regions in which its requests may be served; empty means all.
 	Regions []string
 }
 
-// ErrWorkspace reports a fault in the configuration of a workspace.
+// ErrWorkspace reports an error in the configuration of a workspace.
 type ErrWorkspace struct {
-	// Workspace is its name, Index its place in the list.
+	// Workspace is its name, Index its position in the list.
 	Workspace string
 	Index     int
-	// Field is what is wrong, Expected what should stand there.
+	// Field is the invalid field, Expected a description of a valid value.
 	Field, Expected string
 }
 
@@ -91,16 +91,16 @@
 	return fmt.Sprintf("bad workspace: workspace=%q index=%d field=%q expected=%q", e.Workspace, e.Index, e.Field, e.Expected)
 }
 
-// Directory finds the workspace of a key. It does not change.
+// Directory finds workspaces by key or name. It is immutable.
 type Directory struct {
-	all   []*Workspace
-	byKey map[Digest]*Workspace
-	names map[string]*Workspace
+	all    []*Workspace
+	byKey  map[Digest]*Workspace
+	byName map[string]*Workspace
 }
 
-// NewDirectory checks workspaces and makes their directory. It fails with *ErrWorkspace.
+// NewDirectory validates workspaces and returns a directory of them. It fails with *ErrWorkspace.
 func NewDirectory(list []Workspace) (*Directory, error) {
-	d := &Directory{byKey: map[Digest]*Workspace{}, names: map[string]*Workspace{}}
+	d := &Directory{byKey: map[Digest]*Workspace{}, byName: map[string]*Workspace{}}
 	for i := range list {
 		w := &list[i]
 		if err := d.add(w, i); err != nil {
@@ -111,49 +111,49 @@
 }
 
 func (d *Directory) add(w *Workspace, index int) error {
-	bad := func(field, expected string) error { return &ErrWorkspace{w.Name, index, field, expected} }
+	invalid := func(field, expected string) error { return &ErrWorkspace{w.Name, index, field, expected} }
 	if w.Name == "" {
-		return bad("name", "a name")
+		return invalid("name", "a name")
 	}
-	if d.names[w.Name] != nil {
-		return bad("name", "a name that no other workspace has")
+	if d.byName[w.Name] != nil {
+		return invalid("name", "a name that no other workspace has")
 	}
 	if w.Priority != nil && *w.Priority < 0 {
-		return bad("priority", "a number of 0 or more")
+		return invalid("priority", "a number of 0 or more")
 	}
-	if !amount(w.Limit.Rate) {
-		return bad("limit.rate", "a number of 0 or more")
+	if !validAmount(w.Limit.Rate) {
+		return invalid("limit.rate", "a number of 0 or more")
 	}
-	if !amount(w.Limit.Burst) {
-		return bad("limit.burst", "a number of 0 or more")
+	if !validAmount(w.Limit.Burst) {
+		return invalid("limit.burst", "a number of 0 or more")
 	}
-	if !amount(w.Limit.PlainTokens) {
-		return bad("limit.plain_tokens", "a number of 0 or more")
+	if !validAmount(w.Limit.PlainTokens) {
+		return invalid("limit.plain_tokens", "a number of 0 or more")
 	}
 	if w.Limit.Unit != Requests && w.Limit.Unit != Tokens {
-		return bad("limit.unit", "requests or tokens")
+		return invalid("limit.unit", "requests or tokens")
 	}
 	for _, key := range w.Keys {
 		if d.byKey[key] != nil {
-			return bad("keys", "keys that stand once, not "+key.Fingerprint()+" again")
+			return invalid("keys", "keys that stand once, not "+key.Fingerprint()+" again")
 		}
 		d.byKey[key] = w
 	}
 	d.all = append(d.all, w)
-	d.names[w.Name] = w
+	d.byName[w.Name] = w
 	return nil
 }
 
-// amount reports whether a number can be an amount.
-func amount(n float64) bool { return n >= 0 && !math.IsInf(n, 0) && !math.IsNaN(n) }
+// validAmount reports whether a number is finite and not negative.
+func validAmount(n float64) bool { return n >= 0 && !math.IsInf(n, 0) && !math.IsNaN(n) }
 
-// ByKey returns the workspace that a key speaks for, nil for none.
+// ByKey returns the workspace that a key belongs to, or nil.
 func (d *Directory) ByKey(key Digest) *Workspace { return d.byKey[key] }
 
-// Named returns the workspace with a name, nil for none.
-func (d *Directory) Named(name string) *Workspace { return d.names[name] }
+// Named returns the workspace with a name, or nil.
+func (d *Directory) Named(name string) *Workspace { return d.byName[name] }
 
-// All returns the workspaces as they were given; none of a nil directory.
+// All returns the workspaces in the order in which they were given. A nil directory has none.
 func (d *Directory) All() []*Workspace {
 	if d == nil {
 		return nil
@@ -161,5 +161,5 @@
 	return d.all
 }
 
-// Len returns how many workspaces there are.
+// Len returns the number of workspaces.
 func (d *Directory) Len() int { return len(d.all) }
--- a/pkg/workspace/workspace_test.go
+++ b/pkg/workspace/workspace_test.go
@@ -13,7 +13,7 @@
 	"github.com/hopwell/hopwell/pkg/spectest"
 )
 
-func limited(name string, keys ...string) Workspace {
+func limitedWorkspace(name string, keys ...string) Workspace {
 	w := Workspace{Name: name, Limit: Limit{Unit: Tokens, Rate: 100, Burst: 50, PlainTokens: 20}}
 	for _, k := range keys {
 		w.Keys = append(w.Keys, DigestOf(k))
@@ -21,13 +21,13 @@
 	return w
 }
 
-func TestAKeyIsFoundWhateverTheirNumber(t *testing.T) {
+func TestAuthenticateFindsEveryKey(t *testing.T) {
 	spectest.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		var list []Workspace
 		owner := map[string]string{}
 		for i := range rapid.IntRange(0, 50).Draw(t, "workspaces") {
-			w := limited(fmt.Sprint("w", i))
+			w := limitedWorkspace(fmt.Sprint("w", i))
 			for j := range rapid.IntRange(0, 3).Draw(t, "keys") {
 				key := fmt.Sprintf("key-%d-%d", i, j)
 				w.Keys = append(w.Keys, DigestOf(key))
@@ -49,9 +49,9 @@
 	})
 }
 
-func TestAFaultNamesTheFieldAndNoKey(t *testing.T) {
+func TestErrorNamesFieldAndNoKey(t *testing.T) {
 	negative := -1
-	for field, spoil := range map[string]func(w *Workspace){
+	for field, corrupt := range map[string]func(w *Workspace){
 		"name":               func(w *Workspace) { w.Name = "" },
 		"priority":           func(w *Workspace) { w.Priority = &negative },
 		"limit.rate":         func(w *Workspace) { w.Limit.Rate = -1 },
@@ -61,9 +61,9 @@
 		"keys":               func(w *Workspace) { w.Keys = append(w.Keys, DigestOf("secret-of-a")) },
 	} {
 		g := NewWithT(t)
-		b := limited("b", "secret-of-b")
-		spoil(&b)
-		_, err := NewDirectory([]Workspace{limited("a", "secret-of-a"), b})
+		b := limitedWorkspace("b", "secret-of-b")
+		corrupt(&b)
+		_, err := NewDirectory([]Workspace{limitedWorkspace("a", "secret-of-a"), b})
 		var bad *ErrWorkspace
 		g.Expect(errors.As(err, &bad)).To(BeTrue(), field)
 		g.Expect(bad.Field).To(Equal(field))
@@ -71,11 +71,11 @@
 		g.Expect(err.Error()).NotTo(ContainSubstring("secret"))
 	}
 	g := NewWithT(t)
-	_, err := NewDirectory([]Workspace{limited("a"), limited("a")})
+	_, err := NewDirectory([]Workspace{limitedWorkspace("a"), limitedWorkspace("a")})
 	g.Expect(err).To(MatchError(ContainSubstring(`field="name"`)))
 }
 
-func TestOnlyOneWholeKeyCounts(t *testing.T) {
+func TestCredentialRequiresExactlyOneKey(t *testing.T) {
 	for _, c := range []struct {
 		values []string
 		why    string
@@ -104,9 +104,9 @@
 	}
 }
 
-func TestAKeyIsNeverPrinted(t *testing.T) {
+func TestKeyIsNeverPrinted(t *testing.T) {
 	g := NewWithT(t)
-	d, err := NewDirectory([]Workspace{limited("a", "secret")})
+	d, err := NewDirectory([]Workspace{limitedWorkspace("a", "secret")})
 	g.Expect(err).NotTo(HaveOccurred())
 	_, key, err := d.Authenticate([]string{"Bearer another-secret"})
 	for _, text := range []string{fmt.Sprint(err), fmt.Sprint(key), fmt.Sprintf("%v", *d.All()[0]), key.Fingerprint()} {
@@ -116,7 +116,7 @@
 	g.Expect(strings.Contains(err.Error(), key.Fingerprint())).To(BeTrue())
 }
 
-func TestWhatARequestCosts(t *testing.T) {
+func TestLimitCost(t *testing.T) {
 	g := NewWithT(t)
 	tokens := Limit{Unit: Tokens, PlainTokens: 200}
 	g.Expect(tokens.Cost(5000, 800)).To(Equal(5800.0))
@@ -127,7 +127,7 @@
 func BenchmarkAuthenticate(b *testing.B) {
 	var list []Workspace
 	for i := range 3000 {
-		list = append(list, limited(fmt.Sprint("w", i), fmt.Sprint("key-", i), fmt.Sprint("other-", i)))
+		list = append(list, limitedWorkspace(fmt.Sprint("w", i), fmt.Sprint("key-", i), fmt.Sprint("other-", i)))
 	}
 	d, err := NewDirectory(list)
 	if err != nil {
