--- a/pkg/quota/account.go
+++ b/pkg/quota/account.go
@@ -82,7 +82,7 @@
 	a.withheld[name] += max(0, level) * fraction
 }
 
-// release returns the amount withheld for a peer to the bucket.
+// release adds the amount withheld for a removed peer back to the level.
 func (a *account) release(name string) {
 	a.level += a.withheld[name]
 	delete(a.withheld, name)
--- a/pkg/quota/exchange.go
+++ b/pkg/quota/exchange.go
@@ -75,8 +75,8 @@
 }
 
 // adopt takes over the level of a peer's bucket while this process has not yet seen a whole
-// window itself. The level of a settled peer replaces the own one; that of any other peer does so
-// only if it is lower. The caller must hold l.mu.
+// window itself. The level of a settled peer always replaces the local level, that of any other
+// peer only if it is lower. The caller must hold l.mu.
 func (l *Ledger) adopt(s Spending, settled bool, now time.Time) {
 	a := l.accounts[s.Workspace]
 	if a == nil || a.adopted || l.settled(now) {
@@ -124,9 +124,9 @@
 	}
 }
 
-// charge counts what a peer has spent since its last report. What it spent before this process
-// knew it is not counted: this is why a bucket holds little when a process starts. The caller
-// must hold l.mu.
+// charge counts what a peer has spent since its last report. What the peer spent before this
+// process knew it is not counted; for that reason a bucket holds little when a process starts.
+// The caller must hold l.mu.
 func (l *Ledger) charge(p *peer, s Spending) {
 	a := l.accounts[s.Workspace]
 	if a == nil {
--- a/pkg/quota/fleet.go
+++ b/pkg/quota/fleet.go
@@ -18,7 +18,7 @@
 	advancedAt time.Time
 }
 
-// peer is what this gateway knows of another one.
+// peer is the state that this gateway keeps for another gateway.
 type peer struct {
 	name        string
 	incarnation uint64
