--- a/cmd/hopwell/cmds/change.go
+++ b/cmd/hopwell/cmds/change.go
@@ -17,7 +17,7 @@
 	"github.com/hopwell/hopwell/pkg/opclient"
 )
 
-// changeFlags are the flags of commands that change the configuration.
+// changeFlags are the flags of all commands that change the configuration.
 type changeFlags struct {
 	o      *options
 	dryRun bool
@@ -31,12 +31,13 @@
 func (f *changeFlags) add(cmd *cobra.Command) {
 	cmd.Flags().BoolVar(&f.dryRun, "dry-run", false, "only show which instances would gain or lose which work")
 	cmd.Flags().BoolVar(&f.force, "force", false, "allow a change that leaves a request kind without a runner")
-	cmd.Flags().DurationVar(&f.wait, "wait", 0, "wait until the change is in force in all processes, at most for this time")
-	cmd.Flags().StringVar(&f.id, "id", "", "ID of the change; repeating one has no further effect (default a new one)")
+	cmd.Flags().DurationVar(&f.wait, "wait", 0, "maximum time to wait until the change is in force in all processes (default no waiting)")
+	cmd.Flags().StringVar(&f.id, "id", "", "ID of the change; a change whose ID was already applied has no further effect (default a new ID)")
 	cmd.Flags().Uint64Var(&f.base, "base", 0, "revision that the change is based on (default the newest)")
 }
 
-// run sends a change and shows what it did.
+// run sends a change and prints its effect. With --wait it then waits until the
+// change is in force.
 func (f *changeFlags) run(cmd *cobra.Command, c *fleet.Change) error {
 	ctx, client := cmd.Context(), f.o.client()
 	c.ID, c.Force, c.Base = f.id, f.force, f.base
@@ -64,7 +65,8 @@
 	return f.await(cmd, client, reply.Revision)
 }
 
-// await shows how far the change has come.
+// await prints in how many processes the revision is in force, until it is in force in
+// all processes that respond or the time of --wait is over.
 func (f *changeFlags) await(cmd *cobra.Command, client *opclient.Client, revision uint64) error {
 	ctx, cancel := context.WithTimeout(cmd.Context(), f.wait)
 	defer cancel()
--- a/cmd/hopwell/cmds/domain.go
+++ b/cmd/hopwell/cmds/domain.go
@@ -10,7 +10,7 @@
 )
 
 func newDomain(o *options) *cobra.Command {
-	cmd := &cobra.Command{Use: "domain", Short: "Evacuate failure domains and take them back"}
+	cmd := &cobra.Command{Use: "domain", Short: "Evacuate and restore failure domains"}
 	cmd.AddCommand(newDomainList(o), newDomainEvacuate(o), newDomainRestore(o))
 	return cmd
 }
@@ -19,8 +19,8 @@
 	f := changeFlags{o: o}
 	cmd := &cobra.Command{
 		Use:     "evacuate DOMAIN...",
-		Short:   "Give the runners of failure domains no more work",
-		Long:    "Give the runners of failure domains no more work. What runs there ends where it is.\nRunners that start there later get none either, until `hopwell domain restore`.",
+		Short:   "Stop sending new work to the runners of failure domains",
+		Long:    "Stop sending new work to the runners of failure domains. Requests in progress finish\non their runners. Runners that start there later receive no work either, until\n`hopwell domain restore`.",
 		Example: "  hopwell domain evacuate hall-a --dry-run\n  hopwell domain evacuate hall-a --wait 5s",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -35,7 +35,7 @@
 	f := changeFlags{o: o}
 	cmd := &cobra.Command{
 		Use:   "restore DOMAIN...",
-		Short: "Take failure domains back that were evacuated",
+		Short: "Send new work to evacuated failure domains again",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return f.run(cmd, &fleet.Change{Restore: args})
--- a/cmd/hopwell/cmds/label.go
+++ b/cmd/hopwell/cmds/label.go
@@ -60,7 +60,8 @@
 	return cmd
 }
 
-// labelChange gives the same labels to several instances.
+// labelChange returns a change that sets the same labels on several instances, whose
+// names are separated by commas. An empty value removes a label.
 func labelChange(instances string, labels fleet.Labels) *fleet.Change {
 	c := &fleet.Change{SetLabels: map[string]fleet.Labels{}}
 	for _, name := range strings.Split(instances, ",") {
--- a/cmd/hopwell/cmds/logs.go
+++ b/cmd/hopwell/cmds/logs.go
@@ -15,24 +15,25 @@
 func newWhy(o *options) *cobra.Command {
 	return &cobra.Command{
 		Use:   "why REQUEST-ID [LOG-FILE...]",
-		Short: "Tell a request's way and the cause of its end from processes' logs",
-		Long:  "Tell one request's way over all processes in order, and why it ended as it did,\nfrom the logs of `hopwelld ingress`. Without files the logs are read from standard\ninput. Whatever else the files hold is passed over.",
+		Short: "Explain from the logs how a request was served and why it ended",
+		Long:  "Print the events of one request in all processes in order, and the cause of its end,\nfrom the logs of `hopwelld ingress`. Without files, the logs are read from standard\ninput. Other lines in the files are ignored.",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			lines, err := readLogs(cmd.InOrStdin(), args[1:])
 			if err != nil {
 				return err
 			}
-			story, err := decisionlog.Explain(lines, args[0])
+			explanation, err := decisionlog.Explain(lines, args[0])
 			if err != nil {
 				return err
 			}
-			return o.show(cmd.OutOrStdout(), story, story.Write)
+			return o.show(cmd.OutOrStdout(), explanation, explanation.Write)
 		},
 	}
 }
 
-// readLogs reads the decisions in files, or in standard input if there are none.
+// readLogs reads decision log lines from files, or from standard input if no files are
+// given.
 func readLogs(in io.Reader, files []string) ([]decisionlog.Line, error) {
 	if len(files) == 0 {
 		return decisionlog.Read(in)
@@ -49,7 +50,7 @@
 	return decisionlog.Read(io.MultiReader(readers...))
 }
 
-// ErrLogFile reports that a log can't be read.
+// ErrLogFile reports that a log file can't be read.
 type ErrLogFile struct {
 	File string
 	Err  error
@@ -57,14 +58,15 @@
 
 // Error implements error.
 func (e *ErrLogFile) Error() string {
-	return fmt.Sprintf("can't read log: file=%s cause=%v", e.File, e.Err)
+	return fmt.Sprintf("can't read log file: file=%s cause=%v", e.File, e.Err)
 }
 
 // Unwrap returns the cause.
 func (e *ErrLogFile) Unwrap() error { return e.Err }
 
-// logEvents makes time-line events of decisions. Their order is that of the
-// processes' clocks, since logs carry no other.
+// logEvents converts the decision log lines that match the filter to timeline events.
+// They are ordered by the wall clocks of the processes, since logs contain no other
+// order.
 func logEvents(lines []decisionlog.Line, f trace.Filter) []trace.Event {
 	var out []trace.Event
 	for i := range lines {
@@ -79,7 +81,7 @@
 	return out
 }
 
-// detail writes the pairs that an event has no field for.
+// detail formats the key-value pairs for which trace.Event has no field.
 func detail(l *decisionlog.Line) string {
 	var b strings.Builder
 	for _, p := range l.Pairs {
--- a/cmd/hopwell/cmds/losses.go
+++ b/cmd/hopwell/cmds/losses.go
@@ -9,10 +9,10 @@
 	"github.com/hopwell/hopwell/pkg/losses"
 )
 
-// formatSVG draws instead of writing tables.
+// formatSVG selects a drawing instead of tables.
 const formatSVG = "svg"
 
-// lossFlags are the flags of the command.
+// lossFlags are the flags of `hopwell losses`.
 type lossFlags struct {
 	window time.Duration
 	start  string
@@ -24,11 +24,11 @@
 	var f lossFlags
 	cmd := &cobra.Command{
 		Use:   "losses [LOG-FILE...]",
-		Short: "Show by window and cause what requests lost, from processes' logs",
-		Long: "Show what generations and lookups lost in each window of time and why, which prompts\n" +
-			"were computed in vain, and how full the engines were, from the logs of\n`hopwelld ingress`. Without files the logs are read from standard input. --worst lists\n" +
-			"the lost requests of the worst windows, --at those of one; `hopwell why` tells more of\neach. -o svg draws the windows. What processes wrote before they lost power is needed:\n" +
-			"a request that was decoding and has no end counts as lost with its gateway.",
+		Short: "Show lost requests per time window and cause, from the logs",
+		Long: "Show for each time window which generations and lookups were lost and why, which prompts\n" +
+			"were computed in vain, and how full the engines were, from the logs of\n`hopwelld ingress`. Without files, the logs are read from standard input. --worst lists\n" +
+			"the lost requests of the worst windows, --at those of one window; `hopwell why` explains\na single request. -o svg draws the windows. The logs must include what processes wrote\n" +
+			"before they lost power: a request that was decoding and has no end counts as lost with\nits gateway.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			lines, err := readLogs(cmd.InOrStdin(), args)
 			if err != nil {
@@ -37,22 +37,22 @@
 			return o.showLosses(cmd, losses.New(lines), &f)
 		},
 	}
-	cmd.Flags().DurationVar(&f.window, "window", 2*time.Second, "length of a window")
-	cmd.Flags().StringVar(&f.start, "start", "", "time of the first window, as in the logs; empty: that of the first request")
-	cmd.Flags().IntVar(&f.worst, "worst", 0, "list the lost requests of that many of the worst windows")
-	cmd.Flags().DurationVar(&f.at, "at", -1, "list the lost requests of the window at this time from the start")
+	cmd.Flags().DurationVar(&f.window, "window", 2*time.Second, "length of a time window")
+	cmd.Flags().StringVar(&f.start, "start", "", "start of the first window, as a time in the format of the logs (default the time of the first request)")
+	cmd.Flags().IntVar(&f.worst, "worst", 0, "list the lost requests of this many of the worst windows")
+	cmd.Flags().DurationVar(&f.at, "at", -1, "list the lost requests of the window that contains this time, counted from the start of the first window; below 0 for none")
 	return cmd
 }
 
 func (o *options) showLosses(cmd *cobra.Command, log *losses.Log, f *lossFlags) error {
 	if f.window <= 0 {
-		return &errInput{What: "window=" + f.window.String(), Expected: "a length above 0"}
+		return &errInput{What: "window=" + f.window.String(), Expected: "a duration above 0"}
 	}
 	var start time.Time
 	if f.start != "" {
 		var err error
 		if start, err = time.Parse(time.RFC3339Nano, f.start); err != nil {
-			return &errInput{What: "start=" + f.start, Expected: "a time as in the logs"}
+			return &errInput{What: "start=" + f.start, Expected: "a time in RFC 3339 format, as in the logs"}
 		}
 	}
 	report := log.Report(start, f.window)
@@ -60,15 +60,16 @@
 	if o.format == formatSVG {
 		return report.WriteSVG(out)
 	}
-	var failed error
-	err := o.show(out, report, func(w io.Writer) { failed = writeLosses(w, report, f) })
+	var writeErr error
+	err := o.show(out, report, func(w io.Writer) { writeErr = writeLosses(w, report, f) })
 	if err == nil {
-		err = failed
+		err = writeErr
 	}
 	return err
 }
 
-// writeLosses writes the tables and the requests that were asked for.
+// writeLosses writes the tables, then the lost requests of the windows that --worst and
+// --at select.
 func writeLosses(w io.Writer, report *losses.Report, f *lossFlags) error {
 	if err := report.Write(w); err != nil {
 		return err
--- a/cmd/hopwell/cmds/ops.go
+++ b/cmd/hopwell/cmds/ops.go
@@ -14,7 +14,7 @@
 	var deadline time.Duration
 	cmd := &cobra.Command{
 		Use:   "drain INSTANCE",
-		Short: "Start the planned stop of an instance's process, which cuts off no request",
+		Short: "Start a planned stop of an instance's process, which cuts off no request",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if err := o.client().Drain(cmd.Context(), args[0], deadline); err != nil {
@@ -24,7 +24,7 @@
 			return err
 		},
 	}
-	cmd.Flags().DurationVar(&deadline, "deadline", 0, "when the instance ends; streams that would not end before move to another runner")
+	cmd.Flags().DurationVar(&deadline, "deadline", 0, "time until the instance is stopped; streams that would not finish by then move to another runner")
 	return cmd
 }
 
@@ -33,7 +33,7 @@
 	cmd := &cobra.Command{
 		Use:   "check FILE",
 		Short: "Check a settings file",
-		Long:  "Check a settings file of a gateway, a sidecar or an ingress, or a template of one.\nWhat is wrong is reported with line, column, field and what was expected, with\nexit code 2.",
+		Long:  "Check a settings file of a gateway, a sidecar or an ingress, or a template of one.\nAn error is reported with line, column, field and the expected value, and the exit\ncode is 2.",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			data, err := readFile(cmd, args[0])
@@ -43,7 +43,7 @@
 			if platform.IsTemplate(string(data)) {
 				text, err := platform.FillExample(string(data))
 				if err != nil {
-					return &errInput{What: err.Error(), Expected: "a field that the platform fills"}
+					return &errInput{What: err.Error(), Expected: "a template field that the platform fills in"}
 				}
 				data = []byte(text)
 			}
@@ -63,10 +63,10 @@
 			if err != nil {
 				return err
 			}
-			_, err = fmt.Fprintf(cmd.OutOrStdout(), "%s: good settings, role=%s\n", args[0], kind)
+			_, err = fmt.Fprintf(cmd.OutOrStdout(), "%s: settings are valid, role=%s\n", args[0], kind)
 			return err
 		},
 	}
-	cmd.Flags().StringVar(&kind, "role", "", "gateway, sidecar or ingress (default told by the file's keys)")
+	cmd.Flags().StringVar(&kind, "role", "", "gateway, sidecar or ingress (default derived from the keys of the file)")
 	return cmd
 }
--- a/cmd/hopwell/cmds/root.go
+++ b/cmd/hopwell/cmds/root.go
@@ -1,4 +1,4 @@
-// Package cmds holds the commands of hopwell.
+// Package cmds implements the commands of hopwell.
 package cmds
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/hopwell/hopwell/pkg/opclient"
 )
 
-// Exit codes, for scripts.
+// Exit codes, which scripts rely on, the default platform URL and the output formats.
 const (
 	exitOK       = 0
 	exitFailed   = 1
@@ -30,14 +30,14 @@
 	formatChrome = "chrome"
 )
 
-// options are the flags of all commands.
+// options are the flags that all commands share.
 type options struct {
 	platform string
 	admin    []string
 	format   string
 }
 
-// client returns the client that the flags ask for.
+// client returns a client for the fleet that the flags select.
 func (o *options) client() *opclient.Client { return opclient.New(o.platform, o.admin) }
 
 // New returns the command tree.
@@ -46,21 +46,21 @@
 	root := &cobra.Command{
 		Use:   "hopwell",
 		Short: "Operate a hopwell fleet",
-		Long: "hopwell changes labels and selectors and tells what the fleet does and why.\n\n" +
-			"Exit codes: 0 done, 1 failed, 2 bad input, 3 refused (a conflict, or no runner\nwould be left), 4 not known whether the change took effect.",
+		Long: "hopwell changes the configuration of a fleet, shows its state and explains its\ndecisions.\n\n" +
+			"Exit codes: 0 done, 1 failed, 2 bad input, 3 refused (a conflict, or a kind of\nrequests would have no runner), 4 unknown whether the change took effect.",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
 	f := root.PersistentFlags()
-	f.StringVar(&o.platform, "platform", platformURL(), "base URL of the platform, where the instance list is ($"+envPlatform+")")
-	f.StringSliceVar(&o.admin, "admin", nil, "admin addresses to use instead of the instance list")
+	f.StringVar(&o.platform, "platform", platformURL(), "base URL of the platform, which serves the instance list ($"+envPlatform+")")
+	f.StringSliceVar(&o.admin, "admin", nil, "admin addresses of the processes to use instead of the instance list")
 	f.StringVarP(&o.format, "output", "o", formatText, "output format: text or json")
 	root.AddCommand(newLabel(&o), newSelector(&o), newWorkspace(&o), newDomain(&o), newStatus(&o), newExplain(&o), newTimeline(&o), newWhy(&o), newLosses(&o), newDrain(&o), newCheck())
 	root.AddCommand(clidocs.New(root))
 	return root
 }
 
-// platformURL is the platform flag's default. The documented default does not
+// platformURL returns the default of --platform. The documented default does not
 // depend on the environment.
 func platformURL() string {
 	if v := os.Getenv(envPlatform); v != "" {
@@ -69,14 +69,14 @@
 	return defaultURL
 }
 
-// errInput reports that an argument is wrong.
+// errInput reports an invalid argument.
 type errInput struct {
 	What, Expected string
 }
 
 // Error implements error.
 func (e *errInput) Error() string {
-	return fmt.Sprintf("bad argument: %s expected=%q", e.What, e.Expected)
+	return fmt.Sprintf("invalid argument: %s expected=%q", e.What, e.Expected)
 }
 
 // Main runs a command line and returns its exit code.
@@ -91,7 +91,7 @@
 }
 
 func exitCode(err error) int {
-	var answer *opclient.ErrAnswer
+	var response *opclient.ErrAnswer
 	var input *errInput
 	var settings *config.ErrSettings
 	var file *config.ErrFile
@@ -100,13 +100,13 @@
 		return exitOK
 	case errors.As(err, &input), errors.As(err, &settings), errors.As(err, &file):
 		return exitInput
-	case errors.As(err, &answer):
-		return answerCode(answer)
+	case errors.As(err, &response):
+		return responseExitCode(response)
 	}
 	return exitFailed
 }
 
-func answerCode(e *opclient.ErrAnswer) int {
+func responseExitCode(e *opclient.ErrAnswer) int {
 	switch {
 	case e.Status == http.StatusConflict:
 		return exitRefused
@@ -118,7 +118,7 @@
 	return exitFailed
 }
 
-// show writes a value as JSON, or by the text function.
+// show writes v as JSON, or calls text to write it in text format.
 func (o *options) show(w io.Writer, v any, text func(io.Writer)) error {
 	switch o.format {
 	case formatJSON:
--- a/cmd/hopwell/cmds/selector.go
+++ b/cmd/hopwell/cmds/selector.go
@@ -24,7 +24,7 @@
 	var file string
 	cmd := &cobra.Command{
 		Use:     "apply -f FILE",
-		Short:   "Add or replace the selectors of a YAML file",
+		Short:   "Add or replace the selectors listed in a YAML file",
 		Long:    "Add or replace the selectors that a YAML file lists. \"-\" reads standard input.\n`hopwell selector list` prints such a file.",
 		Example: "  hopwell selector list > selectors.yaml\n  hopwell selector apply -f selectors.yaml --dry-run",
 		Args:    cobra.NoArgs,
@@ -42,7 +42,7 @@
 	return cmd
 }
 
-// readSelectors reads a list of selectors strictly.
+// readSelectors reads a list of selectors from a YAML file and refuses unknown keys.
 func readSelectors(cmd *cobra.Command, file string) ([]fleet.Selector, error) {
 	data, err := readFile(cmd, file)
 	if err != nil {
@@ -79,7 +79,7 @@
 func newSelectorList(o *options) *cobra.Command {
 	return &cobra.Command{
 		Use:   "list",
-		Short: "Print the selectors in the form that apply reads",
+		Short: "Print the selectors in the format that apply reads",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			doc, err := o.client().Document(cmd.Context())
--- a/cmd/hopwell/cmds/status.go
+++ b/cmd/hopwell/cmds/status.go
@@ -11,23 +11,24 @@
 	"github.com/hopwell/hopwell/pkg/opclient"
 )
 
-// anyStatus returns the first gateway's view of the fleet, or else any process's.
+// anyStatus returns the status that the first gateway reports, or another process's if
+// no gateway responds.
 func anyStatus(cmd *cobra.Command, o *options) (*admin.Status, error) {
-	answers, err := o.client().Status(cmd.Context())
+	results, err := o.client().Status(cmd.Context())
 	if err != nil {
 		return nil, err
 	}
 	var last error
-	for _, a := range answers {
+	for _, a := range results {
 		if a.Err == nil {
 			return &a.Value, nil
 		}
 		last = a.Err
 	}
-	return nil, &opclient.ErrNoProcess{Asked: len(answers), Err: last}
+	return nil, &opclient.ErrNoProcess{Asked: len(results), Err: last}
 }
 
-// processStatus is one line of `hopwell status`.
+// processStatus is one row of `hopwell status`.
 type processStatus struct {
 	Instance string        `json:"instance"`
 	Role     string        `json:"role"`
@@ -35,49 +36,51 @@
 	State    string        `json:"state"`
 	Revision uint64        `json:"revision"`
 	Work     []string      `json:"work,omitempty"`
-	Load     *admin.Member `json:"-"`
+	Member   *admin.Member `json:"-"`
 	Error    string        `json:"error,omitempty"`
 }
 
 func newStatus(o *options) *cobra.Command {
 	return &cobra.Command{
 		Use:   "status",
-		Short: "Show all processes: role, load, drains, configuration, what is unhealthy",
+		Short: "Show role, failure domain, state, revision, load and work of all processes",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			answers, err := o.client().Status(cmd.Context())
+			results, err := o.client().Status(cmd.Context())
 			if err != nil {
 				return err
 			}
-			lines := summarize(answers)
+			lines := summarize(results)
 			return o.show(cmd.OutOrStdout(), lines, func(w io.Writer) { writeStatus(w, lines) })
 		},
 	}
 }
 
-// summarize joins each process's own word with what a gateway knows of it.
-func summarize(answers []opclient.Answer[admin.Status]) []processStatus {
-	known := map[string]*admin.Member{}
+// summarize combines the status that each process reports of itself with its entry in
+// the member lists of all processes. It prefers entries with a load, which only gateways
+// report.
+func summarize(results []opclient.Result[admin.Status]) []processStatus {
+	members := map[string]*admin.Member{}
 	var newest uint64
-	for _, a := range answers {
+	for _, a := range results {
 		if a.Err != nil {
 			continue
 		}
 		newest = max(newest, a.Value.Revision)
 		for i := range a.Value.Members {
 			m := &a.Value.Members[i]
-			if known[m.Name] == nil || m.Load != nil {
-				known[m.Name] = m
+			if members[m.Name] == nil || m.Load != nil {
+				members[m.Name] = m
 			}
 		}
 	}
-	out := make([]processStatus, 0, len(answers))
-	for _, a := range answers {
+	out := make([]processStatus, 0, len(results))
+	for _, a := range results {
 		s := processStatus{Instance: a.Process.Name, Role: a.Process.Role, Domain: a.Process.Domain, Revision: a.Value.Revision}
-		s.Load = known[s.Instance]
-		s.State = state(&a, s.Load, newest)
-		if s.Load != nil {
-			s.Work = s.Load.Work
+		s.Member = members[s.Instance]
+		s.State = processState(&a, s.Member, newest)
+		if s.Member != nil {
+			s.Work = s.Member.Work
 		}
 		if a.Err != nil {
 			s.Error = a.Err.Error()
@@ -87,8 +90,8 @@
 	return out
 }
 
-// state names what an operator should know first.
-func state(a *opclient.Answer[admin.Status], m *admin.Member, newest uint64) string {
+// processState returns the condition of a process that matters most to an operator.
+func processState(a *opclient.Result[admin.Status], m *admin.Member, newest uint64) string {
 	switch {
 	case a.Err != nil:
 		return "silent"
@@ -109,7 +112,7 @@
 func writeStatus(w io.Writer, lines []processStatus) {
 	fmt.Fprintf(w, "%-20s %-8s %-10s %-9s %8s %-24s %s\n", "INSTANCE", "ROLE", "DOMAIN", "STATE", "REVISION", "LOAD", "WORK")
 	for _, s := range lines {
-		fmt.Fprintf(w, "%-20s %-8s %-10s %-9s %8d %-24s %s\n", s.Instance, s.Role, s.Domain, s.State, s.Revision, loadText(s.Load), strings.Join(s.Work, ","))
+		fmt.Fprintf(w, "%-20s %-8s %-10s %-9s %8d %-24s %s\n", s.Instance, s.Role, s.Domain, s.State, s.Revision, loadText(s.Member), strings.Join(s.Work, ","))
 	}
 }
 
--- a/cmd/hopwell/cmds/why.go
+++ b/cmd/hopwell/cmds/why.go
@@ -16,7 +16,7 @@
 func newExplain(o *options) *cobra.Command {
 	return &cobra.Command{
 		Use:   "explain REQUEST-ID",
-		Short: "Tell how the runners of a request were chosen, and why the others were not",
+		Short: "Explain how the runners of a request were chosen and why the others were not",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			e, err := o.client().Explain(cmd.Context(), args[0])
@@ -55,7 +55,8 @@
 		e.Queue*1e3, e.Prefill*1e3, e.Transfer*1e3, e.Slot*1e3, e.Step*1e3, e.Network*1e3, e.FirstToken*1e3, e.Cost*1e3, e.Cached, why)
 }
 
-// whyNot names the term by which a candidate lost most.
+// whyNot returns the term of the estimate in which a candidate exceeds the chosen one
+// most. If there is no such term, the penalties made the difference.
 func whyNot(e, best *route.Estimate) string {
 	terms := []struct {
 		name string
@@ -84,7 +85,7 @@
 	cmd := &cobra.Command{
 		Use:   "timeline [LOG-FILE...]",
 		Short: "Show the events of all processes in causal order",
-		Long:  "Show the events of all processes in causal order, which is that of the messages\nbetween them: clocks of instances may differ. -o chrome writes a file for a\nbrowser's trace viewer. With --from-logs the events are those in log files of\n`hopwelld ingress`, or in standard input, in the order of their clocks.",
+		Long:  "Show the events of all processes in causal order. It follows the messages between\nthe processes, since the clocks of instances may differ. -o chrome writes a file\nfor a browser's trace viewer. With --from-logs, the events are read from log files\nof `hopwelld ingress`, or from standard input, and are ordered by the clocks of the\nprocesses.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if fromLogs {
 				return o.timelineOfLogs(cmd, args, f)
@@ -99,18 +100,18 @@
 			if len(silent) > 0 {
 				fmt.Fprintf(cmd.ErrOrStderr(), "silent processes: %s\n", strings.Join(silent, ", "))
 			}
-			return o.draw(cmd.OutOrStdout(), events)
+			return o.writeEvents(cmd.OutOrStdout(), events)
 		},
 	}
-	cmd.Flags().BoolVar(&fromLogs, "from-logs", false, "read log files instead of asking the processes")
+	cmd.Flags().BoolVar(&fromLogs, "from-logs", false, "read log files instead of querying the processes")
 	cmd.Flags().StringVar(&f.Request, "request", "", "only events of this request")
 	cmd.Flags().StringVar(&f.Instance, "instance", "", "only events of or about this instance")
-	cmd.Flags().DurationVar(&since, "since", 0, "only events of this last time")
+	cmd.Flags().DurationVar(&since, "since", 0, "only events that are not older than this")
 	return cmd
 }
 
-// draw writes events in the format that was asked for.
-func (o *options) draw(out io.Writer, events []trace.Event) error {
+// writeEvents writes events in the selected output format.
+func (o *options) writeEvents(out io.Writer, events []trace.Event) error {
 	if o.format == formatChrome {
 		return trace.WriteChrome(out, events)
 	}
@@ -122,5 +123,5 @@
 	if err != nil {
 		return err
 	}
-	return o.draw(cmd.OutOrStdout(), logEvents(lines, f))
+	return o.writeEvents(cmd.OutOrStdout(), logEvents(lines, f))
 }
--- a/cmd/hopwell/cmds/workspace.go
+++ b/cmd/hopwell/cmds/workspace.go
@@ -18,18 +18,19 @@
 const (
 	// keyBytes is the randomness of a key: 256 bits.
 	keyBytes = 32
-	// keyPrefix tells hopwell's keys from others'.
+	// keyPrefix distinguishes the keys of hopwell from those of other systems.
 	keyPrefix = "hw-"
-	// shownDigits is how many digits of a key's digest tell it from others.
-	shownDigits = 8
+	// fingerprintLength is the number of leading digits of a key's digest that identify
+	// the key.
+	fingerprintLength = 8
 )
 
 func newWorkspace(o *options) *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "workspace",
 		Short: "Show and change workspaces, their keys and limits",
-		Long: "Workspaces share a fleet. Once there is one, every request needs the key of one, as\n" +
-			"`Authorization: Bearer KEY`. Keys are made by `workspace key add`, shown once, and kept as\ndigests.",
+		Long: "Workspaces share a fleet. As soon as one exists, every request needs the key of a workspace, as\n" +
+			"`Authorization: Bearer KEY`. `workspace key add` creates a key and shows it once; only its\ndigest is stored.",
 	}
 	key := &cobra.Command{Use: "key", Short: "Add and revoke keys"}
 	key.AddCommand(newKeyAdd(o), newKeyRevoke(o))
@@ -68,8 +69,8 @@
 	}
 }
 
-// fingerprint shortens a digest.
-func fingerprint(digest string) string { return digest[:min(shownDigits, len(digest))] }
+// fingerprint returns the leading digits of a key's digest.
+func fingerprint(digest string) string { return digest[:min(fingerprintLength, len(digest))] }
 
 func newWorkspaceSet(o *options) *cobra.Command {
 	f := changeFlags{o: o}
@@ -79,8 +80,8 @@
 	cmd := &cobra.Command{
 		Use:   "set NAME",
 		Short: "Add a workspace, or change its limit and priority",
-		Long: "Add a workspace, or change what the flags name of one; its keys stay. A change that\n" +
-			"another operator made to the same workspace meanwhile is a conflict: nothing is changed.",
+		Long: "Add a workspace, or change the values of one that the flags set; its keys stay. If another\n" +
+			"operator changes the same workspace in the meantime, the command fails with a conflict and\nchanges nothing.",
 		Example: "  hopwell workspace set lexicon --rate 60000 --burst 60000 --wait 5s",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -107,10 +108,10 @@
 	}
 	f.add(cmd)
 	cmd.Flags().StringVar(&unit, "unit", string(workspace.Tokens), "what the limit counts: tokens or requests")
-	cmd.Flags().Float64Var(&set.Rate, "rate", 0, "units a second that it may use at all gateways together; 0 for any number")
-	cmd.Flags().Float64Var(&set.Burst, "burst", 0, "units that it may use beyond that at once")
-	cmd.Flags().Float64Var(&set.PlainTokens, "plain-tokens", 0, "tokens that a request without a number of them counts")
-	cmd.Flags().IntVar(&priority, "priority", 0, "rank of its requests, 0 first (default that of the selectors)")
+	cmd.Flags().Float64Var(&set.Rate, "rate", 0, "units per second that the workspace may use at all gateways together; 0 for no limit")
+	cmd.Flags().Float64Var(&set.Burst, "burst", 0, "units that it may use at once in addition to the rate")
+	cmd.Flags().Float64Var(&set.PlainTokens, "plain-tokens", 0, "tokens charged for a request that has no token count")
+	cmd.Flags().IntVar(&priority, "priority", 0, "priority of its requests, 0 is the highest (default the priority of the selectors)")
 	return cmd
 }
 
@@ -119,7 +120,7 @@
 	cmd := &cobra.Command{
 		Use:   "delete NAME...",
 		Short: "Delete workspaces with their keys",
-		Long:  "Delete workspaces with their keys. After the last one nobody is asked for a key.",
+		Long:  "Delete workspaces with their keys. After the last one is deleted, requests need no key.",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return f.run(cmd, &fleet.Change{DeleteWorkspaces: args})
@@ -133,7 +134,7 @@
 	f := changeFlags{o: o}
 	cmd := &cobra.Command{
 		Use:   "add WORKSPACE",
-		Short: "Make a key for a workspace, and show it this once",
+		Short: "Create a key for a workspace and show it once",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			key, err := makeKey()
@@ -154,7 +155,7 @@
 	return cmd
 }
 
-// makeKey returns a new key.
+// makeKey returns a new random key.
 func makeKey() (string, error) {
 	data := make([]byte, keyBytes)
 	if _, err := rand.Read(data); err != nil {
@@ -167,15 +168,15 @@
 	f := changeFlags{o: o}
 	cmd := &cobra.Command{
 		Use:     "revoke WORKSPACE FINGERPRINT",
-		Short:   "Take a key away from a workspace",
+		Short:   "Revoke a key of a workspace",
 		Example: "  hopwell workspace key revoke lexicon a3edfe8c --wait 5s",
 		Args:    cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return f.editWorkspace(cmd, args[0], false, func(w *fleet.Workspace) error {
 				before := len(w.Keys)
 				w.Keys = slices.DeleteFunc(slices.Clone(w.Keys), func(k string) bool { return strings.HasPrefix(k, args[1]) })
-				if before-len(w.Keys) != 1 || len(args[1]) < shownDigits {
-					return &errInput{What: args[1], Expected: "the fingerprint of one of its keys, as `workspace list` shows it"}
+				if before-len(w.Keys) != 1 || len(args[1]) < fingerprintLength {
+					return &errInput{What: args[1], Expected: "the fingerprint of one key of the workspace, as `workspace list` shows it"}
 				}
 				return nil
 			})
@@ -185,8 +186,8 @@
 	return cmd
 }
 
-// editWorkspace changes one workspace on the base of what is in force. One that does not exist is
-// added if that is asked for.
+// editWorkspace changes one workspace, based on the newest configuration. If create is
+// set, it adds a workspace that does not exist.
 func (f *changeFlags) editWorkspace(cmd *cobra.Command, name string, create bool, edit func(w *fleet.Workspace) error) error {
 	doc, err := f.o.client().Document(cmd.Context())
 	if err != nil {
@@ -209,7 +210,7 @@
 func newWorkspaceUsage(o *options) *cobra.Command {
 	return &cobra.Command{
 		Use:   "usage",
-		Short: "Show what each gateway spent for workspaces lately, and what is left there",
+		Short: "Show what each gateway spent for recent workspaces since it started, and what is left",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			usage, err := o.client().Usage(cmd.Context())
--- a/cmd/hopwell/cmds/workspace_test.go
+++ b/cmd/hopwell/cmds/workspace_test.go
@@ -19,16 +19,16 @@
 
 func TestCommands(t *testing.T) { spectest.Run(t, "cmds") }
 
-var _ = Describe("hopwell workspace, before a fleet and an OpenAI client library", Ordered, func() {
+var _ = Describe("hopwell workspace with a demo fleet and an OpenAI client library", Ordered, func() {
 	var d *demo.Demo
 	var admin, base string
 	ctx := context.Background()
 
 	BeforeAll(func() {
-		begin, cancel := context.WithTimeout(ctx, time.Minute)
+		startCtx, cancel := context.WithTimeout(ctx, time.Minute)
 		defer cancel()
 		var err error
-		d, err = demo.Start(begin, demo.Options{})
+		d, err = demo.Start(startCtx, demo.Options{})
 		Expect(err).NotTo(HaveOccurred())
 		admin, base = d.Gateways[0].Ports().Admin, "http://"+d.Gateways[0].Ports().Callers
 	})
@@ -43,24 +43,24 @@
 		err := root.ExecuteContext(ctx)
 		return out.String(), err
 	}
-	ask := func(key string) error {
+	complete := func(key string) error {
 		c := openai.DefaultConfig(key)
 		c.BaseURL = base + "/v1"
 		_, err := openai.NewClientWithConfig(c).CreateCompletion(ctx, openai.CompletionRequest{Model: demo.Model, Prompt: "Translate the strings", MaxTokens: 8})
 		return err
 	}
-	refusal := func(err error) *openai.APIError {
+	apiError := func(err error) *openai.APIError {
 		var api *openai.APIError
 		ExpectWithOffset(1, errors.As(err, &api)).To(BeTrue(), "%v", err)
 		return api
 	}
 	var key string
 
-	It("asks nobody for a key before there is a workspace", func() {
-		Expect(ask("anything")).To(Succeed())
+	It("requires no key while no workspace exists", func() {
+		Expect(complete("anything")).To(Succeed())
 	})
 
-	It("makes a key, shows it once and keeps a digest", func() {
+	It("creates a key, prints it once and does not list it", func() {
 		_, err := hopwell("workspace", "set", "lexicon", "--wait", "5s")
 		Expect(err).NotTo(HaveOccurred())
 		out, err := hopwell("workspace", "key", "add", "lexicon", "--wait", "5s")
@@ -73,14 +73,14 @@
 		Expect(list).NotTo(ContainSubstring(key))
 	})
 
-	It("has requests served that show it, and no others", func() {
-		Expect(ask(key)).To(Succeed())
-		api := refusal(ask("hw-unknown"))
+	It("serves requests with the key and refuses an unknown key", func() {
+		Expect(complete(key)).To(Succeed())
+		api := apiError(complete("hw-unknown"))
 		Expect(api.HTTPStatusCode).To(Equal(http.StatusUnauthorized))
 		Expect(api.Code).To(Equal("invalid_api_key"))
 	})
 
-	It("does not believe a header against the key", func() {
+	It("refuses a Hopwell-Workspace header that differs from the key's workspace", func() {
 		r, err := http.NewRequest(http.MethodPost, base+"/v1/completions", strings.NewReader(`{"model":"`+demo.Model+`","prompt":"x"}`))
 		Expect(err).NotTo(HaveOccurred())
 		r.Header.Set("Authorization", "Bearer "+key)
@@ -91,37 +91,37 @@
 		Expect(res.StatusCode).To(Equal(http.StatusForbidden))
 	})
 
-	It("keeps a workspace within its limit, and says when to come back", func() {
+	It("refuses requests above the limit of a workspace until the limit is removed", func() {
 		_, err := hopwell("workspace", "set", "lexicon", "--unit", "requests", "--rate", "0.5", "--burst", "2", "--wait", "5s")
 		Expect(err).NotTo(HaveOccurred())
 		Eventually(func() int {
 			var api *openai.APIError
-			if errors.As(ask(key), &api) {
+			if errors.As(complete(key), &api) {
 				return api.HTTPStatusCode
 			}
 			return http.StatusOK
 		}).WithTimeout(10 * time.Second).Should(Equal(http.StatusTooManyRequests))
-		Expect(refusal(ask(key)).Code).To(Equal("rate_limit_exceeded"))
+		Expect(apiError(complete(key)).Code).To(Equal("rate_limit_exceeded"))
 		usage, err := hopwell("workspace", "usage")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(usage).To(ContainSubstring("lexicon"))
 		_, err = hopwell("workspace", "set", "lexicon", "--rate", "0", "--wait", "5s")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(ask(key)).To(Succeed())
+		Expect(complete(key)).To(Succeed())
 	})
 
-	It("takes a key away by its fingerprint", func() {
+	It("revokes a key by its fingerprint, but not by a shorter prefix", func() {
 		list, err := hopwell("workspace", "list")
 		Expect(err).NotTo(HaveOccurred())
-		_, print, _ := strings.Cut(strings.TrimSpace(list), "keys=")
-		_, err = hopwell("workspace", "key", "revoke", "lexicon", print[:4])
-		Expect(err).To(BeAssignableToTypeOf(&errInput{}), "too short to be sure")
-		_, err = hopwell("workspace", "key", "revoke", "lexicon", print, "--wait", "5s")
+		_, keyFingerprint, _ := strings.Cut(strings.TrimSpace(list), "keys=")
+		_, err = hopwell("workspace", "key", "revoke", "lexicon", keyFingerprint[:4])
+		Expect(err).To(BeAssignableToTypeOf(&errInput{}), "fingerprint is too short to identify a key")
+		_, err = hopwell("workspace", "key", "revoke", "lexicon", keyFingerprint, "--wait", "5s")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(refusal(ask(key)).HTTPStatusCode).To(Equal(http.StatusUnauthorized))
+		Expect(apiError(complete(key)).HTTPStatusCode).To(Equal(http.StatusUnauthorized))
 	})
 
-	It("refuses what names no workspace", func() {
+	It("refuses an unknown workspace and a negative rate", func() {
 		_, err := hopwell("workspace", "key", "add", "nobody")
 		Expect(err).To(MatchError(ContainSubstring("no such workspace")))
 		_, err = hopwell("workspace", "set", "lexicon", "--rate", "-1")
--- a/cmd/hopwell/main.go
+++ b/cmd/hopwell/main.go
@@ -1,5 +1,5 @@
-// Command hopwell is the operators' command: it changes labels and selectors and
-// tells what the fleet does and why.
+// Command hopwell is the command line for operators: it changes the configuration of
+// a fleet, shows its state and explains its decisions.
 package main
 
 import (
--- a/cmd/hopwelld/cmds/demo.go
+++ b/cmd/hopwelld/cmds/demo.go
@@ -12,40 +12,40 @@
 	"github.com/hopwell/hopwell/pkg/demo"
 )
 
-// demoStart bounds the time in which the demo must be ready.
-const demoStart = 30 * time.Second
+// demoStartTimeout limits the time until the demo is ready.
+const demoStartTimeout = 30 * time.Second
 
 func newDemo() *cobra.Command {
 	var o demo.Options
 	cmd := &cobra.Command{
 		Use:   "demo",
-		Short: "Run a whole fleet with stand-ins on loopback",
-		Long:  "Run stand-ins for the platform, six model engines and a plain service, their\nsidecars and two gateways in one process on loopback, until interrupted.",
+		Short: "Run a demo fleet with fake runners on loopback",
+		Long:  "Run fakes of the platform, of six model engines and of a plain service, with their\nsidecars and two gateways, in one process on loopback until interrupted.",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
-			begin, cancel := context.WithTimeout(ctx, demoStart)
+			startCtx, cancel := context.WithTimeout(ctx, demoStartTimeout)
 			defer cancel()
-			d, err := demo.Start(begin, o)
+			d, err := demo.Start(startCtx, o)
 			if err != nil {
 				return err
 			}
 			defer d.Close()
-			describe(cmd, d)
+			printEndpoints(cmd, d)
 			<-ctx.Done()
 			return nil
 		},
 	}
 	cmd.AddCommand(newIngressDemo())
-	cmd.Flags().StringVar(&o.Platform, "platform", "", "address of the stand-in platform (default a free port)")
-	cmd.Flags().StringSliceVar(&o.Callers, "callers", nil, "addresses of the gateways for callers (default free ports)")
+	cmd.Flags().StringVar(&o.Platform, "platform", "", "address of the fake platform (default a free port)")
+	cmd.Flags().StringSliceVar(&o.Callers, "callers", nil, "addresses on which the gateways serve clients (default free ports)")
 	cmd.Flags().StringSliceVar(&o.Admin, "admin", nil, "admin addresses of the gateways (default free ports)")
 	return cmd
 }
 
-// describe prints where everything is and what to try.
-func describe(cmd *cobra.Command, d *demo.Demo) {
+// printEndpoints prints the addresses of the fleet and example commands.
+func printEndpoints(cmd *cobra.Command, d *demo.Demo) {
 	out := cmd.OutOrStdout()
 	for i, g := range d.Gateways {
 		fmt.Fprintf(out, "gateway %d   callers http://%s   admin http://%s\n", i+1, g.Ports().Callers, g.Ports().Admin)
--- a/cmd/hopwelld/cmds/ingress.go
+++ b/cmd/hopwelld/cmds/ingress.go
@@ -13,21 +13,22 @@
 	"github.com/hopwell/hopwell/pkg/process"
 )
 
-// settingsLook is the time between two looks at the settings file.
-const settingsLook = 2 * time.Second
+// settingsPollInterval is the time between two checks of the settings file for changes.
+const settingsPollInterval = 2 * time.Second
 
 func newIngress() *cobra.Command {
 	var file, variable string
 	cmd := &cobra.Command{
 		Use:   "ingress",
-		Short: "Run an ingress before engines that admit by themselves",
-		Long:  "Run an ingress: it serves operators' routes before runners that admit by\nthemselves, without sidecars. SIGTERM starts a planned stop, SIGHUP reads the\nsettings again; they are also read when the file has changed.",
+		Short: "Run an ingress in front of engines that control admission themselves",
+		Long:  "Run an ingress, which serves the routes of the settings in front of runners that\ncontrol admission themselves and have no sidecars. SIGTERM starts a planned stop, a\nsecond SIGTERM stops the process at once. SIGHUP reloads the settings; they are also\nreloaded when the file changes.",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			if variable != "" {
 				file = os.Getenv(variable)
 			}
-			// From the first moment on: a signal that nobody takes ends the process.
+			// Signals are handled before the settings are loaded, since an unhandled signal
+			// ends the process.
 			signals := make(chan os.Signal, 4)
 			signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 			defer signal.Stop(signals)
@@ -50,19 +51,19 @@
 	return cmd
 }
 
-// serveIngress waits for signals and for changes of the settings file until the
-// planned stop is over.
+// serveIngress handles signals and changes of the settings file until the planned stop
+// is over. A second stop signal ends it at once.
 func serveIngress(p *process.Ingress, file string, signals <-chan os.Signal) {
-	look := time.NewTicker(settingsLook)
-	defer look.Stop()
-	seen := stamp(file)
+	poll := time.NewTicker(settingsPollInterval)
+	defer poll.Stop()
+	lastStamp := fileStamp(file)
 	stopping := false
 	for {
 		select {
 		case s := <-signals:
 			switch {
 			case s == syscall.SIGHUP:
-				seen = stamp(file)
+				lastStamp = fileStamp(file)
 				_ = p.Reload(file)
 			case stopping:
 				return
@@ -70,9 +71,9 @@
 				stopping = true
 				go p.Stop()
 			}
-		case <-look.C:
-			if now := stamp(file); now != seen {
-				seen = now
+		case <-poll.C:
+			if now := fileStamp(file); now != lastStamp {
+				lastStamp = now
 				_ = p.Reload(file)
 			}
 		case <-p.Stopped():
@@ -81,8 +82,9 @@
 	}
 }
 
-// stamp tells one state of a file from another; it is empty if there is none.
-func stamp(file string) string {
+// fileStamp returns the modification time and size of a file, to detect changes. It is
+// empty if the file can't be read.
+func fileStamp(file string) string {
 	i, err := os.Stat(file)
 	if err != nil {
 		return ""
--- a/cmd/hopwelld/cmds/root.go
+++ b/cmd/hopwelld/cmds/root.go
@@ -1,4 +1,4 @@
-// Package cmds holds the commands of hopwelld.
+// Package cmds implements the commands of hopwelld.
 package cmds
 
 import (
@@ -28,7 +28,7 @@
 	root := &cobra.Command{
 		Use:           "hopwelld",
 		Short:         "Run a process of hopwell",
-		Long:          "hopwelld runs one process of hopwell, a router for language-model serving:\na gateway, the sidecar of a runner, an ingress before engines that admit by\nthemselves, or a whole demo fleet on loopback.",
+		Long:          "hopwelld runs one process of hopwell, a router for language-model serving:\na gateway, the sidecar of a runner, an ingress in front of engines that control\nadmission themselves, or a demo fleet on loopback.",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		PersistentPreRunE: func(*cobra.Command, []string) error {
@@ -41,7 +41,8 @@
 	return root
 }
 
-// Main runs a command line and returns its exit code: 2 for bad settings.
+// Main runs a command line and returns its exit code, which is 2 for invalid
+// settings.
 func Main(args []string) int {
 	flags := flag.NewFlagSet("klog", flag.ContinueOnError)
 	klog.InitFlags(flags)
--- a/cmd/hopwelld/cmds/run.go
+++ b/cmd/hopwelld/cmds/run.go
@@ -17,7 +17,7 @@
 
 func newGateway() *cobra.Command {
 	return newRole("gateway", "Run a gateway",
-		"Run a gateway: it takes callers' requests and chooses runners for them.\nSIGTERM starts a planned stop, which cuts off no request; a second one ends it at once.",
+		"Run a gateway, which receives requests from clients and chooses runners for them.\nSIGTERM starts a planned stop, which cuts off no request; a second SIGTERM stops the\nprocess at once.",
 		func(file string) (*process.Process, error) {
 			c, err := config.LoadGateway(file)
 			if err != nil {
@@ -32,7 +32,7 @@
 
 func newSidecar() *cobra.Command {
 	return newRole("sidecar", "Run the sidecar of a runner",
-		"Run the sidecar beside a model engine or a plain service: it decides admission\nand frees what nobody renews. SIGTERM starts a planned stop, which cuts off no\nrequest; a second one ends it at once.",
+		"Run the sidecar of a model engine or a plain service, which decides on admission and\nreleases resources whose leases are no longer renewed. SIGTERM starts a planned stop,\nwhich cuts off no request; a second SIGTERM stops the process at once.",
 		func(file string) (*process.Process, error) {
 			c, err := config.LoadSidecar(file)
 			if err != nil {
@@ -45,7 +45,7 @@
 		})
 }
 
-// newRole returns the command of a role, which starts from a settings file.
+// newRole returns the command that runs a process of a role with a settings file.
 func newRole(use, short, long string, start func(file string) (*process.Process, error)) *cobra.Command {
 	var file string
 	cmd := &cobra.Command{
@@ -67,7 +67,7 @@
 	_ = cmd.MarkFlagRequired("config")
 }
 
-// serve waits for a signal and carries out the planned stop.
+// serve waits for a signal, then for the end of the planned stop or a second signal.
 func serve(out io.Writer, p *process.Process) error {
 	ports := p.Ports()
 	fmt.Fprintf(out, "ready callers=%s inner=%s admin=%s\n", ports.Callers, ports.Inner, ports.Admin)
--- a/cmd/hopwelld/main.go
+++ b/cmd/hopwelld/main.go
@@ -1,4 +1,5 @@
-// Command hopwelld is hopwell's process: a gateway, a sidecar, or a whole demo.
+// Command hopwelld runs a hopwell process: a gateway, a sidecar, an ingress or a demo
+// fleet.
 package main
 
 import (
--- a/pkg/admin/admin.go
+++ b/pkg/admin/admin.go
@@ -1,7 +1,7 @@
-// Package admin is the operators' side of a process: health, metrics, the time
-// line, explanations, and changes of the configuration. It listens on a port of
-// its own, which belongs on the operators' network only: nothing on it asks who
-// calls.
+// Package admin implements the admin port of a process: health, metrics, the timeline,
+// explanations of routing decisions, and changes of the configuration. It is a separate
+// port, which must be reachable from the operators' network only, since it has no
+// authentication.
 package admin
 
 import (
@@ -36,19 +36,19 @@
 	PathUsage    = "/v1/usage"
 )
 
-// maxUsage bounds the workspaces of which a gateway tells what they use.
-const maxUsage = 1000
+// maxUsageEntries limits the number of workspaces in a usage report of a gateway.
+const maxUsageEntries = 1000
 
-// Usage is what a gateway spent for a workspace.
+// Usage is the usage of one workspace at one gateway.
 type Usage struct {
 	Gateway string `json:"gateway"`
 	quota.Status
 }
 
-// maxChange bounds the body of a change, in bytes.
-const maxChange = platform.MaxValue
+// maxChangeBytes limits the size of the body of a change request.
+const maxChangeBytes = platform.MaxValue
 
-// Handler serves the admin port of one process. Gateway or Sidecar is nil.
+// Handler serves the admin port of one process. Either Gateway or Sidecar is nil.
 type Handler struct {
 	Node    *node.Node
 	Gateway *gateway.Gateway
@@ -57,7 +57,7 @@
 	Drain func(deadline time.Time)
 }
 
-// Status is one process's word on itself.
+// Status is what a process reports of itself and of the members that it knows.
 type Status struct {
 	Instance string    `json:"instance"`
 	Role     string    `json:"role"`
@@ -70,18 +70,19 @@
 	Time     time.Time `json:"time"`
 }
 
-// Member is an instance as the process sees it.
+// Member is an instance in the member list of the reporting process.
 type Member struct {
 	Name    string `json:"name"`
 	Role    string `json:"role"`
 	Domain  string `json:"domain"`
 	Admin   string `json:"admin"`
 	Leaving bool   `json:"leaving"`
-	// Evacuated is set while its failure domain gets no more work.
+	// Evacuated is set while the instance's failure domain is evacuated and receives no
+	// new work.
 	Evacuated bool         `json:"evacuated,omitempty"`
 	Labels    fleet.Labels `json:"labels"`
 	Work      []string     `json:"work"`
-	// Load is known to gateways only.
+	// Load is reported by gateways only.
 	Load *gateway.RunnerLoad `json:"load,omitempty"`
 }
 
@@ -101,13 +102,13 @@
 	return mux
 }
 
-// usage returns what this process spent for workspaces; nothing of a sidecar.
+// usage returns the usage of workspaces at this gateway. It is empty in a sidecar.
 func (h *Handler) usage() []Usage {
 	out := []Usage{}
 	if h.Gateway == nil {
 		return out
 	}
-	for _, s := range h.Gateway.Usage(maxUsage) {
+	for _, s := range h.Gateway.Usage(maxUsageEntries) {
 		out = append(out, Usage{Gateway: h.Node.Self.Name, Status: s})
 	}
 	return out
@@ -182,28 +183,29 @@
 	writeError(w, http.StatusNotFound, &ErrParam{Name: "id", Expected: "a request that this gateway served lately"})
 }
 
-// ChangeReply is the answer to a change.
+// ChangeReply is the response to a change.
 type ChangeReply struct {
-	// Revision is the one that the change made, or would make.
+	// Revision is the revision that the change created, or would create in a dry run.
 	Revision uint64 `json:"revision"`
-	// Gains and Losses list by instance the selectors that it gains or loses.
+	// Gains and Losses list for each instance the names of the selectors that it gains
+	// or loses.
 	Gains  map[string][]string `json:"gains"`
 	Losses map[string][]string `json:"losses"`
 	DryRun bool                `json:"dry_run"`
 }
 
-// Conflict is the body of an answer that refuses a change.
-type Conflict struct {
+// ErrorReply is the body of an error response.
+type ErrorReply struct {
 	Error string `json:"error"`
 	// Kind is the Go name of the error's type.
 	Kind string `json:"kind"`
 }
 
-// change carries out an operator's edit, or with ?dry_run=1 only says what it
-// would do.
+// change applies an operator's change. With ?dry_run=1 it only returns the effect that
+// the change would have.
 func (h *Handler) change(w http.ResponseWriter, r *http.Request) {
 	var c fleet.Change
-	if err := json.NewDecoder(io.LimitReader(r.Body, maxChange)).Decode(&c); err != nil {
+	if err := json.NewDecoder(io.LimitReader(r.Body, maxChangeBytes)).Decode(&c); err != nil {
 		writeError(w, http.StatusBadRequest, err)
 		return
 	}
@@ -211,7 +213,7 @@
 		writeError(w, http.StatusBadRequest, &ErrParam{Name: "id", Expected: "a unique ID of the change"})
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), changeTime)
+	ctx, cancel := context.WithTimeout(r.Context(), changeTimeout)
 	defer cancel()
 	before := h.Node.Keeper.Document()
 	var next *fleet.Document
@@ -229,8 +231,8 @@
 	writeJSON(w, http.StatusOK, h.reply(before, next, dry))
 }
 
-// changeTime bounds one change.
-const changeTime = 8 * time.Second
+// changeTimeout limits the time for one change.
+const changeTimeout = 8 * time.Second
 
 func (h *Handler) dryRun(before *fleet.Document, c *fleet.Change) (*fleet.Document, error) {
 	next, err := before.Apply(c)
@@ -240,8 +242,8 @@
 	return next, h.check(c)(before, next)
 }
 
-// check refuses a change that leaves a request kind without a runner, unless
-// it is forced.
+// check returns a function that refuses a change after which a request kind has no
+// runner, unless the change is forced.
 func (h *Handler) check(c *fleet.Change) func(before, after *fleet.Document) error {
 	return func(before, after *fleet.Document) error {
 		if c.Force {
@@ -255,18 +257,19 @@
 func (h *Handler) reply(before, next *fleet.Document, dry bool) ChangeReply {
 	members := h.Node.Members.Members()
 	out := ChangeReply{Revision: next.Revision, Gains: map[string][]string{}, Losses: map[string][]string{}, DryRun: dry}
-	was, is := work(fleet.NewView(before, members)), work(fleet.NewView(next, members))
-	for name := range is {
-		out.Gains[name] = minus(is[name], was[name])
-		out.Losses[name] = minus(was[name], is[name])
-		dropEmpty(out.Gains, name)
-		dropEmpty(out.Losses, name)
+	oldWork, newWork := selectorNames(fleet.NewView(before, members)), selectorNames(fleet.NewView(next, members))
+	for name := range newWork {
+		out.Gains[name] = difference(newWork[name], oldWork[name])
+		out.Losses[name] = difference(oldWork[name], newWork[name])
+		deleteIfEmpty(out.Gains, name)
+		deleteIfEmpty(out.Losses, name)
 	}
 	return out
 }
 
-// work lists each member's selectors by name.
-func work(v *fleet.View) map[string][]string {
+// selectorNames returns the names of the selectors that match each member. Members that
+// are leaving have none.
+func selectorNames(v *fleet.View) map[string][]string {
 	out := map[string][]string{}
 	for _, m := range v.Members {
 		out[m.Name] = nil
@@ -280,8 +283,8 @@
 	return out
 }
 
-// minus returns what is in a and not in b.
-func minus(a, b []string) []string {
+// difference returns the elements of a that are not in b.
+func difference(a, b []string) []string {
 	in := map[string]bool{}
 	for _, x := range b {
 		in[x] = true
@@ -295,14 +298,14 @@
 	return out
 }
 
-func dropEmpty(m map[string][]string, key string) {
+func deleteIfEmpty(m map[string][]string, key string) {
 	if len(m[key]) == 0 {
 		delete(m, key)
 	}
 }
 
-// drain starts the process's planned stop: ?deadline=30s says when its instance
-// ends.
+// drain starts the process's planned stop. ?deadline=30s is the time until its instance
+// is stopped.
 func (h *Handler) drain(w http.ResponseWriter, r *http.Request) {
 	var deadline time.Time
 	if s := r.URL.Query().Get("deadline"); s != "" {
--- a/pkg/admin/errors.go
+++ b/pkg/admin/errors.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// ErrParam reports that a parameter is missing or wrong.
+// ErrParam reports a missing or invalid parameter.
 type ErrParam struct {
 	Name, Expected string
 }
@@ -24,5 +24,5 @@
 }
 
 func writeError(w http.ResponseWriter, status int, err error) {
-	writeJSON(w, status, Conflict{Error: err.Error(), Kind: strings.TrimPrefix(fmt.Sprintf("%T", err), "*")})
+	writeJSON(w, status, ErrorReply{Error: err.Error(), Kind: strings.TrimPrefix(fmt.Sprintf("%T", err), "*")})
 }
--- a/pkg/opclient/opclient.go
+++ b/pkg/opclient/opclient.go
@@ -1,5 +1,5 @@
-// Package opclient is the operators' client: it finds the processes of a fleet
-// through the platform's instance list and speaks to their admin ports.
+// Package opclient implements the operators' client: it finds the processes of a fleet
+// through the platform's instance list and sends requests to their admin ports.
 package opclient
 
 import (
@@ -24,27 +24,27 @@
 )
 
 const (
-	// askTime bounds one question to one process.
-	askTime = 3 * time.Second
-	// changeTime bounds one try of a change.
-	changeTime = 10 * time.Second
-	// waitPoll is the time between two looks at how far a change has come.
-	waitPoll = 100 * time.Millisecond
-	// parallel is how many processes are asked at the same time.
-	parallel = 64
+	// queryTimeout limits one query of one process.
+	queryTimeout = 3 * time.Second
+	// changeTimeout limits one attempt to send a change to one process.
+	changeTimeout = 10 * time.Second
+	// pollInterval is the time between two queries of the progress of a change.
+	pollInterval = 100 * time.Millisecond
+	// maxParallelQueries limits how many processes are queried at the same time.
+	maxParallelQueries = 64
 )
 
-// ErrAnswer is an error that a process answered with.
+// ErrAnswer is an error response of a process.
 type ErrAnswer struct {
 	Process string
 	Status  int
-	admin.Conflict
+	admin.ErrorReply
 }
 
 // Error implements error.
-func (e *ErrAnswer) Error() string { return e.Conflict.Error }
+func (e *ErrAnswer) Error() string { return e.ErrorReply.Error }
 
-// ErrNoProcess reports that no process answered.
+// ErrNoProcess reports that no process responded without an error. Err is the last error.
 type ErrNoProcess struct {
 	Asked int
 	Err   error
@@ -52,30 +52,30 @@
 
 // Error implements error.
 func (e *ErrNoProcess) Error() string {
-	return fmt.Sprintf("no process answers: asked=%d last=%v", e.Asked, e.Err)
+	return fmt.Sprintf("no process responded without an error: asked=%d last=%v", e.Asked, e.Err)
 }
 
 // Unwrap returns the cause.
 func (e *ErrNoProcess) Unwrap() error { return e.Err }
 
-// Client speaks to a fleet.
+// Client sends requests to the admin ports of a fleet.
 type Client struct {
-	list  platform.List
-	fixed []string
-	http  *http.Client
+	list           platform.List
+	adminAddresses []string
+	http           *http.Client
 }
 
-// New returns a client that finds processes through the platform, or only the
-// given admin addresses where there are any.
+// New returns a client that finds processes through the platform, or uses only the given
+// admin addresses if there are any.
 func New(platformURL string, adminAddresses []string) *Client {
-	return &Client{list: platform.NewClient(platformURL), fixed: adminAddresses, http: &http.Client{}}
+	return &Client{list: platform.NewClient(platformURL), adminAddresses: adminAddresses, http: &http.Client{}}
 }
 
 // Processes returns the admin addresses of all processes, gateways first.
 func (c *Client) Processes(ctx context.Context) ([]platform.Instance, error) {
-	if len(c.fixed) > 0 {
+	if len(c.adminAddresses) > 0 {
 		var out []platform.Instance
-		for _, a := range c.fixed {
+		for _, a := range c.adminAddresses {
 			out = append(out, platform.Instance{Name: a, Admin: a})
 		}
 		return out, nil
@@ -90,9 +90,9 @@
 	return all, nil
 }
 
-// get asks one process.
+// get sends a GET request to one process and decodes the JSON response.
 func (c *Client) get(ctx context.Context, p platform.Instance, path string, into any) error {
-	ctx, cancel := context.WithTimeout(ctx, askTime)
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.Admin+path, nil)
 	if err != nil {
@@ -102,7 +102,7 @@
 }
 
 func (c *Client) post(ctx context.Context, p platform.Instance, path string, body, into any) error {
-	ctx, cancel := context.WithTimeout(ctx, changeTime)
+	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -127,29 +127,29 @@
 	}
 	if resp.StatusCode != http.StatusOK {
 		out := &ErrAnswer{Process: p.Name, Status: resp.StatusCode}
-		if json.Unmarshal(data, &out.Conflict) != nil {
-			out.Conflict.Error = string(data)
+		if json.Unmarshal(data, &out.ErrorReply) != nil {
+			out.ErrorReply.Error = string(data)
 		}
 		return out
 	}
 	return json.Unmarshal(data, into)
 }
 
-// Answer is what one process said, or why it did not.
-type Answer[T any] struct {
+// Result is the response of one process, or the error of the query.
+type Result[T any] struct {
 	Process platform.Instance
 	Value   T
 	Err     error
 }
 
-// askAll asks all processes at the same time.
-func askAll[T any](ctx context.Context, c *Client, path string) ([]Answer[T], error) {
+// queryAll queries all processes, at most maxParallelQueries at the same time.
+func queryAll[T any](ctx context.Context, c *Client, path string) ([]Result[T], error) {
 	all, err := c.Processes(ctx)
 	if err != nil {
 		return nil, err
 	}
-	out := make([]Answer[T], len(all))
-	slots := make(chan struct{}, parallel)
+	out := make([]Result[T], len(all))
+	slots := make(chan struct{}, maxParallelQueries)
 	var wg sync.WaitGroup
 	for i, p := range all {
 		wg.Go(func() {
@@ -163,13 +163,13 @@
 	return out, nil
 }
 
-// Status asks all processes for their word on themselves.
-func (c *Client) Status(ctx context.Context) ([]Answer[admin.Status], error) {
-	return askAll[admin.Status](ctx, c, admin.PathStatus)
+// Status returns the status of all processes.
+func (c *Client) Status(ctx context.Context) ([]Result[admin.Status], error) {
+	return queryAll[admin.Status](ctx, c, admin.PathStatus)
 }
 
-// Timeline merges the events of all processes in causal order. Silent lists the
-// processes that did not answer.
+// Timeline returns the events of all processes in causal order. silent lists the
+// processes that returned no events because of an error.
 func (c *Client) Timeline(ctx context.Context, f trace.Filter) (events []trace.Event, silent []string, err error) {
 	q := url.Values{}
 	if f.Request != "" {
@@ -181,11 +181,11 @@
 	if !f.Since.IsZero() {
 		q.Set("since", f.Since.Format(time.RFC3339Nano))
 	}
-	answers, err := askAll[[]trace.Event](ctx, c, admin.PathTimeline+"?"+q.Encode())
+	results, err := queryAll[[]trace.Event](ctx, c, admin.PathTimeline+"?"+q.Encode())
 	if err != nil {
 		return nil, nil, err
 	}
-	for _, a := range answers {
+	for _, a := range results {
 		if a.Err != nil {
 			silent = append(silent, a.Process.Name)
 			continue
@@ -196,31 +196,31 @@
 	return events, silent, nil
 }
 
-// Explain finds the gateway that served a request.
+// Explain returns the explanation of a request from the gateway that served it.
 func (c *Client) Explain(ctx context.Context, id string) (gateway.Explanation, error) {
-	answers, err := askAll[gateway.Explanation](ctx, c, admin.PathExplain+url.PathEscape(id))
+	results, err := queryAll[gateway.Explanation](ctx, c, admin.PathExplain+url.PathEscape(id))
 	if err != nil {
 		return gateway.Explanation{}, err
 	}
 	var last error
-	for _, a := range answers {
+	for _, a := range results {
 		if a.Err == nil {
 			return a.Value, nil
 		}
 		last = a.Err
 	}
-	return gateway.Explanation{}, &ErrNoProcess{Asked: len(answers), Err: last}
+	return gateway.Explanation{}, &ErrNoProcess{Asked: len(results), Err: last}
 }
 
-// Document returns the newest configuration that any process has.
+// Document returns the newest configuration among the processes that respond.
 func (c *Client) Document(ctx context.Context) (*fleet.Document, error) {
-	answers, err := askAll[*fleet.Document](ctx, c, admin.PathConfig)
+	results, err := queryAll[*fleet.Document](ctx, c, admin.PathConfig)
 	if err != nil {
 		return nil, err
 	}
 	var newest *fleet.Document
 	var last error
-	for _, a := range answers {
+	for _, a := range results {
 		if a.Err != nil {
 			last = a.Err
 			continue
@@ -230,13 +230,13 @@
 		}
 	}
 	if newest == nil {
-		return nil, &ErrNoProcess{Asked: len(answers), Err: last}
+		return nil, &ErrNoProcess{Asked: len(results), Err: last}
 	}
 	return newest, nil
 }
 
-// Change sends a change to one process after another until one settles it: a
-// change that is sent twice has one effect, by its ID.
+// Change sends a change to one process after another until one accepts or refuses it.
+// A change that is sent to several processes has one effect, because of its ID.
 func (c *Client) Change(ctx context.Context, change *fleet.Change, dryRun bool) (admin.ChangeReply, error) {
 	all, err := c.Processes(ctx)
 	if err != nil {
@@ -253,8 +253,8 @@
 		if err == nil {
 			return reply, nil
 		}
-		var answered *ErrAnswer
-		if errors.As(err, &answered) && answered.Status != http.StatusServiceUnavailable {
+		var response *ErrAnswer
+		if errors.As(err, &response) && response.Status != http.StatusServiceUnavailable {
 			return reply, err
 		}
 		last = err
@@ -289,15 +289,18 @@
 // Error implements error.
 func (e *ErrUnknownInstance) Error() string { return fmt.Sprintf("no such instance: name=%q", e.Name) }
 
-// Progress is how far a revision has come.
+// Progress lists the processes in which a revision is not yet known to be in force.
 type Progress struct {
+	// Behind lists the processes that have an older revision.
 	Behind []string
+	// Silent lists the processes whose status could not be read.
 	Silent []string
-	Total  int
+	// Total is the number of all processes.
+	Total int
 }
 
-// Await calls report now and then until every process that answers has the
-// revision, or until the context ends.
+// Await polls and calls report each time, until every process that responds has the
+// revision or the context ends.
 func (c *Client) Await(ctx context.Context, revision uint64, report func(Progress)) error {
 	for {
 		p, err := c.progress(ctx, revision)
@@ -309,7 +312,7 @@
 			return nil
 		}
 		select {
-		case <-time.After(waitPoll):
+		case <-time.After(pollInterval):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -317,12 +320,12 @@
 }
 
 func (c *Client) progress(ctx context.Context, revision uint64) (Progress, error) {
-	answers, err := c.Status(ctx)
+	results, err := c.Status(ctx)
 	if err != nil {
 		return Progress{}, err
 	}
-	p := Progress{Total: len(answers)}
-	for _, a := range answers {
+	p := Progress{Total: len(results)}
+	for _, a := range results {
 		switch {
 		case a.Err != nil:
 			p.Silent = append(p.Silent, a.Process.Name)
--- a/pkg/opclient/usage.go
+++ b/pkg/opclient/usage.go
@@ -6,25 +6,25 @@
 	"github.com/hopwell/hopwell/pkg/admin"
 )
 
-// Usage asks all gateways what they spent for workspaces.
+// Usage returns the usage of workspaces at all gateways.
 func (c *Client) Usage(ctx context.Context) ([]admin.Usage, error) {
-	answers, err := askAll[[]admin.Usage](ctx, c, admin.PathUsage)
+	results, err := queryAll[[]admin.Usage](ctx, c, admin.PathUsage)
 	if err != nil {
 		return nil, err
 	}
 	out := []admin.Usage{}
 	var last error
-	heard := false
-	for _, a := range answers {
+	responded := false
+	for _, a := range results {
 		if a.Err != nil {
 			last = a.Err
 			continue
 		}
-		heard = true
+		responded = true
 		out = append(out, a.Value...)
 	}
-	if !heard {
-		return nil, &ErrNoProcess{Asked: len(answers), Err: last}
+	if !responded {
+		return nil, &ErrNoProcess{Asked: len(results), Err: last}
 	}
 	return out, nil
 }
