--- a/cmd/hopwell/cmds/status.go
+++ b/cmd/hopwell/cmds/status.go
@@ -19,11 +19,11 @@
 		return nil, err
 	}
 	var last error
-	for _, a := range results {
-		if a.Err == nil {
-			return &a.Value, nil
+	for _, r := range results {
+		if r.Err == nil {
+			return &r.Value, nil
 		}
-		last = a.Err
+		last = r.Err
 	}
 	return nil, &opclient.ErrNoProcess{Asked: len(results), Err: last}
 }
@@ -62,28 +62,28 @@
 func summarize(results []opclient.Result[admin.Status]) []processStatus {
 	members := map[string]*admin.Member{}
 	var newest uint64
-	for _, a := range results {
-		if a.Err != nil {
+	for _, r := range results {
+		if r.Err != nil {
 			continue
 		}
-		newest = max(newest, a.Value.Revision)
-		for i := range a.Value.Members {
-			m := &a.Value.Members[i]
+		newest = max(newest, r.Value.Revision)
+		for i := range r.Value.Members {
+			m := &r.Value.Members[i]
 			if members[m.Name] == nil || m.Load != nil {
 				members[m.Name] = m
 			}
 		}
 	}
 	out := make([]processStatus, 0, len(results))
-	for _, a := range results {
-		s := processStatus{Instance: a.Process.Name, Role: a.Process.Role, Domain: a.Process.Domain, Revision: a.Value.Revision}
+	for _, r := range results {
+		s := processStatus{Instance: r.Process.Name, Role: r.Process.Role, Domain: r.Process.Domain, Revision: r.Value.Revision}
 		s.Member = members[s.Instance]
-		s.State = processState(&a, s.Member, newest)
+		s.State = processState(&r, s.Member, newest)
 		if s.Member != nil {
 			s.Work = s.Member.Work
 		}
-		if a.Err != nil {
-			s.Error = a.Err.Error()
+		if r.Err != nil {
+			s.Error = r.Err.Error()
 		}
 		out = append(out, s)
 	}
@@ -91,17 +91,17 @@
 }
 
 // processState returns the condition of a process that matters most to an operator.
-func processState(a *opclient.Result[admin.Status], m *admin.Member, newest uint64) string {
+func processState(r *opclient.Result[admin.Status], m *admin.Member, newest uint64) string {
 	switch {
-	case a.Err != nil:
+	case r.Err != nil:
 		return "silent"
 	case m != nil && m.Leaving:
 		return "leaving"
 	case m != nil && m.Evacuated:
 		return "evacuated"
-	case !a.Value.Ready:
+	case !r.Value.Ready:
 		return "not_ready"
-	case a.Value.Revision < newest:
+	case r.Value.Revision < newest:
 		return "behind"
 	case m != nil && m.Load != nil && m.Load.Suspect:
 		return "suspect"
--- a/cmd/hopwelld/cmds/demo_ingress.go
+++ b/cmd/hopwelld/cmds/demo_ingress.go
@@ -35,8 +35,8 @@
 		Short: "Run a demo of ingresses and fake runners with load and faults",
 		Long: "Run ingresses in front of fakes of the platform's store, of model engines and of\n" +
 			"plain runners in one process on loopback, with clients that send requests all the\n" +
-			"time. The state is printed every few seconds and served as text. Faults are injected\n" +
-			"by POST /faults/FAULT?target=NAME&for=5s at the same address, or at random.",
+			"time. The state is printed every few seconds and served as text at the address of\n" +
+			"--view. Faults are injected at random, or by POST /faults/FAULT?target=NAME&for=5s there.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGINT, syscall.SIGTERM)
--- a/pkg/opclient/opclient.go
+++ b/pkg/opclient/opclient.go
@@ -185,12 +185,12 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	for _, a := range results {
-		if a.Err != nil {
-			silent = append(silent, a.Process.Name)
+	for _, r := range results {
+		if r.Err != nil {
+			silent = append(silent, r.Process.Name)
 			continue
 		}
-		events = append(events, a.Value...)
+		events = append(events, r.Value...)
 	}
 	trace.Sort(events)
 	return events, silent, nil
@@ -203,11 +203,11 @@
 		return gateway.Explanation{}, err
 	}
 	var last error
-	for _, a := range results {
-		if a.Err == nil {
-			return a.Value, nil
+	for _, r := range results {
+		if r.Err == nil {
+			return r.Value, nil
 		}
-		last = a.Err
+		last = r.Err
 	}
 	return gateway.Explanation{}, &ErrNoProcess{Asked: len(results), Err: last}
 }
@@ -220,13 +220,13 @@
 	}
 	var newest *fleet.Document
 	var last error
-	for _, a := range results {
-		if a.Err != nil {
-			last = a.Err
+	for _, r := range results {
+		if r.Err != nil {
+			last = r.Err
 			continue
 		}
-		if newest == nil || a.Value.Revision > newest.Revision {
-			newest = a.Value
+		if newest == nil || r.Value.Revision > newest.Revision {
+			newest = r.Value
 		}
 	}
 	if newest == nil {
@@ -325,12 +325,12 @@
 		return Progress{}, err
 	}
 	p := Progress{Total: len(results)}
-	for _, a := range results {
+	for _, r := range results {
 		switch {
-		case a.Err != nil:
-			p.Silent = append(p.Silent, a.Process.Name)
-		case a.Value.Revision < revision:
-			p.Behind = append(p.Behind, a.Process.Name)
+		case r.Err != nil:
+			p.Silent = append(p.Silent, r.Process.Name)
+		case r.Value.Revision < revision:
+			p.Behind = append(p.Behind, r.Process.Name)
 		}
 	}
 	return p, nil
--- a/pkg/opclient/usage.go
+++ b/pkg/opclient/usage.go
@@ -15,13 +15,13 @@
 	out := []admin.Usage{}
 	var last error
 	responded := false
-	for _, a := range results {
-		if a.Err != nil {
-			last = a.Err
+	for _, r := range results {
+		if r.Err != nil {
+			last = r.Err
 			continue
 		}
 		responded = true
-		out = append(out, a.Value...)
+		out = append(out, r.Value...)
 	}
 	if !responded {
 		return nil, &ErrNoProcess{Asked: len(results), Err: last}
