--- a/pkg/quarantine/digest.go
+++ b/pkg/quarantine/digest.go
@@ -1,7 +1,7 @@
-// Package quarantine finds requests that crash the runners that run them, and keeps them
-// from runners: what broke off before its first event or answer at several runners, and
-// never ended well, is refused by all gateways. It does no I/O and takes the time as an
-// argument.
+// Package quarantine detects requests that crash the runners that serve them. All gateways
+// refuse a request after attempts at it broke off at several runners and none completed since.
+// Breaks before the first event or response weigh more than later ones. The package does no I/O
+// and takes the current time as an argument.
 package quarantine
 
 import (
@@ -10,24 +10,24 @@
 	"encoding/hex"
 )
 
-// digestBytes is how much of a SHA-256 is kept: 128 bits, so that nobody finds a request
-// that has another's digest and so gets that one refused.
+// digestBytes is the length of a truncated SHA-256. 128 bits prevent a client from constructing
+// a request with the digest of another client's request, which would get that request refused.
 const digestBytes = 16
 
-// Digest tells what a request asks from what others ask: two tries of a client have the same,
-// although each has an ID of its own. Nothing of the request can be read from it.
+// Digest identifies a request by its content. Two tries of a client have the same digest
+// although their request IDs differ. The digest reveals nothing of the request.
 type Digest [digestBytes]byte
 
-// Asked is what a request asks.
+// Asked is the content that identifies a request.
 type Asked struct {
-	// Workspace is whom the request is for; empty where no key is asked for.
+	// Workspace is the workspace that sent the request; empty if the route requires no key.
 	Workspace string
-	// Method, Host and Path are without the query, which clients vary.
+	// Method, Host and Path exclude the query, because clients vary it between tries.
 	Method, Host, Path string
 	Body               []byte
 }
 
-// Digest returns the digest of what is asked.
+// Digest returns the digest of the request.
 func (a Asked) Digest() Digest {
 	h := sha256.New()
 	for _, part := range [][]byte{[]byte(a.Workspace), []byte(a.Method), []byte(a.Host), []byte(a.Path), a.Body} {
@@ -41,5 +41,5 @@
 	return d
 }
 
-// String returns the digest in hexadecimal digits.
+// String returns the digest in hexadecimal.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
--- a/pkg/quarantine/quarantine.go
+++ b/pkg/quarantine/quarantine.go
@@ -10,37 +10,41 @@
 )
 
 const (
-	// A runner at which a run broke off before its first event or answer weighs earlyWeight, one
-	// at which runs broke off later lateWeight; from enough on a request is quarantined: three
-	// runners, or five. Others run beside a request that crashes its engine as it begins, and
-	// break later: 63 did at 20 crashes, one of them twice. Five lets two more engines crash than
-	// three would, but a stream that clients resume has four runs in all its tries.
-	earlyWeight = 5
-	lateWeight  = 3
-	enough      = 15
-	// sameMoment is the time within which runs that broke count as one: a rack that loses
-	// power takes a request that many ask for at several runners at once. A crashed runner's
-	// connections end within some milliseconds; the same client's next try comes later.
-	sameMoment = 50 * time.Millisecond
-	// Hold is how long a request is kept from runners, and how long a broken run is remembered:
-	// as long as the platform's store lets a lease last.
+	// A request is quarantined once the weights of the runners at which its attempts broke off
+	// sum to quarantineWeight. A runner counts earlyWeight if an attempt broke off before its first
+	// event or response, otherwise lateWeight: three runners with early breaks suffice, or five
+	// with late breaks. A request that crashes its engine as it begins also breaks harmless streams
+	// that run beside it, after their first event: 20 crashes broke 63 such streams, one of them
+	// twice. Requiring five late breaks lets two more engines crash than requiring three would, but
+	// a stream that its client resumes makes four attempts over all its tries.
+	earlyWeight      = 5
+	lateWeight       = 3
+	quarantineWeight = 15
+	// simultaneousWindow is the time within which breaks at different runners count as one. A rack
+	// that loses power breaks a request that many clients send at several runners at once. The
+	// connections of a crashed runner close within a few milliseconds; the next try of the same
+	// client comes later.
+	simultaneousWindow = 50 * time.Millisecond
+	// Hold is the duration of a quarantine, and the time for which a break counts. It equals the
+	// longest lease that the platform's store grants.
 	Hold = 10 * time.Minute
-	// maxSuspects bounds the requests that are remembered, some 200 bytes each. A runner
-	// that crashes leaves some tens.
+	// maxSuspects limits the requests in the table, at about 200 bytes each. A runner crash adds
+	// some tens.
 	maxSuspects = 4096
-	// maxBreaks bounds the runners that are remembered of one request.
+	// maxBreaks limits the breaks, one per runner, that are kept for one request.
 	maxBreaks = 8
-	// publishAfter is how long a gateway that was told of a quarantine waits for the store to
-	// show it before it writes it there itself: the one that told may have ended. After each
-	// try it waits twice as long, up to publishRest, as in an outage of the store.
-	publishAfter = 2 * time.Second
-	publishRest  = 30 * time.Second
+	// publishDelay is the time that a gateway waits for a quarantine that it received from a peer
+	// to appear in the store. After that it writes the quarantine itself, since the peer may have
+	// stopped. The delay doubles with each attempt to write, up to maxPublishDelay, for example
+	// while the store is unavailable.
+	publishDelay    = 2 * time.Second
+	maxPublishDelay = 30 * time.Second
 )
 
-// ErrQuarantined reports that a request was refused since it crashed runners before.
+// ErrQuarantined reports that a request was refused because it crashed runners before.
 type ErrQuarantined struct {
 	Digest Digest
-	// Left is how much longer it is refused.
+	// Left is the remaining time of the quarantine.
 	Left time.Duration
 }
 
@@ -49,46 +53,49 @@
 	return fmt.Sprintf("quarantined, since it broke off at several runners: asked=%s left=%s", e.Digest, e.Left)
 }
 
-// Break says that runs of a request broke off at one runner.
+// Break records that attempts at a request broke off at one runner.
 type Break struct {
-	// Runner tells this start of a runner from all others: a runner that resets connections and
-	// goes on has not crashed, however often it does so.
+	// Runner identifies one incarnation of a runner. Breaks of the same incarnation count once:
+	// a runner that resets connections and continues to run has not crashed, however often it
+	// does so.
 	Runner uint64
-	// Early says that nothing of the answer had come, of one run at least.
+	// Early reports whether at least one attempt broke off before any part of its response arrived.
 	Early bool
-	// At is when the first of the runs broke off.
+	// At is the time at which the first attempt broke off.
 	At time.Time
 }
 
-// Report is what gateways tell each other of a request.
+// Report is the state of a request that gateways send to each other.
 type Report struct {
 	Digest Digest
 	Breaks []Break
-	// Left is how much longer it is quarantined, 0 if it is not.
+	// Left is the remaining time of the quarantine, 0 if the request is not quarantined.
 	Left time.Duration
 }
 
-// suspect is a request whose runs broke off.
+// suspect is a request that may crash runners: attempts at it broke off.
 type suspect struct {
 	breaks []Break
-	// until is when its quarantine ends; zero if it is not quarantined.
-	until time.Time
-	// aged says that until is right; what is known from the store alone may end sooner.
-	aged bool
-	// published says that the store shows it, publishAt when to write it there otherwise, and
-	// pause how long to wait after that.
-	published bool
-	publishAt time.Time
-	pause     time.Duration
-	// ended is when a run came to its end last: what broke off before was not its doing.
-	ended time.Time
+	// quarantinedUntil is the end of the latest quarantine; zero if there was none.
+	quarantinedUntil time.Time
+	// endKnown reports whether quarantinedUntil is exact. It is an upper bound for a quarantine
+	// that was only read from the store.
+	endKnown bool
+	// published reports whether the quarantine is in the store. If it is not, publishAt is the
+	// next time to write it, and publishBackoff the delay after that write.
+	published      bool
+	publishAt      time.Time
+	publishBackoff time.Duration
+	// lastSuccess is when an attempt last completed. The request did not cause earlier breaks.
+	lastSuccess time.Time
 }
 
-// Table is what one gateway knows. It is safe for concurrent use.
+// Table holds the suspects that one gateway knows of. It is safe for concurrent use.
 type Table struct {
-	// jitter spreads a time, so that gateways that were told together do not write together.
+	// jitter randomizes a delay, so that gateways that receive a report at the same time do not
+	// write to the store at the same time.
 	jitter func(time.Duration) time.Duration
-	// size is how many suspects there are, for requests that need not look further.
+	// size is the length of suspects. Empty reads it without taking the lock.
 	size     atomic.Int64
 	mu       sync.Mutex
 	suspects map[Digest]*suspect
@@ -99,52 +106,52 @@
 	return &Table{jitter: jitter, suspects: map[Digest]*suspect{}}
 }
 
-// Empty reports whether no request is suspected.
+// Empty reports whether the table has no suspects.
 func (t *Table) Empty() bool { return t.size.Load() == 0 }
 
-// Broke records a run that broke off at this gateway, and returns what other gateways should
-// know. Quarantined is set if the request is quarantined from now on.
+// Broke records an attempt of this gateway that broke off, and returns the report for the other
+// gateways. quarantined reports whether this break started a quarantine.
 func (t *Table) Broke(d Digest, b Break) (r Report, quarantined bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.suspect(d, b.At)
+	s := t.getOrAdd(d, b.At)
 	s.add(b)
-	quarantined = s.judge(b.At, b.At)
+	quarantined = s.evaluate(b.At, b.At)
 	return s.report(d, b.At), quarantined
 }
 
-// Receive takes what another gateway reported. It reports whether the request is quarantined
-// from now on.
+// Receive merges a report of another gateway. It reports whether this started a quarantine.
 func (t *Table) Receive(r Report, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.suspect(r.Digest, now)
+	s := t.getOrAdd(r.Digest, now)
 	for _, b := range r.Breaks {
 		s.add(b)
 	}
-	if r.Left > 0 && s.free(now) {
-		s.hold(now.Add(min(r.Left, Hold)), now.Add(t.jitter(publishAfter)))
+	if r.Left > 0 && s.allowed(now) {
+		s.quarantine(now.Add(min(r.Left, Hold)), now.Add(t.jitter(publishDelay)))
 		return true
 	}
-	return s.judge(now, now.Add(t.jitter(publishAfter)))
+	return s.evaluate(now, now.Add(t.jitter(publishDelay)))
 }
 
-// Published records that the store shows a quarantine. It reports whether this is news.
+// Published records that a quarantine is in the store. It reports whether the quarantine is new
+// to this gateway.
 func (t *Table) Published(d Digest, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.suspect(d, now)
-	news := s.free(now)
-	if news {
-		s.hold(now.Add(Hold), time.Time{})
-		s.aged = false
+	s := t.getOrAdd(d, now)
+	isNew := s.allowed(now)
+	if isNew {
+		s.quarantine(now.Add(Hold), time.Time{})
+		s.endKnown = false
 	}
 	s.published = true
-	return news
+	return isNew
 }
 
-// Lapsed records that the store no longer shows a quarantine. Where its end is known and not
-// there yet, the store has lost it in an outage, and it is written again.
+// Lapsed records that a quarantine is no longer in the store. If its exact end is known and has
+// not been reached, the store lost it in an outage, and it is scheduled to be written again.
 func (t *Table) Lapsed(d Digest, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -152,95 +159,95 @@
 	if s == nil || !s.published {
 		return
 	}
-	if s.published = false; !s.aged {
-		t.drop(d)
+	if s.published = false; !s.endKnown {
+		t.remove(d)
 		return
 	}
-	s.publishAt = now.Add(t.jitter(publishAfter))
+	s.publishAt = now.Add(t.jitter(publishDelay))
 }
 
-// Republish schedules all quarantines to be written to the store again.
+// Republish schedules all published quarantines to be written to the store again.
 func (t *Table) Republish(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, s := range t.suspects {
 		if s.published {
-			s.published, s.publishAt, s.pause = false, now.Add(t.jitter(publishAfter)), publishAfter
+			s.published, s.publishAt, s.publishBackoff = false, now.Add(t.jitter(publishDelay)), publishDelay
 		}
 	}
 }
 
-// Check returns *ErrQuarantined if a request is quarantined.
+// Check returns *ErrQuarantined if the request is quarantined.
 func (t *Table) Check(d Digest, now time.Time) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.suspects[d]
-	if s == nil || s.free(now) {
+	if s == nil || s.allowed(now) {
 		return nil
 	}
-	return &ErrQuarantined{Digest: d, Left: s.until.Sub(now)}
+	return &ErrQuarantined{Digest: d, Left: s.quarantinedUntil.Sub(now)}
 }
 
-// EndedWell records that a run of a request came to its end: what broke off before was not
-// its doing. A request that is quarantined stays so.
+// EndedWell records that an attempt at a request completed. The request did not cause earlier
+// breaks, so they are discarded. A request that is already quarantined remains quarantined.
 func (t *Table) EndedWell(d Digest, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if s := t.suspects[d]; s != nil && s.free(now) {
-		s.breaks, s.ended = nil, now
+	if s := t.suspects[d]; s != nil && s.allowed(now) {
+		s.breaks, s.lastSuccess = nil, now
 	}
 }
 
-// Unpublished returns the quarantines that are to be written to the store now, with the time
-// that each has left. They are returned again after a while if the store does not show them.
+// Unpublished returns the quarantines that are due to be written to the store, each with its
+// remaining time. A quarantine is returned again after a backoff until Published is called for it.
 func (t *Table) Unpublished(now time.Time) []Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []Report
 	for d, s := range t.suspects {
-		if s.free(now) || s.published || now.Before(s.publishAt) {
+		if s.allowed(now) || s.published || now.Before(s.publishAt) {
 			continue
 		}
-		s.publishAt = now.Add(t.jitter(s.pause))
-		s.pause = min(2*s.pause, publishRest)
-		out = append(out, Report{Digest: d, Left: s.until.Sub(now)})
+		s.publishAt = now.Add(t.jitter(s.publishBackoff))
+		s.publishBackoff = min(2*s.publishBackoff, maxPublishDelay)
+		out = append(out, Report{Digest: d, Left: s.quarantinedUntil.Sub(now)})
 	}
 	return out
 }
 
-// Sweep forgets what is too old to matter.
+// Sweep removes breaks and suspects that are older than Hold.
 func (t *Table) Sweep(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for d, s := range t.suspects {
-		if s.prune(now); s.free(now) && len(s.breaks) == 0 && now.Sub(s.ended) > Hold {
-			t.drop(d)
+		if s.prune(now); s.allowed(now) && len(s.breaks) == 0 && now.Sub(s.lastSuccess) > Hold {
+			t.remove(d)
 		}
 	}
 }
 
-// Held returns how many requests are quarantined.
+// Held returns the number of quarantined requests.
 func (t *Table) Held(now time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
 	for _, s := range t.suspects {
-		if !s.free(now) {
+		if !s.allowed(now) {
 			n++
 		}
 	}
 	return n
 }
 
-// suspect returns what is known of a request, and makes room for it. The caller holds the
-// lock.
-func (t *Table) suspect(d Digest, now time.Time) *suspect {
+// getOrAdd returns the suspect with this digest. It adds one if there is none, and evicts another
+// if the table is full. The caller holds the lock.
+func (t *Table) getOrAdd(d Digest, now time.Time) *suspect {
 	if s := t.suspects[d]; s != nil {
 		s.prune(now)
 		return s
 	}
 	if len(t.suspects) >= maxSuspects {
-		t.evict(now)
+		t.evictOne(now)
 	}
 	s := &suspect{}
 	t.suspects[d] = s
@@ -248,52 +255,53 @@
 	return s
 }
 
-// evict forgets one request, any of those that are not quarantined if there is one: of the
-// others the store knows. The caller holds the lock.
-func (t *Table) evict(now time.Time) {
-	var last Digest
+// evictOne removes one suspect, if possible one that is not quarantined, since quarantines are
+// also in the store. The caller holds the lock.
+func (t *Table) evictOne(now time.Time) {
+	var victim Digest
 	for d, s := range t.suspects {
-		if last = d; s.free(now) {
+		if victim = d; s.allowed(now) {
 			break
 		}
 	}
-	t.drop(last)
+	t.remove(victim)
 }
 
-// drop forgets a request. The caller holds the lock.
-func (t *Table) drop(d Digest) {
+// remove deletes a suspect. The caller holds the lock.
+func (t *Table) remove(d Digest) {
 	delete(t.suspects, d)
 	t.size.Store(int64(len(t.suspects)))
 }
 
-// free reports whether the request is not quarantined.
-func (s *suspect) free(now time.Time) bool { return !now.Before(s.until) }
+// allowed reports whether the request is not quarantined.
+func (s *suspect) allowed(now time.Time) bool { return !now.Before(s.quarantinedUntil) }
 
-// hold quarantines the request.
-func (s *suspect) hold(until, publishAt time.Time) {
-	s.until, s.aged, s.published, s.publishAt, s.pause = until, true, false, publishAt, publishAfter
+// quarantine starts a quarantine and schedules its first write to the store.
+func (s *suspect) quarantine(until, publishAt time.Time) {
+	s.quarantinedUntil, s.endKnown, s.published, s.publishAt, s.publishBackoff = until, true, false, publishAt, publishDelay
 }
 
-// judge quarantines the request if its runs broke off at enough runners, and reports whether it did.
-func (s *suspect) judge(now, publishAt time.Time) bool {
-	if !s.free(now) || s.weight() < enough {
+// evaluate quarantines the request if its breaks weigh enough, and reports whether it did.
+func (s *suspect) evaluate(now, publishAt time.Time) bool {
+	if !s.allowed(now) || s.weight() < quarantineWeight {
 		return false
 	}
-	s.hold(now.Add(Hold), publishAt)
+	s.quarantine(now.Add(Hold), publishAt)
 	return true
 }
 
-// weight sums the runners; those of one moment count as one, the heaviest of them.
+// weight sums the weights of the breaks. Those within one simultaneousWindow count as one, with
+// the largest of their weights.
 func (s *suspect) weight() int {
 	sum, heaviest := 0, 0
-	var moment time.Time
+	var windowStart time.Time
 	for _, b := range s.breaks {
 		w := lateWeight
 		if b.Early {
 			w = earlyWeight
 		}
-		if heaviest == 0 || b.At.Sub(moment) > sameMoment {
-			moment, heaviest = b.At, 0
+		if heaviest == 0 || b.At.Sub(windowStart) > simultaneousWindow {
+			windowStart, heaviest = b.At, 0
 		}
 		if w > heaviest {
 			sum += w - heaviest
@@ -303,16 +311,17 @@
 	return sum
 }
 
-// add records that runs broke off at a runner, in the order of time.
+// add inserts a break in order of time. It merges breaks of the same runner, and ignores a break
+// from before the last completed attempt.
 func (s *suspect) add(b Break) {
-	if !b.At.After(s.ended) {
+	if !b.At.After(s.lastSuccess) {
 		return
 	}
-	if i := slices.IndexFunc(s.breaks, func(known Break) bool { return known.Runner == b.Runner }); i >= 0 {
-		known := s.breaks[i]
-		b.Early = b.Early || known.Early
-		if known.At.Before(b.At) {
-			b.At = known.At
+	if i := slices.IndexFunc(s.breaks, func(existing Break) bool { return existing.Runner == b.Runner }); i >= 0 {
+		existing := s.breaks[i]
+		b.Early = b.Early || existing.Early
+		if existing.At.Before(b.At) {
+			b.At = existing.At
 		}
 		s.breaks = slices.Delete(s.breaks, i, i+1)
 	}
@@ -325,18 +334,18 @@
 	}
 }
 
-// prune forgets broken runs that are too old.
+// prune removes breaks that are older than Hold.
 func (s *suspect) prune(now time.Time) {
 	for len(s.breaks) > 0 && now.Sub(s.breaks[0].At) > Hold {
 		s.breaks = s.breaks[1:]
 	}
 }
 
-// report returns what other gateways should know.
+// report returns the state of the request for other gateways.
 func (s *suspect) report(d Digest, now time.Time) Report {
 	r := Report{Digest: d, Breaks: append([]Break(nil), s.breaks...)}
-	if !s.free(now) {
-		r.Left = s.until.Sub(now)
+	if !s.allowed(now) {
+		r.Left = s.quarantinedUntil.Sub(now)
 	}
 	return r
 }
