--- a/pkg/delta/delta.go
+++ b/pkg/delta/delta.go
@@ -1,7 +1,7 @@
-// Package delta describes a value by how it differs from an earlier one, so that a small change of a
-// large document takes few bytes, whatever the document's size. It knows nothing of what the bytes
-// mean: both values are cut into pieces where their content says so, and pieces that the earlier one
-// has too are named by their place there.
+// Package delta encodes a value as its difference from an earlier one, so that a small change of a
+// large document takes few bytes, whatever the document's size. It works on any bytes: both values
+// are split into content-defined chunks, and chunks that the earlier value also has are encoded as
+// references to their offset there.
 package delta
 
 import (
@@ -13,132 +13,134 @@
 )
 
 const (
-	// leastPiece and mostPiece bound the pieces, in bytes; cutMask makes them some 100 bytes on
-	// average: about one entry of a list. A change costs the pieces that it touches, and each
-	// run of pieces that are the same up to 6 bytes.
-	leastPiece = 32
-	mostPiece  = 1024
-	cutMask    = 1<<6 - 1
-	// maxValue bounds what Apply makes, in bytes, whatever a description says.
-	maxValue = 8 << 20
-	// sumBytes is what the checksum of the value takes at a description's end.
-	sumBytes = 8
+	// minChunk and maxChunk bound the length of a chunk, in bytes. boundaryMask sets the average to
+	// about 100 bytes, which is about one entry of a list. A delta takes the bytes of the changed
+	// chunks, and up to 6 bytes for each run of unchanged ones.
+	minChunk     = 32
+	maxChunk     = 1024
+	boundaryMask = 1<<6 - 1
+	// maxOutput limits the value that Apply returns, in bytes, for any delta.
+	maxOutput = 8 << 20
+	// checksumBytes is the length of the value's checksum, which ends each delta.
+	checksumBytes = 8
 )
 
-// ErrDelta reports that a description does not fit the earlier value, or can't be read.
+// ErrDelta reports that a delta is malformed or does not fit the earlier value.
 type ErrDelta struct {
 	Why string
-	// At is the place in the description.
+	// At is the offset in the delta at which the error was found.
 	At int
 }
 
 // Error implements error.
 func (e *ErrDelta) Error() string { return fmt.Sprintf("bad delta: why=%q at=%d", e.Why, e.At) }
 
-// cut returns the length of the first piece of a value. It ends where the sum of its last bytes says
-// so, which the same bytes do everywhere.
-func cut(value []byte) int {
-	var sum uint32
-	for i, b := range value[:min(len(value), mostPiece)] {
-		sum = sum<<1 + uint32(b)*2654435761
-		if i+1 >= leastPiece && sum>>16&cutMask == 0 {
+// chunkLength returns the length of the first chunk of a value. A rolling hash of the last bytes sets
+// the end of a chunk, so that equal bytes are split in the same way at any offset.
+func chunkLength(value []byte) int {
+	var hash uint32
+	for i, b := range value[:min(len(value), maxChunk)] {
+		hash = hash<<1 + uint32(b)*2654435761
+		if i+1 >= minChunk && hash>>16&boundaryMask == 0 {
 			return i + 1
 		}
 	}
-	return min(len(value), mostPiece)
+	return min(len(value), maxChunk)
 }
 
-// Encode describes a value by an earlier one.
+// Encode returns the delta that makes after from before.
 func Encode(before, after []byte) []byte {
-	places := map[uint64]int{}
+	offsets := map[uint64]int{}
 	for at := 0; at < len(before); {
-		n := cut(before[at:])
-		places[xxhash.Sum64(before[at:at+n])] = at
+		n := chunkLength(before[at:])
+		offsets[xxhash.Sum64(before[at:at+n])] = at
 		at += n
 	}
 	e := encoder{}
 	for at := 0; at < len(after); {
-		piece := after[at : at+cut(after[at:])]
-		at += len(piece)
-		if next := e.from + e.n; e.n > 0 && len(e.literal) == 0 && bytes.HasPrefix(before[next:], piece) {
-			e.copy(next, len(piece))
+		chunk := after[at : at+chunkLength(after[at:])]
+		at += len(chunk)
+		if next := e.copyFrom + e.copyLength; e.copyLength > 0 && len(e.literal) == 0 && bytes.HasPrefix(before[next:], chunk) {
+			e.copy(next, len(chunk))
 			continue
 		}
-		from, known := places[xxhash.Sum64(piece)]
-		if known && bytes.HasPrefix(before[from:], piece) {
-			e.copy(from, len(piece))
+		from, known := offsets[xxhash.Sum64(chunk)]
+		if known && bytes.HasPrefix(before[from:], chunk) {
+			e.copy(from, len(chunk))
 		} else {
-			e.literal = append(e.literal, piece...)
+			e.literal = append(e.literal, chunk...)
 		}
 	}
 	e.flush()
 	return binary.BigEndian.AppendUint64(e.out, xxhash.Sum64(after))
 }
 
-// encoder joins what follows each other. Each entry of a description is a number: of bytes that
-// follow, times two, or of bytes of the earlier value, times two and one, and their place there.
+// encoder builds a delta, and merges adjacent operations of the same kind. An operation begins with
+// the uvarint n*2 or n*2+1. The first is followed by n literal bytes. The second copies n bytes of the
+// earlier value and is followed by the uvarint of their offset there.
 type encoder struct {
-	out, literal []byte
-	from, n      int
+	out, literal         []byte
+	copyFrom, copyLength int
 }
 
 func (e *encoder) copy(from, n int) {
-	if len(e.literal) == 0 && e.n > 0 && e.from+e.n == from {
-		e.n += n
+	if len(e.literal) == 0 && e.copyLength > 0 && e.copyFrom+e.copyLength == from {
+		e.copyLength += n
 		return
 	}
 	e.flush()
-	e.from, e.n = from, n
+	e.copyFrom, e.copyLength = from, n
 }
 
-// flush writes what was joined: a copy goes before the bytes that came after it.
+// flush writes the pending copy and then the pending literal, which follows it in the value.
 func (e *encoder) flush() {
-	if e.n > 0 {
-		e.out = binary.AppendUvarint(e.out, uint64(e.n)<<1|1)
-		e.out = binary.AppendUvarint(e.out, uint64(e.from))
+	if e.copyLength > 0 {
+		e.out = binary.AppendUvarint(e.out, uint64(e.copyLength)<<1|1)
+		e.out = binary.AppendUvarint(e.out, uint64(e.copyFrom))
 	}
 	if len(e.literal) > 0 {
 		e.out = binary.AppendUvarint(e.out, uint64(len(e.literal))<<1)
 		e.out = append(e.out, e.literal...)
 	}
-	e.n, e.literal = 0, e.literal[:0]
+	e.copyLength, e.literal = 0, e.literal[:0]
 }
 
-// Apply makes a value from an earlier one and a description. It fails with *ErrDelta, also where the
-// earlier value is not the one that was described.
-func Apply(before, description []byte) ([]byte, error) {
-	if len(description) < sumBytes {
-		return nil, &ErrDelta{Why: "no checksum"}
+// Apply returns the value that a delta makes from an earlier value. It fails with *ErrDelta if the
+// delta is malformed, or if the result differs from the encoded value because before is not the value
+// that the delta was encoded for.
+func Apply(before, delta []byte) ([]byte, error) {
+	if len(delta) < checksumBytes {
+		return nil, &ErrDelta{Why: "checksum is missing"}
 	}
-	rest := description[:len(description)-sumBytes]
+	rest := delta[:len(delta)-checksumBytes]
 	end := len(rest)
 	var out []byte
 	for len(rest) > 0 {
 		at := end - len(rest)
-		head, size := binary.Uvarint(rest)
-		if size <= 0 || head>>1 > maxValue || len(out)+int(head>>1) > maxValue {
-			return nil, &ErrDelta{Why: "bad length", At: at}
+		opHeader, size := binary.Uvarint(rest)
+		if size <= 0 || opHeader>>1 > maxOutput || len(out)+int(opHeader>>1) > maxOutput {
+			return nil, &ErrDelta{Why: "invalid length", At: at}
 		}
 		rest = rest[size:]
-		n := int(head >> 1)
-		from := rest
-		if head&1 == 1 {
-			place, size := binary.Uvarint(rest)
-			if size <= 0 || place > uint64(len(before)) {
-				return nil, &ErrDelta{Why: "bad place", At: at}
+		n := int(opHeader >> 1)
+		source := rest
+		if opHeader&1 == 1 {
+			offset, size := binary.Uvarint(rest)
+			if size <= 0 || offset > uint64(len(before)) {
+				return nil, &ErrDelta{Why: "invalid offset", At: at}
 			}
-			rest, from = rest[size:], before[place:]
+			rest, source = rest[size:], before[offset:]
 		}
-		if n > len(from) {
-			return nil, &ErrDelta{Why: "beyond the end", At: at}
+		if n > len(source) {
+			return nil, &ErrDelta{Why: "length is beyond the end of the source", At: at}
 		}
-		out = append(out, from[:n]...)
-		if head&1 == 0 {
+		out = append(out, source[:n]...)
+		if opHeader&1 == 0 {
 			rest = rest[n:]
 		}
 	}
-	if xxhash.Sum64(out) != binary.BigEndian.Uint64(description[end:]) {
-		return nil, &ErrDelta{Why: "made from another value", At: end}
+	if xxhash.Sum64(out) != binary.BigEndian.Uint64(delta[end:]) {
+		return nil, &ErrDelta{Why: "result does not match the checksum", At: end}
 	}
 	return out, nil
 }
--- a/pkg/delta/delta_test.go
+++ b/pkg/delta/delta_test.go
@@ -10,7 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// document is a configuration of a number of routes, as operators write it.
+// document returns a configuration as operators write it, with the given number of routes. timeout is
+// the timeout of the middle route.
 func document(version, routes, timeout int) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, `{"version":%d,"routes":[`, version)
@@ -25,9 +26,9 @@
 	return []byte(b.String())
 }
 
-// Guards against a change of a large configuration that doesn't fit a datagram, so that each gateway reads
-// it from the store.
-func TestAChangeOfALargeDocumentIsSmall(t *testing.T) {
+// Guards against a delta of a large configuration that doesn't fit a datagram, after which each gateway
+// would read the configuration from the store.
+func TestSmallChangeOfLargeDocumentHasSmallDelta(t *testing.T) {
 	for _, routes := range []int{60, 259, 518, 5000} {
 		g := NewWithT(t)
 		before, after := document(3, routes, 14000), document(8, routes, 4000)
@@ -37,7 +38,7 @@
 	}
 }
 
-func TestAnyValueIsMadeFromAnyOther(t *testing.T) {
+func TestApplyRestoresEncodedValue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		before := rapid.SliceOfN(rapid.Byte(), 0, 3000).Draw(t, "before")
 		parts := rapid.SliceOfN(rapid.SliceOfN(rapid.Byte(), 0, 200), 0, 5).Draw(t, "parts")
@@ -47,20 +48,20 @@
 			to := rapid.IntRange(from, len(before)).Draw(t, "to")
 			after = append(append(after, before[from:to]...), p...)
 		}
-		made, err := Apply(before, Encode(before, after))
-		if err != nil || !bytes.Equal(made, after) {
-			t.Fatalf("made %d bytes of %d: %v", len(made), len(after), err)
+		got, err := Apply(before, Encode(before, after))
+		if err != nil || !bytes.Equal(got, after) {
+			t.Fatalf("got %d bytes, want %d bytes: %v", len(got), len(after), err)
 		}
 	})
 }
 
-func TestADescriptionOfAnotherValueIsRefused(t *testing.T) {
+func TestApplyRejectsWrongBaseAndTruncatedDelta(t *testing.T) {
 	g := NewWithT(t)
 	before, after := document(3, 60, 14000), document(8, 60, 4000)
 	d := Encode(before, after)
-	for _, other := range [][]byte{nil, document(4, 60, 14000), document(3, 30, 14000)} {
-		if made, err := Apply(other, d); err == nil {
-			g.Expect(made).To(Equal(after), "what differs is not used")
+	for _, base := range [][]byte{nil, document(4, 60, 14000), document(3, 30, 14000)} {
+		if got, err := Apply(base, d); err == nil {
+			g.Expect(got).To(Equal(after), "a wrong base produced a different value")
 		} else {
 			g.Expect(err).To(BeAssignableToTypeOf(&ErrDelta{}))
 		}
@@ -78,10 +79,10 @@
 	f.Add(before, Encode(before, after))
 	f.Add([]byte("abc"), []byte{7, 0, 1, 2, 3, 4, 5, 6, 7, 8})
 	f.Add([]byte{}, Encode(nil, after))
-	f.Fuzz(func(t *testing.T, before, description []byte) {
-		made, err := Apply(before, description)
-		if err == nil && len(made) > maxValue {
-			t.Fatalf("made %d bytes", len(made))
+	f.Fuzz(func(t *testing.T, before, delta []byte) {
+		got, err := Apply(before, delta)
+		if err == nil && len(got) > maxOutput {
+			t.Fatalf("got %d bytes", len(got))
 		}
 	})
 }
--- a/pkg/routetable/routetable.go
+++ b/pkg/routetable/routetable.go
@@ -1,5 +1,5 @@
-// Package routetable holds the operators' routes: which requests, told apart by
-// host and path, go to which service, for how long and how often.
+// Package routetable matches requests to the operators' routes by host and path. A
+// route selects the service of a request and limits its time and its attempts.
 package routetable
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/hopwell/hopwell/pkg/workspace"
 )
 
-// Kind says what may be repeated.
+// Kind classifies a route's requests by whether they may be repeated.
 type Kind string
 
 // The kinds of routes.
@@ -20,39 +20,40 @@
 	Safe Kind = "safe"
 	// Unsafe requests run at most once.
 	Unsafe Kind = "unsafe"
-	// Stream requests are answered with a series of events. They count as
-	// unsafe unless their route is Resumable.
+	// Stream requests receive a stream of events as their response. They are treated
+	// as unsafe unless their route is Resumable.
 	Stream Kind = "stream"
 )
 
-// Target is one service of a route with its share.
+// Target is one service of a route. It receives a share of the route's requests in
+// proportion to its weight.
 type Target struct {
 	Service string
 	Weight  int
 }
 
-// Route is one route.
+// Route is the rule for the requests of one host and path prefix.
 type Route struct {
 	Name string
-	// Host and PathPrefix pick the requests; the longest prefix wins.
+	// Host and PathPrefix select the requests; the longest matching prefix wins.
 	Host, PathPrefix string
 	Kind             Kind
-	// Timeout is the longest that a request is held.
+	// Timeout limits the time that a request may take in all; 0 for no limit.
 	Timeout time.Duration
-	// Latency is the time within which an answer, or a stream's first event,
-	// is good; Gap is the longest pause in a good stream.
+	// Latency is the target time until the response, or a stream's first event. Gap is
+	// the target for the longest gap between two events of a stream.
 	Latency, Gap time.Duration
-	// Priority ranks routes; 0 is the most urgent.
+	// Priority ranks the routes' requests; 0 is the most urgent.
 	Priority int
 	// Targets are the services that share the route's requests.
 	Targets []Target
-	// MaxAttempts bounds the runners that may run one request.
+	// MaxAttempts limits the attempts at one request, each at a runner.
 	MaxAttempts int
-	// Resumable streams may go on at another runner.
+	// Resumable streams that break off may be resumed at another runner.
 	Resumable bool
-	// Public routes ask for no key.
+	// Public routes require no API key.
 	Public bool
-	// Regions are those in which the route's requests may be served; empty for all.
+	// Regions are the regions in which the route's requests may be served; empty for all.
 	Regions []string
 }
 
@@ -61,69 +62,72 @@
 	return r.Kind == Safe || r.Kind == Stream && r.Resumable
 }
 
-// Pick returns the service for a request whose draw is between 0 and 1.
+// Pick returns the service for a request. draw is a random number in [0, 1), which
+// selects a target by weight.
 func (r *Route) Pick(draw float64) string {
 	total := 0
 	for _, t := range r.Targets {
 		total += t.Weight
 	}
-	left := draw * float64(total)
+	rest := draw * float64(total)
 	for _, t := range r.Targets {
-		if left -= float64(t.Weight); left < 0 {
+		if rest -= float64(t.Weight); rest < 0 {
 			return t.Service
 		}
 	}
 	return r.Targets[len(r.Targets)-1].Service
 }
 
-// Engine is what a service of model engines says of them.
+// Engine holds the properties that all engines of a service share.
 type Engine struct {
-	// Slots is the number of requests in a batch.
+	// Slots is the number of requests that one engine runs in a batch.
 	Slots int
-	// Memory is what one engine's KV cache holds, in tokens.
+	// Memory is the capacity of one engine's KV cache, in tokens.
 	Memory int
-	// HandleFor is how long a prompt's KV cache is kept for a decode.
+	// HandleFor is how long a prefill engine keeps a prompt's KV cache for the decode
+	// engine to fetch.
 	HandleFor time.Duration
-	// HoldFor bounds a hold.
+	// HoldFor is the longest time that an engine keeps a hold.
 	HoldFor time.Duration
-	// Restage is how long a change of stage takes.
+	// Restage is how long a stage change takes.
 	Restage time.Duration
-	// TokensPerEvent is how many tokens one event of a stream holds at most.
+	// TokensPerEvent is the largest number of tokens in one event of a stream.
 	TokensPerEvent int
 }
 
-// Service is a group of like runners.
+// Service is a group of interchangeable runners.
 type Service struct {
 	Name string
-	// MaxConnections is what one runner takes from all callers together.
+	// MaxConnections limits the connections to one runner from all gateways together;
+	// 0 for no limit.
 	MaxConnections int
-	// ColdPerSecond is how many requests a second a runner bears that has just started, from all
-	// callers together; 0 for any number.
+	// ColdPerSecond limits the requests per second to one cold runner from all gateways together;
+	// 0 for no limit.
 	ColdPerSecond float64
-	// Engine is nil for a plain service.
+	// Engine is nil for a service of plain runners.
 	Engine *Engine
 }
 
-// Limits bounds what clients may send.
+// Limits restricts the requests and connections of clients.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
-	// HeaderTime is how long a request's head may take, IdleTime how long a
-	// connection may rest.
+	// HeaderTime limits the time to receive a request's header, IdleTime the time
+	// that a connection may be idle between requests.
 	HeaderTime, IdleTime time.Duration
 }
 
-// Config is one version of all routes and services.
+// Config is one version of the configuration: all routes, services, limits and workspaces.
 type Config struct {
 	Version  uint64
 	Routes   []Route
 	Services map[string]Service
 	Limits   Limits
-	// Workspaces share the system; with none, nobody is asked for a key.
+	// Workspaces are the tenants of the system. If there are none, no route requires an API key.
 	Workspaces []workspace.Workspace
 }
 
-// ErrRoute reports what is wrong with a route.
+// ErrRoute reports an invalid field of a route.
 type ErrRoute struct {
 	Route, Field, Expected string
 }
@@ -133,15 +137,15 @@
 	return fmt.Sprintf("bad route: route=%s field=%s expected=%q", e.Route, e.Field, e.Expected)
 }
 
-// Table finds the route of a request. It does not change.
+// Table finds the route of a request. It is immutable.
 type Table struct {
 	Config Config
-	// Workspaces finds the workspace of a key; nil where nobody is asked for one.
+	// Workspaces finds the workspace of an API key; nil if no route requires a key.
 	Workspaces *workspace.Directory
 	hosts      map[string][]*Route
 }
 
-// New checks a configuration and makes its table. It fails with *ErrRoute or
+// New validates a configuration and returns its table. It fails with *ErrRoute or
 // *workspace.ErrWorkspace.
 func New(c Config) (*Table, error) {
 	t := &Table{Config: c, hosts: map[string][]*Route{}}
@@ -159,8 +163,8 @@
 		host := strings.ToLower(r.Host)
 		t.hosts[host] = append(t.hosts[host], r)
 	}
-	for _, list := range t.hosts {
-		sort.SliceStable(list, func(i, j int) bool { return len(list[i].PathPrefix) > len(list[j].PathPrefix) })
+	for _, routes := range t.hosts {
+		sort.SliceStable(routes, func(i, j int) bool { return len(routes[i].PathPrefix) > len(routes[j].PathPrefix) })
 	}
 	return t, nil
 }
@@ -189,8 +193,8 @@
 	return nil
 }
 
-// LongestTimeout returns the longest time that a route to a service lets a request
-// take, 0 if no route bounds it.
+// LongestTimeout returns the longest timeout of the routes to a service, 0 if none of
+// them has a timeout.
 func (t *Table) LongestTimeout(service string) time.Duration {
 	longest := time.Duration(0)
 	for i := range t.Config.Routes {
@@ -204,7 +208,7 @@
 	return longest
 }
 
-// Match returns the route of a host and path, nil for none.
+// Match returns the route for a host and path, or nil if there is none.
 func (t *Table) Match(host, path string) *Route {
 	if h, _, ok := strings.Cut(host, ":"); ok {
 		host = h
