--- a/pkg/httpd/callers.go
+++ b/pkg/httpd/callers.go
@@ -9,59 +9,61 @@
 )
 
 const (
-	// headerTime is how long a caller may take to send a request's header.
-	headerTime = 10 * time.Second
-	// stallTime is how long a caller may leave an answer unread before its
-	// connection is closed.
-	stallTime = 10 * time.Second
-	// maxDiscard bounds what is read of a body that is too large, so that the
-	// caller reads the answer before the connection ends, in bytes.
+	// headerTimeout limits the time in which a client sends a request's header.
+	headerTimeout = 10 * time.Second
+	// stallTimeout is the time without progress in reading a response after which
+	// the client's connection is closed.
+	stallTimeout = 10 * time.Second
+	// maxDiscard limits what is read and discarded of a request body that the handler
+	// did not read, in bytes. Discarding it lets the client read the response before
+	// the connection closes.
 	maxDiscard = 64 << 20
-	// discardTime bounds the time for that.
-	discardTime = 5 * time.Second
+	// discardTimeout limits the time to discard a body.
+	discardTimeout = 5 * time.Second
 )
 
-// ListenCallers serves a handler with net/http, the nearest kin of nbhttp. nbhttp
-// reads a body whole before its handler runs, and closes the connection of one that
-// is too large: its caller gets a reset in place of an answer. Here the handler
-// decides, and what it left of the body is read up to a bound after its answer.
+// ListenCallers serves clients with net/http, the closest equivalent of nbhttp. nbhttp
+// reads the whole body before it calls the handler, and closes the connection if the body
+// is too large, so that the client gets a reset instead of a response. With net/http the
+// handler decides how much to read, and the rest of the body is discarded after the
+// response, up to maxDiscard.
 func ListenCallers(address string, h http.Handler) (*Server, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, &ErrListen{Address: address, Err: err}
 	}
-	answer := func(w http.ResponseWriter, r *http.Request) {
-		body := &trackedBody{ReadCloser: r.Body, ended: r.Body == http.NoBody}
+	handle := func(w http.ResponseWriter, r *http.Request) {
+		body := &trackedBody{ReadCloser: r.Body, sawEOF: r.Body == http.NoBody}
 		r.Body = body
-		h.ServeHTTP(NewStallWriter(w, stallTime), r)
-		if !body.ended {
+		h.ServeHTTP(NewStallWriter(w, stallTimeout), r)
+		if !body.sawEOF {
 			DiscardBody(w, body)
 		}
 	}
-	server := &http.Server{Handler: http.HandlerFunc(answer), ReadHeaderTimeout: headerTime, IdleTimeout: keepalive}
+	server := &http.Server{Handler: http.HandlerFunc(handle), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 	go func() { _ = server.Serve(l) }()
 	return &Server{listener: l, stop: func() { _ = server.Close() }}, nil
 }
 
-// DiscardBody sends the answer on its way and reads what is left of the request's body.
-// Without it the connection would end with data unread, which resets it before the
-// caller has read the answer.
+// DiscardBody flushes the response and then reads and discards the rest of the request's
+// body. Otherwise the connection would be closed with unread data, which resets it before
+// the client has read the response.
 func DiscardBody(w http.ResponseWriter, body io.Reader) {
 	control := http.NewResponseController(w)
 	_ = control.Flush()
-	_ = control.SetReadDeadline(time.Now().Add(discardTime))
+	_ = control.SetReadDeadline(time.Now().Add(discardTimeout))
 	_, _ = io.Copy(io.Discard, io.LimitReader(body, maxDiscard))
 }
 
-// trackedBody notes when a body has been read to its end.
+// trackedBody records whether a body has been read to its end.
 type trackedBody struct {
 	io.ReadCloser
-	ended bool
+	sawEOF bool
 }
 
 // Read implements io.Reader.
 func (b *trackedBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
-	b.ended = b.ended || errors.Is(err, io.EOF)
+	b.sawEOF = b.sawEOF || errors.Is(err, io.EOF)
 	return n, err
 }
--- a/pkg/httpd/callers_test.go
+++ b/pkg/httpd/callers_test.go
@@ -10,7 +10,7 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("a server for callers", func() {
+var _ = Describe("a server for clients", func() {
 	serve := func(h http.HandlerFunc) string {
 		s, err := ListenCallers("127.0.0.1:0", h)
 		Expect(err).NotTo(HaveOccurred())
@@ -18,7 +18,7 @@
 		return "http://" + s.Addr()
 	}
 
-	It("lets the caller of a large body read an answer given before its end", func() {
+	It("lets a client that sends a large body read a response sent before the end of the body", func() {
 		url := serve(func(w http.ResponseWriter, r *http.Request) {
 			_, _ = io.ReadFull(r.Body, make([]byte, 1))
 			w.WriteHeader(http.StatusRequestEntityTooLarge)
@@ -31,7 +31,7 @@
 		}
 	})
 
-	It("gives short answers a length, and keeps their connection", func() {
+	It("sends short responses with a length and keeps the connection open", func() {
 		addresses := map[string]bool{}
 		url := serve(func(w http.ResponseWriter, r *http.Request) {
 			addresses[r.RemoteAddr] = true
--- a/pkg/httpd/httpd.go
+++ b/pkg/httpd/httpd.go
@@ -1,13 +1,13 @@
-// Package httpd serves HTTP: with nbio's nbhttp, and with net/http where callers
+// Package httpd serves HTTP: with nbio's nbhttp, or with net/http for clients that
 // send bodies of any size (ListenCallers).
 //
-// Beyond nbhttp it ends the context of a request as soon as its caller's
-// connection closes.
-// nbhttp tells a handler of a closed connection only after the handler has
-// returned, since it queues the notice behind it. A caller that waits for its
-// first token sends and gets nothing, so write errors don't show its leaving
-// either. The server therefore looks at the connections of all running
-// requests every sweepEvery; docs/DESIGN.md gives the ways that were weighed.
+// In addition to what nbhttp does, it cancels the context of a request as soon as its
+// client's connection closes. nbhttp reports a closed connection only after the handler
+// has returned, because it queues the report behind the handler. Write errors don't
+// reveal a disconnect either while a client waits for its first token, since no data is
+// sent in either direction. The server therefore checks the connections of all running
+// requests every sweepInterval; docs/DESIGN.md lists the alternatives that were
+// considered.
 package httpd
 
 import (
@@ -25,18 +25,18 @@
 )
 
 const (
-	// sweepEvery is the time between two looks at the connections.
-	sweepEvery = 25 * time.Millisecond
-	// keepalive is how long a connection may take to send its next request.
-	keepalive = 75 * time.Second
-	// maxWriteBuffer is how much may wait for a caller that does not read; its
-	// connection is closed above that.
+	// sweepInterval is the time between two checks of the connections.
+	sweepInterval = 25 * time.Millisecond
+	// idleTimeout limits the time that a connection may wait for its next request.
+	idleTimeout = 75 * time.Second
+	// maxWriteBuffer limits the data buffered for a client that does not read, in
+	// bytes per connection. Above it the connection is closed.
 	maxWriteBuffer = 4 << 20
-	// maxHandlers bounds the requests that run at once.
+	// maxHandlers limits the requests that a server handles concurrently.
 	maxHandlers = 16384
 )
 
-// ErrListen reports that an address can't be served.
+// ErrListen reports that the server can't listen on an address.
 type ErrListen struct {
 	Address string
 	Err     error
@@ -57,40 +57,40 @@
 	stop     func()
 }
 
-// Addr returns the address that is served.
+// Addr returns the address on which the server listens.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Close stops serving. Running requests are cut off.
+// Close stops the server and aborts running requests.
 func (s *Server) Close() { s.once.Do(s.stop) }
 
-// sweeper ends the contexts of requests whose connection has closed.
+// sweeper cancels the contexts of requests whose connections have closed.
 type sweeper struct {
 	mu       sync.Mutex
-	open     map[*nbio.Conn]context.CancelFunc
+	cancels  map[*nbio.Conn]context.CancelFunc
 	sweeping bool
 }
 
-// Listen serves a handler on an address. Bodies above maxBody bytes end their
-// connection; handlers answer smaller limits by themselves.
+// Listen serves a handler on an address. A request body above maxBody bytes closes its
+// connection; handlers enforce smaller limits themselves.
 func Listen(address string, h http.Handler, maxBody int) (*Server, error) {
 	logs.AdoptLibrary()
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, &ErrListen{Address: address, Err: err}
 	}
-	s := &sweeper{open: map[*nbio.Conn]context.CancelFunc{}}
+	s := &sweeper{cancels: map[*nbio.Conn]context.CancelFunc{}}
 	engine := nbhttp.NewEngine(nbhttp.Config{
 		Network:                "tcp",
 		Addrs:                  []string{l.Addr().String()},
 		Listen:                 func(string, string) (net.Listener, error) { return l, nil },
-		Handler:                s.watched(h),
+		Handler:                s.watchRequests(h),
 		MaxHTTPBodySize:        maxBody,
 		ReadLimit:              maxBody,
-		KeepaliveTime:          keepalive,
+		KeepaliveTime:          idleTimeout,
 		MaxWriteBufferSize:     maxWriteBuffer,
 		MessageHandlerPoolSize: maxHandlers,
 	})
-	orderOpens(engine)
+	synchronizeOpen(engine)
 	if err := engine.Start(); err != nil {
 		_ = l.Close()
 		return nil, &ErrListen{Address: address, Err: err}
@@ -98,35 +98,36 @@
 	return &Server{listener: l, stop: engine.Stop}, nil
 }
 
-// orderOpens makes the order between the opening of a connection and its first
-// data one that Go's memory model knows. nbio has it from epoll alone, which the
-// race detector does not see.
-func orderOpens(engine *nbhttp.Engine) {
-	pass := func(c *nbio.Conn) {
+// synchronizeOpen makes the opening of a connection happen before the handling of its
+// first data, in the sense of Go's memory model. nbio relies on the order of epoll
+// alone, which the race detector does not see.
+func synchronizeOpen(engine *nbhttp.Engine) {
+	synchronize := func(c *nbio.Conn) {
 		c.Lock()
 		defer c.Unlock()
 	}
-	engine.Engine.OnOpen(pass)
+	engine.Engine.OnOpen(synchronize)
 	engine.Engine.OnData(func(c *nbio.Conn, data []byte) {
-		pass(c)
+		synchronize(c)
 		c.DataHandler()(c, data)
 	})
 }
 
-// watched gives a handler's requests a context that ends with the connection.
-func (s *sweeper) watched(h http.Handler) http.Handler {
+// watchRequests wraps a handler and cancels the context of each request when its
+// connection closes.
+func (s *sweeper) watchRequests(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ctx, cancel := context.WithCancel(r.Context())
 		defer cancel()
 		if c := connOf(w); c != nil {
-			s.watch(c, cancel)
-			defer s.unwatch(c)
+			s.add(c, cancel)
+			defer s.remove(c)
 		}
 		h.ServeHTTP(w, r.WithContext(ctx))
 	})
 }
 
-// connOf returns the connection below a response, nil for none.
+// connOf returns the connection of a response, or nil if it has none.
 func connOf(w http.ResponseWriter) *nbio.Conn {
 	res, ok := w.(*nbhttp.Response)
 	if !ok || res.Parser == nil {
@@ -142,34 +143,34 @@
 	return nil
 }
 
-func (s *sweeper) watch(c *nbio.Conn, cancel context.CancelFunc) {
+func (s *sweeper) add(c *nbio.Conn, cancel context.CancelFunc) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.open[c] = cancel
+	s.cancels[c] = cancel
 	if !s.sweeping {
 		s.sweeping = true
-		time.AfterFunc(sweepEvery, s.sweep)
+		time.AfterFunc(sweepInterval, s.sweep)
 	}
 }
 
-func (s *sweeper) unwatch(c *nbio.Conn) {
+func (s *sweeper) remove(c *nbio.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.open, c)
+	delete(s.cancels, c)
 }
 
-// sweep ends the contexts of requests whose connection is closed, and comes back
-// as long as there are requests: an idle server has no timer.
+// sweep cancels the contexts of requests whose connections are closed. It reschedules
+// itself only while requests are running, so that an idle server has no timer.
 func (s *sweeper) sweep() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for c, cancel := range s.open {
+	for c, cancel := range s.cancels {
 		if closed, _ := c.IsClosed(); closed {
 			cancel()
 		}
 	}
-	s.sweeping = len(s.open) > 0
+	s.sweeping = len(s.cancels) > 0
 	if s.sweeping {
-		time.AfterFunc(sweepEvery, s.sweep)
+		time.AfterFunc(sweepInterval, s.sweep)
 	}
 }
--- a/pkg/httpd/httpd_test.go
+++ b/pkg/httpd/httpd_test.go
@@ -14,24 +14,25 @@
 
 func TestHTTPD(t *testing.T) { spectest.Run(t, "httpd") }
 
-var _ = Describe("a caller that goes away", func() {
-	// serve runs a handler that reports how its request's context ended.
-	serve := func(before func(http.ResponseWriter)) (*Server, chan time.Duration) {
-		ended := make(chan time.Duration, 1)
+var _ = Describe("a client that disconnects", func() {
+	// serve starts a server whose handler sends the time until its request's context was
+	// cancelled.
+	serve := func(write func(http.ResponseWriter)) (*Server, chan time.Duration) {
+		cancelled := make(chan time.Duration, 1)
 		s, err := Listen("127.0.0.1:0", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			before(w)
-			began := time.Now()
+			write(w)
+			started := time.Now()
 			select {
 			case <-r.Context().Done():
-				ended <- time.Since(began)
+				cancelled <- time.Since(started)
 			case <-time.After(20 * time.Second):
 			}
 		}), 1<<20)
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(s.Close)
-		return s, ended
+		return s, cancelled
 	}
-	call := func(s *Server) net.Conn {
+	sendRequest := func(s *Server) net.Conn {
 		c, err := net.Dial("tcp", s.Addr())
 		Expect(err).NotTo(HaveOccurred())
 		_, err = c.Write([]byte("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n{}"))
@@ -39,23 +40,23 @@
 		return c
 	}
 
-	It("ends the request's context while it waits for its first byte", func() {
-		s, ended := serve(func(http.ResponseWriter) {})
-		c := call(s)
+	It("cancels the request's context before the first byte of the response", func() {
+		s, cancelled := serve(func(http.ResponseWriter) {})
+		c := sendRequest(s)
 		time.Sleep(100 * time.Millisecond)
 		Expect(c.Close()).To(Succeed())
-		Eventually(ended).WithTimeout(15 * time.Second).Should(Receive())
+		Eventually(cancelled).WithTimeout(15 * time.Second).Should(Receive())
 	})
 
-	It("ends the request's context in the middle of its answer", func() {
-		s, ended := serve(func(w http.ResponseWriter) {
+	It("cancels the request's context in the middle of the response", func() {
+		s, cancelled := serve(func(w http.ResponseWriter) {
 			_, _ = w.Write([]byte("data: x\n\n"))
 			w.(http.Flusher).Flush()
 		})
-		c := call(s)
+		c := sendRequest(s)
 		_, err := c.Read(make([]byte, 1))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(c.Close()).To(Succeed())
-		Eventually(ended).WithTimeout(15 * time.Second).Should(Receive())
+		Eventually(cancelled).WithTimeout(15 * time.Second).Should(Receive())
 	})
 })
--- a/pkg/httpd/stall.go
+++ b/pkg/httpd/stall.go
@@ -5,36 +5,37 @@
 	"time"
 )
 
-// StallUnit is what a StallWriter writes at once, in bytes: a reader that takes so much in the writer's
-// time is slow and not stalled.
+// StallUnit is the largest number of bytes that a StallWriter writes under one deadline. A client that
+// reads this much within the writer's timeout is slow but not stalled.
 const StallUnit = 16 << 10
 
-// StallWriter writes an answer to a reader that may read slowly, or not at all: one that takes none of it
-// for a time loses its connection. It implements http.ResponseWriter and http.Flusher.
+// StallWriter writes a response to a client that may read slowly or not at all. The connection is closed
+// if the client does not read for the writer's timeout. It implements http.ResponseWriter and
+// http.Flusher.
 type StallWriter struct {
 	http.ResponseWriter
 	control *http.ResponseController
-	stall   time.Duration
+	timeout time.Duration
 }
 
-// NewStallWriter returns a writer. A deadline that an earlier answer on the connection had is taken
-// back.
-func NewStallWriter(w http.ResponseWriter, stall time.Duration) *StallWriter {
-	s := &StallWriter{ResponseWriter: w, control: http.NewResponseController(w), stall: stall}
-	s.bound(time.Time{})
+// NewStallWriter returns a StallWriter. It clears the write deadline that an earlier response may have
+// left on the connection.
+func NewStallWriter(w http.ResponseWriter, timeout time.Duration) *StallWriter {
+	s := &StallWriter{ResponseWriter: w, control: http.NewResponseController(w), timeout: timeout}
+	s.setDeadline(time.Time{})
 	return s
 }
 
-// bound sets until when the reader must have taken what is written. A server that has no deadlines, as
-// in tests, leaves it to the request's time.
-func (s *StallWriter) bound(until time.Time) { _ = s.control.SetWriteDeadline(until) }
+// setDeadline sets the write deadline of the connection. A server without write deadlines, as in tests,
+// ignores it, and only the request's own timeout applies.
+func (s *StallWriter) setDeadline(until time.Time) { _ = s.control.SetWriteDeadline(until) }
 
 // Write implements http.ResponseWriter.
 func (s *StallWriter) Write(p []byte) (int, error) {
 	written := 0
 	for {
 		unit := p[written:min(len(p), written+StallUnit)]
-		s.bound(time.Now().Add(s.stall))
+		s.setDeadline(time.Now().Add(s.timeout))
 		n, err := s.ResponseWriter.Write(unit)
 		written += n
 		if err != nil || written == len(p) {
@@ -46,11 +47,11 @@
 // Flush implements http.Flusher.
 func (s *StallWriter) Flush() { _ = s.FlushError() }
 
-// FlushError sends what was written.
+// FlushError sends buffered data to the client.
 func (s *StallWriter) FlushError() error {
-	s.bound(time.Now().Add(s.stall))
+	s.setDeadline(time.Now().Add(s.timeout))
 	return s.control.Flush()
 }
 
-// Unwrap returns the writer below, for http.ResponseController.
+// Unwrap returns the underlying writer for http.ResponseController.
 func (s *StallWriter) Unwrap() http.ResponseWriter { return s.ResponseWriter }
--- a/pkg/progress/progress.go
+++ b/pkg/progress/progress.go
@@ -1,9 +1,9 @@
-// Package progress bounds how long a call may be silent, rather than how long it may take: a long
-// answer that keeps coming is not given up.
+// Package progress limits how long a call may pass without progress, instead of its total time. A
+// call with a long response is not aborted as long as parts of the response keep arriving.
 //
-// A bound of the whole time ends all calls at once where many processes share a link. Each is cut off
-// in the middle of its answer and asks again, the link is full of parts of answers, and none is ever
-// whole.
+// A limit on the total time fails when many processes share a link. All their calls time out
+// together in the middle of their responses and are repeated, so that the link is filled with partial
+// responses and no call ever completes.
 package progress
 
 import (
@@ -12,23 +12,23 @@
 	"time"
 )
 
-// key is that of the function that Note calls.
-type key struct{}
+// restartKey is the context key of the function that Note calls to restart the timer.
+type restartKey struct{}
 
-// silence is a context that ends when nothing was noted for a time.
-type silence struct {
+// idleContext is a context that ends after a time without progress.
+type idleContext struct {
 	context.Context
 }
 
-// Err implements context.Context: a call that was silent for too long ended like one that took too
-// long.
-func (s silence) Err() error { return context.Cause(s.Context) }
+// Err implements context.Context. After the limit without progress it returns
+// context.DeadlineExceeded, as after a timeout.
+func (s idleContext) Err() error { return context.Cause(s.Context) }
 
-// Bound returns a context that ends once no progress was noted for a limit.
+// Bound returns a context that ends with context.DeadlineExceeded if Note is not called for the limit.
 func Bound(ctx context.Context, limit time.Duration) (context.Context, context.CancelFunc) {
 	inner, cancel := context.WithCancelCause(ctx)
 	timer := time.AfterFunc(limit, func() { cancel(context.DeadlineExceeded) })
-	noted := func() {
+	restart := func() {
 		if inner.Err() == nil {
 			timer.Reset(limit)
 		}
@@ -37,23 +37,24 @@
 		cancel(context.Canceled)
 		timer.Stop()
 	}
-	return silence{context.WithValue(inner, key{}, noted)}, stop
+	return idleContext{context.WithValue(inner, restartKey{}, restart)}, stop
 }
 
-// Note says that a part of the answer to a call came.
+// Note records that a part of a call's response arrived. It does nothing if ctx does not derive from
+// Bound.
 func Note(ctx context.Context) {
-	if noted, ok := ctx.Value(key{}).(func()); ok {
-		noted()
+	if restart, ok := ctx.Value(restartKey{}).(func()); ok {
+		restart()
 	}
 }
 
-// reader notes each part that is read.
+// reader calls Note after each read that returns data.
 type reader struct {
 	ctx context.Context
 	in  io.Reader
 }
 
-// Reader returns a reader of an answer that notes each part of it.
+// Reader returns a reader of a response that calls Note for each part read.
 func Reader(ctx context.Context, in io.Reader) io.Reader { return &reader{ctx, in} }
 
 // Read implements io.Reader.
--- a/pkg/progress/progress_test.go
+++ b/pkg/progress/progress_test.go
@@ -12,7 +12,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestACallMayTakeLongButNotBeSilent(t *testing.T) {
+func TestContextEndsAfterLimitWithoutProgress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		ctx, cancel := Bound(t.Context(), time.Second)
@@ -30,13 +30,13 @@
 	})
 }
 
-func TestACallEndsWithWhatItIsPartOf(t *testing.T) {
+func TestContextEndsWithParent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		outer, end := context.WithCancel(t.Context())
-		ctx, cancel := Bound(outer, time.Second)
+		parent, cancelParent := context.WithCancel(t.Context())
+		ctx, cancel := Bound(parent, time.Second)
 		defer cancel()
-		end()
+		cancelParent()
 		<-ctx.Done()
 		g.Expect(ctx.Err()).To(MatchError(context.Canceled))
 		Note(ctx)
@@ -44,7 +44,7 @@
 	})
 }
 
-func TestAReaderNotesEachPart(t *testing.T) {
+func TestReaderNotesEachRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		ctx, cancel := Bound(t.Context(), time.Second)
