--- a/pkg/httpd/callers.go
+++ b/pkg/httpd/callers.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// headerTimeout limits the time in which a client sends a request's header.
+	// headerTimeout limits the time that a client may take to send a request's header.
 	headerTimeout = 10 * time.Second
-	// stallTimeout is the time without progress in reading a response after which
-	// the client's connection is closed.
+	// stallTimeout is how long a client may leave a response unread before its
+	// connection is closed.
 	stallTimeout = 10 * time.Second
 	// maxDiscard limits what is read and discarded of a request body that the handler
 	// did not read, in bytes. Discarding it lets the client read the response before
--- a/pkg/quarantine/digest.go
+++ b/pkg/quarantine/digest.go
@@ -20,7 +20,7 @@
 
 // Asked is the content that identifies a request.
 type Asked struct {
-	// Workspace is the workspace that sent the request; empty if the route requires no key.
+	// Workspace is the workspace that sent the request; empty if no API key is required.
 	Workspace string
 	// Method, Host and Path exclude the query, because clients vary it between tries.
 	Method, Host, Path string
--- a/pkg/quarantine/quarantine.go
+++ b/pkg/quarantine/quarantine.go
@@ -35,8 +35,8 @@
 	maxBreaks = 8
 	// publishDelay is the time that a gateway waits for a quarantine that it received from a peer
 	// to appear in the store. After that it writes the quarantine itself, since the peer may have
-	// stopped. The delay doubles with each attempt to write, up to maxPublishDelay, for example
-	// while the store is unavailable.
+	// stopped. The delay doubles with each write, up to maxPublishDelay, until the store shows the
+	// quarantine, for example during an outage of the store.
 	publishDelay    = 2 * time.Second
 	maxPublishDelay = 30 * time.Second
 )
@@ -151,7 +151,8 @@
 }
 
 // Lapsed records that a quarantine is no longer in the store. If its exact end is known and has
-// not been reached, the store lost it in an outage, and it is scheduled to be written again.
+// not been reached, the store lost it in an outage, and it is scheduled to be written again. A
+// quarantine that was only read from the store ends.
 func (t *Table) Lapsed(d Digest, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/pkg/routetable/routetable.go
+++ b/pkg/routetable/routetable.go
@@ -140,7 +140,8 @@
 // Table finds the route of a request. It is immutable.
 type Table struct {
 	Config Config
-	// Workspaces finds the workspace of an API key; nil if no route requires a key.
+	// Workspaces finds the workspace of an API key; nil if there are no workspaces and so
+	// no route requires a key.
 	Workspaces *workspace.Directory
 	hosts      map[string][]*Route
 }
