--- a/pkg/upstream/forgetful.go
+++ b/pkg/upstream/forgetful.go
@@ -3,40 +3,40 @@
 import "time"
 
 const (
-	// forgetFor is how long a runner is taken to forget idle connections after it failed a
-	// request on one.
-	forgetFor = 10 * time.Second
-	// restPart is the part of the rest after which a connection failed that later ones
-	// may rest.
-	restPart = 0.5
+	// idleLimitTTL is how long the idle limit of an address stays in force after the last
+	// request that failed on an idle connection.
+	idleLimitTTL = 10 * time.Second
+	// idleLimitFactor is the new idle limit as a share of the idle time of the connection
+	// that failed.
+	idleLimitFactor = 0.5
 )
 
-// forgetful are the runners that failed requests on connections that had been idle, as
-// one does that has forgotten them without closing them: by address, how long its
-// connections may rest.
-type forgetful map[string]rest
+// idleLimits holds, by address, how long connections may be idle before reuse. An address
+// has a limit if requests failed on idle connections to it, as they do when a runner drops
+// idle connections without closing them.
+type idleLimits map[string]idleLimit
 
-type rest struct {
+type idleLimit struct {
 	limit time.Duration
 	until time.Time
 }
 
-// limit returns how long a connection to an address may rest.
-func (f forgetful) limit(address string, now time.Time) time.Duration {
+// limit returns how long a connection to an address may be idle before reuse.
+func (f idleLimits) limit(address string, now time.Time) time.Duration {
 	if r, ok := f[address]; ok && now.Before(r.until) {
 		return r.limit
 	}
 	return time.Duration(1<<63 - 1)
 }
 
-// note records that a request failed on a connection after a rest.
-func (f forgetful) note(address string, rested time.Duration, now time.Time) {
-	limit := min(f.limit(address, now), time.Duration(restPart*float64(rested)))
-	f[address] = rest{limit: limit, until: now.Add(forgetFor)}
+// record lowers the limit after a request failed on a connection that had been idle for idleFor.
+func (f idleLimits) record(address string, idleFor time.Duration, now time.Time) {
+	limit := min(f.limit(address, now), time.Duration(idleLimitFactor*float64(idleFor)))
+	f[address] = idleLimit{limit: limit, until: now.Add(idleLimitTTL)}
 }
 
-// sweep drops what has passed.
-func (f forgetful) sweep(now time.Time) {
+// sweep removes expired limits.
+func (f idleLimits) sweep(now time.Time) {
 	for address, r := range f {
 		if !now.Before(r.until) {
 			delete(f, address)
@@ -44,14 +44,15 @@
 	}
 }
 
-// forgot notes that a request failed on a connection that had been idle, and closes the
-// idle ones that rested as long: nothing need be sent on them to learn the same.
-func (c *Client) forgot(k *conn) {
+// limitIdleTime records that a request failed on a connection that had been idle. It closes
+// the connections to the same address that have reached the new limit, before further requests
+// fail on them.
+func (c *Client) limitIdleTime(k *conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	c.forgets.note(k.address, k.rested, now)
-	limit := c.forgets.limit(k.address, now)
+	c.idleLimits.record(k.address, k.idleFor, now)
+	limit := c.idleLimits.limit(k.address, now)
 	kept := c.idle[k.address][:0]
 	for _, other := range c.idle[k.address] {
 		if until := other.since.Add(limit); until.Before(other.until) {
--- a/pkg/upstream/pool.go
+++ b/pkg/upstream/pool.go
@@ -11,35 +11,35 @@
 	"time"
 )
 
-// conn is one connection.
+// conn is one connection to a runner.
 type conn struct {
 	net.Conn
 	address string
 	reader  *bufio.Reader
 	uses    int
-	// answering is set once the head of the present request's answer has come.
-	answering atomic.Bool
-	// said is how long the runner said that it keeps the connection while it is idle,
-	// negative if it never did: some say so in the first answer only.
-	said time.Duration
-	// until is when the runner may close it while it is idle, since when it became so.
+	// responding is set when the head of the response to the current request has arrived.
+	responding atomic.Bool
+	// announced is the keep-alive timeout that the runner last sent on this connection, negative
+	// if it sent none. Some runners send it in the first response only.
+	announced time.Duration
+	// since is when the connection became idle, until when it must no longer be reused.
 	until, since time.Time
-	// rested is how long it was idle before its last use.
-	rested time.Duration
+	// idleFor is how long the connection was idle before its last use.
+	idleFor time.Duration
 }
 
-// take returns an idle connection that is surely open, or a new one.
-func (c *Client) take(ctx context.Context, address string) (*conn, error) {
+// acquire returns an idle connection after checking that it is open, or a new one.
+func (c *Client) acquire(ctx context.Context, address string) (*conn, error) {
 	for {
-		k := c.pop(address)
+		k := c.popIdle(address)
 		if k == nil {
 			break
 		}
-		if time.Now().Before(k.until) && k.quiet() {
+		if time.Now().Before(k.until) && k.reusable() {
 			k.uses++
-			k.answering.Store(false)
-			k.rested = time.Since(k.since)
-			probe(k.Conn, true)
+			k.responding.Store(false)
+			k.idleFor = time.Since(k.since)
+			setKeepAlive(k.Conn, true)
 			return k, nil
 		}
 		_ = k.Close()
@@ -53,14 +53,14 @@
 	if c.options.Opened != nil {
 		c.options.Opened(address)
 	}
-	if err := guard(raw); err != nil {
+	if err := setTimeouts(raw); err != nil {
 		_ = raw.Close()
 		return nil, err
 	}
-	return &conn{Conn: raw, address: address, reader: bufio.NewReaderSize(raw, readBuffer), uses: 1, said: -1}, nil
+	return &conn{Conn: raw, address: address, reader: bufio.NewReaderSize(raw, readBuffer), uses: 1, announced: -1}, nil
 }
 
-func (c *Client) pop(address string) *conn {
+func (c *Client) popIdle(address string) *conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	list := c.idle[address]
@@ -72,20 +72,20 @@
 	return k
 }
 
-// Connected reports whether a connection to an address is idle.
+// Connected reports whether there is an idle connection to an address.
 func (c *Client) Connected(address string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.idle[address]) > 0
 }
 
-// put keeps a connection for the next request. The runner said last how long it keeps it;
-// below 0 it said nothing.
-func (c *Client) put(k *conn, said time.Duration) {
-	if said >= 0 {
-		k.said = said
+// putIdle keeps a connection for the next request, or closes it. announced is the keep-alive
+// timeout of the last response, negative if the response had none.
+func (c *Client) putIdle(k *conn, announced time.Duration) {
+	if announced >= 0 {
+		k.announced = announced
 	}
-	keep := k.said
+	keep := k.announced
 	if keep < 0 {
 		keep = c.options.Idle
 	}
@@ -97,24 +97,24 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	k.since = time.Now()
-	k.until = k.since.Add(min(keep, c.forgets.limit(k.address, k.since)))
+	k.until = k.since.Add(min(keep, c.idleLimits.limit(k.address, k.since)))
 	list := c.idle[k.address]
 	if len(list) >= c.maxIdle {
 		_ = k.Close()
 		return
 	}
-	probe(k.Conn, false)
+	setKeepAlive(k.Conn, false)
 	c.idle[k.address] = append(list, k)
 }
 
-// Limit bounds the idle connections to one address from now on.
+// Limit sets the maximum number of idle connections per address. Idle connections above it stay open.
 func (c *Client) Limit(idle int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.maxIdle = idle
 }
 
-// Forget closes the idle connections to an address, or to all if it is empty.
+// Forget closes the idle connections to an address, or to all addresses if address is empty.
 func (c *Client) Forget(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -129,11 +129,11 @@
 	}
 }
 
-// Sweep closes idle connections whose time is over.
+// Sweep closes expired idle connections and removes expired idle limits.
 func (c *Client) Sweep(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.forgets.sweep(now)
+	c.idleLimits.sweep(now)
 	for a, list := range c.idle {
 		kept := list[:0]
 		for _, k := range list {
@@ -151,16 +151,16 @@
 	}
 }
 
-// quiet reports whether an idle connection is open and has nothing to read.
-func (k *conn) quiet() bool {
+// reusable reports whether an idle connection is open and has no unread data.
+func (k *conn) reusable() bool {
 	if k.reader.Buffered() > 0 {
 		return false
 	}
-	return open(k.Conn)
+	return stillOpen(k.Conn)
 }
 
-// keepAlive returns the time that a runner keeps an idle connection, below 0 if
-// it does not say.
+// keepAlive returns the timeout of a Keep-Alive header, -1 if there is none that can be
+// parsed.
 func keepAlive(h http.Header) time.Duration {
 	for _, field := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
--- a/pkg/upstream/slow_test.go
+++ b/pkg/upstream/slow_test.go
@@ -13,9 +13,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// readBy sends a body to a runner that takes its connection's bytes as read says, and returns the
-// error and the time that it took.
-func readBy(body []byte, read func(c net.Conn)) (time.Duration, error) {
+// sendToReader sends a body to a runner that handles its end of the connection with read. It
+// returns the duration of the exchange and its error.
+func sendToReader(body []byte, read func(c net.Conn)) (time.Duration, error) {
 	c := New(Options{ConnectTimeout: time.Second, Idle: time.Minute, MaxIdle: 1, Dial: func(context.Context, string, string) (net.Conn, error) {
 		here, there := net.Pipe()
 		go read(there)
@@ -30,17 +30,17 @@
 		_ = res.Close()
 	}
 	took := time.Since(began)
-	time.Sleep(time.Hour) // The runner sees the end of its connection.
+	time.Sleep(time.Hour) // Lets read see that its connection was closed.
 	c.Forget("")
 	return took, err
 }
 
-// Guards against a body that stays in memory while its runner reads next to nothing of it.
-func TestABodyThatItsRunnerDoesNotReadIsGivenUp(t *testing.T) {
+// Guards against a body that stays in memory while its runner reads one byte per second.
+func TestStalledBodyWriteFails(t *testing.T) {
 	for _, size := range []int{1000, 200 << 10} {
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
-			took, err := readBy(make([]byte, size), func(c net.Conn) {
+			took, err := sendToReader(make([]byte, size), func(c net.Conn) {
 				for {
 					if _, err := c.Read(make([]byte, 1)); err != nil {
 						return
@@ -49,16 +49,16 @@
 				}
 			})
 			g.Expect(err).To(BeAssignableToTypeOf(&ErrExchange{}))
-			g.Expect(took).To(BeNumerically("<=", 2*runnerStall))
+			g.Expect(took).To(BeNumerically("<=", 2*writeTimeout))
 		})
 	}
 }
 
-// A runner that reads a long body in units of 32 KB, one in two seconds, is slow and not stalled.
-func TestABodyThatItsRunnerReadsSlowlyIsSent(t *testing.T) {
+// A runner that reads 32 KB of a long body every two seconds is slow, not stalled.
+func TestSlowBodyWriteSucceeds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		took, err := readBy(make([]byte, 200<<10), func(c net.Conn) {
+		took, err := sendToReader(make([]byte, 200<<10), func(c net.Conn) {
 			in := bufio.NewReader(c)
 			r, err := http.ReadRequest(in)
 			if err != nil {
@@ -73,20 +73,21 @@
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		})
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(took).To(BeNumerically(">", runnerStall))
+		g.Expect(took).To(BeNumerically(">", writeTimeout))
 	})
 }
 
-// A runner may answer before it reads the body, and go on reading later: its answer is whole.
-func TestAnAnswerThatComesBeforeTheBodyIsReadIsNotCutOff(t *testing.T) {
+// A runner may start its response before it reads the body. A body write that stalls must not
+// cut off the response.
+func TestResponseBeforeBodyIsReadIsComplete(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		_, err := readBy(make([]byte, 200<<10), func(c net.Conn) {
+		_, err := sendToReader(make([]byte, 200<<10), func(c net.Conn) {
 			if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
 				return
 			}
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n")
-			time.Sleep(2 * runnerStall)
+			time.Sleep(2 * writeTimeout)
 			_, _ = io.WriteString(c, "ok")
 		})
 		g.Expect(err).NotTo(HaveOccurred())
--- a/pkg/upstream/sockets.go
+++ b/pkg/upstream/sockets.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	// silentAfter is how long what is sent on a connection may go unacknowledged before
-	// it counts as broken: it may have fallen silent for good, without a reset, while new
-	// ones work. The platform's links hold packets up for half a second in bad times.
-	silentAfter = 1500 * time.Millisecond
-	// probeAfter is how long nothing must have come on a connection in use before it is
-	// probed, probeEvery how long the answer may take, in whole seconds, as the system
-	// counts: a stream that has fallen silent breaks after 2 s, as long as its client
-	// waits at least. Answers that come bring no probes.
-	probeAfter = time.Second
-	probeEvery = time.Second
+	// userTimeout is how long sent data may stay unacknowledged before the connection is
+	// closed: a connection may go silent for good, without a reset, while new connections
+	// work. The platform's links delay packets by half a second in bad periods.
+	userTimeout = 1500 * time.Millisecond
+	// keepAliveIdle is how long no data must have arrived on a connection in use before it is
+	// probed, keepAliveInterval how long the reply to the probe may take. The kernel counts both
+	// in whole seconds. A stream on a silent connection thus breaks after 2 s, the shortest time
+	// for which its client waits. No probes are sent while data arrives.
+	keepAliveIdle     = time.Second
+	keepAliveInterval = time.Second
 )
 
-// guard has the system break a connection that has fallen silent.
-func guard(c net.Conn) error {
+// setTimeouts makes the kernel close a connection that has gone silent.
+func setTimeouts(c net.Conn) error {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
 		return nil
@@ -34,24 +34,24 @@
 	}
 	var set error
 	err = raw.Control(func(fd uintptr) {
-		set = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silentAfter.Milliseconds()))
+		set = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 	return errors.Join(err, set, tcp.SetKeepAliveConfig(net.KeepAliveConfig{
-		Enable: true, Idle: probeAfter, Interval: probeEvery, Count: 1,
+		Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: 1,
 	}))
 }
 
-// probe says whether a connection is probed while nothing comes: one in use is, an idle
-// one shows its silence when it is used.
-func probe(c net.Conn, yes bool) {
+// setKeepAlive switches keep-alive probes on or off. Connections in use are probed. Idle ones
+// are not: a silent one is detected when it is used.
+func setKeepAlive(c net.Conn, enabled bool) {
 	if tcp, ok := c.(*net.TCPConn); ok {
-		_ = tcp.SetKeepAlive(yes)
+		_ = tcp.SetKeepAlive(enabled)
 	}
 }
 
-// open reports whether a connection at rest is still open and quiet: a peek
-// finds nothing to read and no end.
-func open(c net.Conn) bool {
+// stillOpen reports whether an idle connection is open and has no unread data: a peek finds
+// neither data nor the end of the stream.
+func stillOpen(c net.Conn) bool {
 	s, ok := c.(syscall.Conn)
 	if !ok {
 		return true
@@ -60,12 +60,12 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	noData := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, e := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = errors.Is(e, syscall.EAGAIN)
+		noData = errors.Is(e, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && noData
 }
--- a/pkg/upstream/upstream.go
+++ b/pkg/upstream/upstream.go
@@ -1,6 +1,6 @@
 // Package upstream sends single HTTP/1.1 requests to runners and returns their
-// answers as they come. It parses with net/http and keeps what that package's
-// own client hides: whether bytes of a request went out, answers that belong to
+// responses as they arrive. It parses with net/http and exposes what that package's
+// own client hides: whether bytes of a request were sent, responses that belong to
 // an earlier request, and how long a runner keeps an idle connection. It never
 // sends a request twice.
 package upstream
@@ -22,23 +22,24 @@
 const (
 	// readBuffer is the size of a connection's read buffer, in bytes.
 	readBuffer = 4096
-	// maxSurplus bounds the answers of earlier requests that are skipped.
+	// maxSurplus is how many responses to earlier requests are skipped per request.
 	maxSurplus = 2
-	// maxInterim bounds the 1xx answers before a final one.
+	// maxInterim is how many 1xx responses are accepted before the final one.
 	maxInterim = 5
-	// inlineBody is the longest body that is written before the answer is
-	// read; longer ones are written beside the reading, in bytes.
+	// inlineBody is the longest body, in bytes, that is written before the response is
+	// read. Longer bodies are written in chunks of this size while the response is read.
 	inlineBody = 32 << 10
-	// runnerStall is how long a runner may take nothing of a request: longer than a lost
-	// packet takes to come again, several times. A body that stays in the gateway counts
-	// against its memory, and its client waits for nothing.
-	runnerStall = 3 * time.Second
-	// idleMargin is how much earlier than the runner an idle connection is
-	// given up.
+	// writeTimeout limits each write to a runner: the head, or one chunk of the body. It is
+	// several times longer than the retransmission of a lost packet takes. A body that
+	// the runner doesn't read counts against the gateway's memory, and its client waits for
+	// nothing.
+	writeTimeout = 3 * time.Second
+	// idleMargin is how long before the runner's keep-alive timeout the gateway stops
+	// using an idle connection.
 	idleMargin = time.Second
 )
 
-// ErrDial reports that no connection came up: nothing was sent.
+// ErrDial reports that no connection could be opened: nothing was sent.
 type ErrDial struct {
 	Address string
 	Err     error
@@ -52,11 +53,11 @@
 // Unwrap returns the cause.
 func (e *ErrDial) Unwrap() error { return e.Err }
 
-// ErrExchange reports that a request went out, in part at least, and no whole
-// answer of its own came back.
+// ErrExchange reports that a request was sent, at least in part, and that no complete
+// response to it was received.
 type ErrExchange struct {
 	Address string
-	// Reused says that the connection had served other requests before.
+	// Reused is whether the connection had served other requests before.
 	Reused bool
 	Err    error
 }
@@ -69,7 +70,7 @@
 // Unwrap returns the cause.
 func (e *ErrExchange) Unwrap() error { return e.Err }
 
-// ErrStalled reports that a runner read nothing of a request for too long.
+// ErrStalled reports that a write to a runner did not finish within writeTimeout.
 type ErrStalled struct {
 	Address string
 	After   time.Duration
@@ -80,17 +81,18 @@
 	return fmt.Sprintf("runner reads nothing: address=%s after=%s", e.Address, e.After)
 }
 
-// ErrSurplus reports that only answers of other requests came.
+// ErrSurplus reports that too many responses arrived that are not the final response to the
+// request: responses to other requests, or 1xx responses.
 type ErrSurplus struct {
-	Answers int
+	Responses int
 }
 
 // Error implements error.
 func (e *ErrSurplus) Error() string {
-	return fmt.Sprintf("answers of other requests: count=%d", e.Answers)
+	return fmt.Sprintf("answers of other requests: count=%d", e.Responses)
 }
 
-// Request is one request to a runner.
+// Request is one HTTP request to a runner.
 type Request struct {
 	Method string
 	// Target is the path and query, sent as it is.
@@ -98,31 +100,31 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Own reports whether an answer is that of this request; nil takes any.
+	// Own reports whether a response belongs to this request; nil accepts any response.
 	Own func(*http.Response) bool
 }
 
 // Options are a client's settings.
 type Options struct {
-	// ConnectTimeout bounds the opening of a connection.
+	// ConnectTimeout limits the time to open a connection.
 	ConnectTimeout time.Duration
-	// Idle is how long a connection is kept when the runner says nothing.
+	// Idle is the keep-alive timeout of runners that send none.
 	Idle time.Duration
-	// MaxIdle bounds the idle connections to one address.
+	// MaxIdle is the maximum number of idle connections per address.
 	MaxIdle int
 	// Dial opens connections; nil dials TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Opened is called for each new connection; nil for none.
+	// Opened is called for each new connection, if not nil.
 	Opened func(address string)
 }
 
-// Client sends requests over kept connections. It is safe for concurrent use.
+// Client sends requests over reused connections. It is safe for concurrent use.
 type Client struct {
-	options Options
-	mu      sync.Mutex
-	idle    map[string][]*conn
-	maxIdle int
-	forgets forgetful
+	options    Options
+	mu         sync.Mutex
+	idle       map[string][]*conn
+	maxIdle    int
+	idleLimits idleLimits
 }
 
 // New returns a client.
@@ -130,23 +132,23 @@
 	if o.Dial == nil {
 		o.Dial = (&net.Dialer{KeepAlive: -1}).DialContext
 	}
-	return &Client{options: o, idle: map[string][]*conn{}, maxIdle: o.MaxIdle, forgets: forgetful{}}
+	return &Client{options: o, idle: map[string][]*conn{}, maxIdle: o.MaxIdle, idleLimits: idleLimits{}}
 }
 
-// Response is an answer whose body is read by the caller. Close ends the
-// exchange; before the body's end it closes the connection, by which runners
-// know that nobody waits any more.
+// Response is a response whose body is read by the caller. Close ends the
+// exchange. Before the end of the body it closes the connection, which tells the
+// runner that no client waits for the response any longer.
 type Response struct {
 	*http.Response
-	done func(whole bool)
+	done func(complete bool)
 	once sync.Once
 }
 
-// Do sends a request and returns the head of its answer. It fails with *ErrDial
+// Do sends a request and returns the head of its response. It fails with *ErrDial
 // when nothing was sent and with *ErrExchange otherwise. The end of the context
 // closes the connection, also while the body is read.
 func (c *Client) Do(ctx context.Context, address string, r *Request) (*Response, error) {
-	k, err := c.take(ctx, address)
+	k, err := c.acquire(ctx, address)
 	if err != nil {
 		return nil, &ErrDial{Address: address, Err: err}
 	}
@@ -165,18 +167,18 @@
 		err = context.Cause(ctx)
 	}
 	if k.uses > 1 && !errors.Is(err, context.Canceled) {
-		c.forgot(k)
+		c.limitIdleTime(k)
 	}
 	return nil, &ErrExchange{Address: address, Reused: k.uses > 1, Err: err}
 }
 
-// respond wraps an answer so that its connection is kept or closed at its end.
+// respond wraps a response. At the end of the response the connection is closed or kept for reuse.
 func (c *Client) respond(k *conn, res *http.Response, stop func() bool, wrote <-chan error, surplus int) *Response {
 	out := &Response{Response: res}
-	out.done = func(whole bool) {
+	out.done = func(complete bool) {
 		alive := stop()
-		if whole && alive && surplus == 0 && !res.Close && written(wrote) && k.reader.Buffered() == 0 {
-			c.put(k, keepAlive(res.Header))
+		if complete && alive && surplus == 0 && !res.Close && bodyWritten(wrote) && k.reader.Buffered() == 0 {
+			c.putIdle(k, keepAlive(res.Header))
 			return
 		}
 		_ = k.Close()
@@ -184,8 +186,8 @@
 	return out
 }
 
-// written reports whether the body has been written whole.
-func written(wrote <-chan error) bool {
+// bodyWritten reports whether the whole body has been written without an error.
+func bodyWritten(wrote <-chan error) bool {
 	select {
 	case err := <-wrote:
 		return err == nil
@@ -194,7 +196,7 @@
 	}
 }
 
-// Read reads the body. The connection is handed back at its end.
+// Read reads the body. At the end of the body the connection is closed or kept for reuse.
 func (r *Response) Read(p []byte) (int, error) {
 	n, err := r.Body.Read(p)
 	if err != nil {
@@ -209,11 +211,11 @@
 	return nil
 }
 
-func (r *Response) finish(whole bool) {
-	r.once.Do(func() { r.done(whole) })
+func (r *Response) finish(complete bool) {
+	r.once.Do(func() { r.done(complete) })
 }
 
-// write sends a request. The channel gets the result of the body's writing.
+// write sends a request. The channel receives the result of writing the body.
 func (k *conn) write(r *Request) (<-chan error, error) {
 	wrote := make(chan error, 1)
 	head := appendHead(make([]byte, 0, 1024), r)
@@ -227,7 +229,7 @@
 	}
 	go func() {
 		err := k.sendBody(r.Body)
-		if err != nil && !k.answering.Load() {
+		if err != nil && !k.responding.Load() {
 			_ = k.Close()
 		}
 		wrote <- err
@@ -235,17 +237,17 @@
 	return wrote, nil
 }
 
-// send writes bytes that the other side must take in runnerStall.
+// send writes bytes within writeTimeout.
 func (k *conn) send(p []byte) error {
-	_ = k.SetWriteDeadline(time.Now().Add(runnerStall))
+	_ = k.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_, err := k.Write(p)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return &ErrStalled{Address: k.address, After: runnerStall}
+		return &ErrStalled{Address: k.address, After: writeTimeout}
 	}
 	return err
 }
 
-// sendBody writes a long body in units.
+// sendBody writes a long body in chunks of inlineBody bytes.
 func (k *conn) sendBody(body []byte) error {
 	for unit := range slices.Chunk(body, inlineBody) {
 		if err := k.send(unit); err != nil {
@@ -255,7 +257,7 @@
 	return nil
 }
 
-// appendHead writes the request line and the headers.
+// appendHead appends the request line and the headers to b.
 func appendHead(b []byte, r *Request) []byte {
 	b = append(b, r.Method...)
 	b = append(b, ' ')
@@ -283,26 +285,26 @@
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
 
-// read returns the request's own answer and how many others came before it.
+// read returns the response to r and the number of responses to other requests before it.
 func (k *conn) read(r *Request) (*http.Response, int, error) {
-	like := &http.Request{Method: r.Method}
+	req := &http.Request{Method: r.Method}
 	for surplus, interim := 0, 0; ; {
-		res, err := http.ReadResponse(k.reader, like)
+		res, err := http.ReadResponse(k.reader, req)
 		if err != nil {
 			return nil, surplus, err
 		}
 		if res.StatusCode < http.StatusOK {
 			if interim++; interim > maxInterim || res.StatusCode == http.StatusSwitchingProtocols {
-				return nil, surplus, &ErrSurplus{Answers: interim}
+				return nil, surplus, &ErrSurplus{Responses: interim}
 			}
 			continue
 		}
 		if r.Own == nil || r.Own(res) {
-			k.answering.Store(true)
+			k.responding.Store(true)
 			return res, surplus, nil
 		}
 		if surplus++; surplus > maxSurplus || res.Close {
-			return nil, surplus, &ErrSurplus{Answers: surplus}
+			return nil, surplus, &ErrSurplus{Responses: surplus}
 		}
 		if _, err := io.Copy(io.Discard, res.Body); err != nil {
 			return nil, surplus, err
--- a/pkg/upstream/upstream_test.go
+++ b/pkg/upstream/upstream_test.go
@@ -17,14 +17,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// server takes connections and lets each test say what happens on them.
+// server accepts connections and counts them.
 type server struct {
 	address string
 	mu      sync.Mutex
 	opened  int
 }
 
-// serve starts a server; handle is called for each connection with its number,
+// serve starts a server that calls handle for each connection with its number,
 // from 1.
 func serve(t *testing.T, handle func(n int, c net.Conn, in *bufio.Reader)) *server {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -58,21 +58,22 @@
 	return s.opened
 }
 
-func client() *Client {
+func newClient() *Client {
 	return New(Options{ConnectTimeout: 5 * time.Second, Idle: time.Minute, MaxIdle: 4})
 }
 
-// idleBound bounds the requests of threeIdle.
-const idleBound = 10 * time.Second
+// idleSetupTimeout limits the requests of openThreeIdle.
+const idleSetupTimeout = 10 * time.Second
 
-// threeIdle leaves three idle connections to a server, by as many requests at once.
-func threeIdle(t *testing.T, c *Client, s *server) {
+// openThreeIdle leaves three idle connections to a server by sending three concurrent requests.
+func openThreeIdle(t *testing.T, c *Client, s *server) {
 	g := NewWithT(t)
 	ids := []string{"a", "b", "c"}
-	ctx, cancel := context.WithTimeout(context.Background(), idleBound)
+	ctx, cancel := context.WithTimeout(context.Background(), idleSetupTimeout)
 	defer cancel()
 	var ready, done sync.WaitGroup
-	// All are awaited before the first hands its connection back, which another would use.
+	// No request ends before all have their responses: otherwise one could reuse the
+	// connection of another.
 	ready.Add(len(ids))
 	for _, id := range ids {
 		done.Go(func() {
@@ -88,8 +89,8 @@
 	done.Wait()
 }
 
-// ask sends one request and reads its answer.
-func ask(c *Client, address, id string) (string, error) {
+// get sends one request and returns the body of its response.
+func get(c *Client, address, id string) (string, error) {
 	res, err := c.Do(context.Background(), address, &Request{Method: "GET", Target: "/", Host: "h", Header: http.Header{"Id": {id}},
 		Own: func(r *http.Response) bool { return r.Header.Get("Id") == id }})
 	if err != nil {
@@ -100,8 +101,9 @@
 	return string(data), err
 }
 
-// answer reads a request and writes an answer to it.
-func answer(c net.Conn, in *bufio.Reader, header string) bool {
+// respondOK reads a request and writes a response with the given extra header lines. It
+// reports whether there was a request.
+func respondOK(c net.Conn, in *bufio.Reader, header string) bool {
 	r, err := http.ReadRequest(in)
 	if err != nil {
 		return false
@@ -111,107 +113,108 @@
 	return true
 }
 
-func TestConnectionsAreKept(t *testing.T) {
+func TestConnectionIsReused(t *testing.T) {
 	g := NewWithT(t)
 	s := serve(t, func(_ int, c net.Conn, in *bufio.Reader) {
-		for answer(c, in, "") {
+		for respondOK(c, in, "") {
 		}
 	})
-	k := client()
+	k := newClient()
 	for i := range 5 {
-		g.Expect(ask(k, s.address, fmt.Sprint(i))).To(Equal("ok"))
+		g.Expect(get(k, s.address, fmt.Sprint(i))).To(Equal("ok"))
 	}
 	g.Expect(s.count()).To(Equal(1))
 }
 
-func TestIdleConnectionsAreBounded(t *testing.T) {
+func TestIdleConnectionLimitIsKept(t *testing.T) {
 	g := NewWithT(t)
 	s := serve(t, func(_ int, c net.Conn, in *bufio.Reader) {
-		for answer(c, in, "") {
+		for respondOK(c, in, "") {
 		}
 	})
-	k := client()
+	k := newClient()
 	k.Limit(0)
 	for i := range 3 {
-		g.Expect(ask(k, s.address, fmt.Sprint(i))).To(Equal("ok"))
+		g.Expect(get(k, s.address, fmt.Sprint(i))).To(Equal("ok"))
 	}
 	g.Expect(s.count()).To(Equal(3))
 }
 
-func TestAConnectionIsGivenUpBeforeTheRunnerForgetsIt(t *testing.T) {
+func TestIdleConnectionExpiresBeforeKeepAliveTimeout(t *testing.T) {
 	g := NewWithT(t)
 	s := serve(t, func(_ int, c net.Conn, in *bufio.Reader) {
-		for answer(c, in, "Keep-Alive: timeout=1\r\n") {
+		for respondOK(c, in, "Keep-Alive: timeout=1\r\n") {
 		}
 	})
-	k := client()
+	k := newClient()
 	for i := range 3 {
-		g.Expect(ask(k, s.address, fmt.Sprint(i))).To(Equal("ok"))
+		g.Expect(get(k, s.address, fmt.Sprint(i))).To(Equal("ok"))
 	}
 	g.Expect(s.count()).To(Equal(3))
 }
 
-// What a runner says of its idle connections in the first answer holds for the later ones.
-func TestWhatARunnerSaidOnceOfItsConnectionsHolds(t *testing.T) {
+// Some runners send Keep-Alive in the first response only: its timeout also applies after
+// later responses.
+func TestKeepAliveOfFirstResponseStaysInForce(t *testing.T) {
 	g := NewWithT(t)
 	s := serve(t, func(_ int, c net.Conn, in *bufio.Reader) {
-		for header := "Keep-Alive: timeout=30\r\n"; answer(c, in, header); header = "" {
+		for header := "Keep-Alive: timeout=30\r\n"; respondOK(c, in, header); header = "" {
 		}
 	})
 	c := New(Options{ConnectTimeout: 5 * time.Second, Idle: time.Second, MaxIdle: 4})
 	for _, id := range []string{"a", "b", "c"} {
-		_, err := ask(c, s.address, id)
+		_, err := get(c, s.address, id)
 		g.Expect(err).NotTo(HaveOccurred())
 		c.Sweep(time.Now().Add(10 * time.Second))
 	}
 	g.Expect(s.count()).To(Equal(1))
 }
 
-// Idle connections that have fallen silent cost one call, not one for each.
-func TestSilentIdleConnectionsCostOneCall(t *testing.T) {
+// Several silent idle connections to a runner must fail one request, not one request each.
+func TestSilentIdleConnectionsFailOneRequest(t *testing.T) {
 	g := NewWithT(t)
 	s := serve(t, func(n int, c net.Conn, in *bufio.Reader) {
-		for answer(c, in, "") {
+		for respondOK(c, in, "") {
 			if n <= 3 {
 				_, _ = io.Copy(io.Discard, in)
 			}
 		}
 	})
-	c := client()
-	threeIdle(t, c, s)
+	c := newClient()
+	openThreeIdle(t, c, s)
 	time.Sleep(20 * time.Millisecond)
 	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer cancel()
 	_, err := c.Do(ctx, s.address, &Request{Method: "GET", Target: "/", Host: "h"})
 	g.Expect(errors.Is(err, context.DeadlineExceeded)).To(BeTrue())
-	_, err = ask(c, s.address, "d")
+	_, err = get(c, s.address, "d")
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(s.count()).To(Equal(4))
 }
 
-// A runner that takes nothing that is sent, as behind a connection that has fallen silent,
-// ends the exchange, though the caller would wait.
-func TestARunnerThatTakesNothingEndsTheExchange(t *testing.T) {
+// A request of which the runner reads nothing, as on a silent connection, must fail long before
+// its deadline.
+func TestUnreadRequestFailsBeforeDeadline(t *testing.T) {
 	g := NewWithT(t)
 	done := make(chan struct{})
 	defer close(done)
 	s := serve(t, func(_ int, _ net.Conn, _ *bufio.Reader) { <-done })
-	ctx, cancel := context.WithTimeout(context.Background(), 20*silentAfter)
+	ctx, cancel := context.WithTimeout(context.Background(), 20*userTimeout)
 	defer cancel()
-	_, err := client().Do(ctx, s.address, &Request{Method: "POST", Target: "/", Host: "h", Body: make([]byte, 64<<20)})
+	_, err := newClient().Do(ctx, s.address, &Request{Method: "POST", Target: "/", Host: "h", Body: make([]byte, 64<<20)})
 	var exchange *ErrExchange
 	g.Expect(errors.As(err, &exchange)).To(BeTrue(), "%v", err)
-	g.Expect(ctx.Err()).NotTo(HaveOccurred(), "long before the caller gives up")
+	g.Expect(ctx.Err()).NotTo(HaveOccurred(), "the exchange must fail before its deadline")
 }
 
-// Connections in use are probed while nothing comes, idle ones are not.
-func TestConnectionsInUseAreProbed(t *testing.T) {
+// Keep-alive probes must be on while a connection is in use and off while it is idle.
+func TestOnlyConnectionsInUseAreProbed(t *testing.T) {
 	g := NewWithT(t)
 	s := serve(t, func(_ int, c net.Conn, in *bufio.Reader) {
-		for answer(c, in, "") {
+		for respondOK(c, in, "") {
 		}
 	})
-	c := client()
+	c := newClient()
 	option := func(k *conn, level, name int) int {
 		raw, err := k.Conn.(*net.TCPConn).SyscallConn()
 		g.Expect(err).NotTo(HaveOccurred())
@@ -221,77 +224,77 @@
 		return value
 	}
 	for range 2 {
-		k, err := c.take(context.Background(), s.address)
+		k, err := c.acquire(context.Background(), s.address)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(option(k, unix.SOL_SOCKET, unix.SO_KEEPALIVE)).To(Equal(1))
-		g.Expect(option(k, unix.IPPROTO_TCP, unix.TCP_KEEPIDLE)).To(Equal(int(probeAfter.Seconds())))
-		g.Expect(option(k, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)).To(Equal(int(silentAfter.Milliseconds())))
-		c.put(k, time.Minute)
+		g.Expect(option(k, unix.IPPROTO_TCP, unix.TCP_KEEPIDLE)).To(Equal(int(keepAliveIdle.Seconds())))
+		g.Expect(option(k, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)).To(Equal(int(userTimeout.Milliseconds())))
+		c.putIdle(k, time.Minute)
 		g.Expect(option(k, unix.SOL_SOCKET, unix.SO_KEEPALIVE)).To(Equal(0))
 	}
 }
 
-// A runner that forgets idle connections without closing them fails one request, not one
-// for each connection; after a while it is trusted again.
-func TestARunnerThatForgetsIdleConnectionsFailsOneRequest(t *testing.T) {
+// A runner that drops idle connections without closing them must fail one request, not one
+// per connection. The idle limit then expires.
+func TestRunnerDroppingIdleConnectionsFailsOneRequest(t *testing.T) {
 	g := NewWithT(t)
-	const rest = 100 * time.Millisecond
+	const keepTime = 100 * time.Millisecond
 	s := serve(t, func(_ int, c net.Conn, in *bufio.Reader) {
-		for answer(c, in, "") {
+		for respondOK(c, in, "") {
 			idle := time.Now()
-			if _, err := in.Peek(1); err != nil || time.Since(idle) >= rest {
+			if _, err := in.Peek(1); err != nil || time.Since(idle) >= keepTime {
 				return
 			}
 		}
 	})
-	c := client()
-	threeIdle(t, c, s)
+	c := newClient()
+	openThreeIdle(t, c, s)
 	g.Expect(s.count()).To(Equal(3))
-	time.Sleep(2 * rest)
+	time.Sleep(2 * keepTime)
 	failed := 0
 	for _, id := range []string{"d", "e", "f"} {
-		if _, err := ask(c, s.address, id); err != nil {
+		if _, err := get(c, s.address, id); err != nil {
 			failed++
 		}
 	}
-	time.Sleep(2 * rest)
-	_, err := ask(c, s.address, "g")
-	g.Expect(err).NotTo(HaveOccurred(), "no connection that rested so long is used")
+	time.Sleep(2 * keepTime)
+	_, err := get(c, s.address, "g")
+	g.Expect(err).NotTo(HaveOccurred(), "connections idle for that long must not be reused")
 	g.Expect(failed).To(Equal(1))
-	f := forgetful{}
+	f := idleLimits{}
 	now := time.Now()
-	f.note("a", 400*time.Millisecond, now)
+	f.record("a", 400*time.Millisecond, now)
 	g.Expect(f.limit("a", now)).To(Equal(200 * time.Millisecond))
-	f.sweep(now.Add(forgetFor))
+	f.sweep(now.Add(idleLimitTTL))
 	g.Expect(f).To(BeEmpty())
 }
 
-func TestAnIdleConnectionThatWasClosedIsNotUsed(t *testing.T) {
+func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	g := NewWithT(t)
 	closed := make(chan struct{}, 2)
 	s := serve(t, func(_ int, c net.Conn, in *bufio.Reader) {
-		answer(c, in, "")
+		respondOK(c, in, "")
 		_ = c.Close()
 		closed <- struct{}{}
 	})
-	k := client()
-	g.Expect(ask(k, s.address, "1")).To(Equal("ok"))
+	k := newClient()
+	g.Expect(get(k, s.address, "1")).To(Equal("ok"))
 	<-closed
 	g.Eventually(func() bool {
 		k.mu.Lock()
 		defer k.mu.Unlock()
-		return open(k.idle[s.address][0].Conn)
+		return stillOpen(k.idle[s.address][0].Conn)
 	}).Should(BeFalse())
-	g.Expect(ask(k, s.address, "2")).To(Equal("ok"))
+	g.Expect(get(k, s.address, "2")).To(Equal("ok"))
 	g.Expect(s.count()).To(Equal(2))
 }
 
-// A second answer to an earlier request, in the place of the next one, is not
-// taken for it; the right one behind it is, and the connection ends.
-func TestASurplusAnswerIsNotTaken(t *testing.T) {
+// A second response to the first request arrives before the response to the second request. It
+// must be skipped, and the connection closed after the right response.
+func TestSurplusResponseIsSkipped(t *testing.T) {
 	g := NewWithT(t)
 	s := serve(t, func(n int, c net.Conn, in *bufio.Reader) {
-		answer(c, in, "")
+		respondOK(c, in, "")
 		if n == 1 {
 			if _, err := http.ReadRequest(in); err != nil {
 				return
@@ -301,14 +304,14 @@
 			_, _ = io.Copy(io.Discard, in)
 		}
 	})
-	k := client()
-	g.Expect(ask(k, s.address, "1")).To(Equal("ok"))
-	g.Expect(ask(k, s.address, "2")).To(Equal("second"))
-	g.Expect(ask(k, s.address, "3")).To(Equal("ok"))
+	k := newClient()
+	g.Expect(get(k, s.address, "1")).To(Equal("ok"))
+	g.Expect(get(k, s.address, "2")).To(Equal("second"))
+	g.Expect(get(k, s.address, "3")).To(Equal("ok"))
 	g.Expect(s.count()).To(Equal(2))
 }
 
-func TestBytesBehindAnAnswerEndTheConnection(t *testing.T) {
+func TestTrailingBytesCloseConnection(t *testing.T) {
 	g := NewWithT(t)
 	s := serve(t, func(n int, c net.Conn, in *bufio.Reader) {
 		r, err := http.ReadRequest(in)
@@ -318,30 +321,30 @@
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: 2\r\n\r\nokrubbish", r.Header.Get("Id"))
 		_, _ = io.Copy(io.Discard, in)
 	})
-	k := client()
+	k := newClient()
 	for i := range 2 {
-		g.Expect(ask(k, s.address, fmt.Sprint(i))).To(Equal("ok"))
+		g.Expect(get(k, s.address, fmt.Sprint(i))).To(Equal("ok"))
 	}
 	g.Expect(s.count()).To(Equal(2))
 }
 
-// A request is never sent twice, also on a kept connection that is closed under
-// it, also when it may be repeated.
-func TestNothingIsSentTwice(t *testing.T) {
+// A request must not be sent again when the runner closes a reused connection, even if it is
+// a GET.
+func TestRequestIsNeverSentTwice(t *testing.T) {
 	g := NewWithT(t)
 	var mu sync.Mutex
 	got := 0
 	s := serve(t, func(_ int, c net.Conn, in *bufio.Reader) {
-		answer(c, in, "")
+		respondOK(c, in, "")
 		if _, err := http.ReadRequest(in); err == nil {
 			mu.Lock()
 			got++
 			mu.Unlock()
 		}
 	})
-	k := client()
-	g.Expect(ask(k, s.address, "1")).To(Equal("ok"))
-	_, err := ask(k, s.address, "2")
+	k := newClient()
+	g.Expect(get(k, s.address, "1")).To(Equal("ok"))
+	_, err := get(k, s.address, "2")
 	var exchange *ErrExchange
 	g.Expect(errors.As(err, &exchange)).To(BeTrue())
 	g.Expect(exchange.Reused).To(BeTrue())
@@ -351,18 +354,18 @@
 	g.Expect(s.count()).To(Equal(1))
 }
 
-func TestNoConnectionMeansNothingWasSent(t *testing.T) {
+func TestRefusedConnectionIsDialError(t *testing.T) {
 	g := NewWithT(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
 	address := l.Addr().String()
 	_ = l.Close()
-	_, err = ask(client(), address, "1")
+	_, err = get(newClient(), address, "1")
 	var dial *ErrDial
 	g.Expect(errors.As(err, &dial)).To(BeTrue())
 }
 
-func TestAnAnswerThatIsResetIsNotWhole(t *testing.T) {
+func TestResetResponseIsError(t *testing.T) {
 	g := NewWithT(t)
 	s := serve(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		if _, err := http.ReadRequest(in); err != nil {
@@ -371,11 +374,11 @@
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nId: 1\r\n\r\npart of")
 		_ = c.(*net.TCPConn).SetLinger(0)
 	})
-	_, err := ask(client(), s.address, "1")
+	_, err := get(newClient(), s.address, "1")
 	g.Expect(err).To(HaveOccurred())
 }
 
-func TestAnAnswerWithoutLengthEndsWithItsConnection(t *testing.T) {
+func TestResponseWithoutLengthEndsAtClose(t *testing.T) {
 	g := NewWithT(t)
 	s := serve(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		if _, err := http.ReadRequest(in); err != nil {
@@ -383,12 +386,12 @@
 		}
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nId: 1\r\n\r\nall of it")
 	})
-	g.Expect(ask(client(), s.address, "1")).To(Equal("all of it"))
+	g.Expect(get(newClient(), s.address, "1")).To(Equal("all of it"))
 }
 
-// A runner that answers before it has read a long body does not get the next
-// request in the place of the rest.
-func TestAnEarlyAnswerEndsTheConnection(t *testing.T) {
+// If a runner responds before it has read a long body, the connection must not be reused: the
+// runner would take the next request for the rest of the body.
+func TestResponseBeforeBodyIsSentClosesConnection(t *testing.T) {
 	g := NewWithT(t)
 	s := serve(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		r, err := http.ReadRequest(in)
@@ -398,7 +401,7 @@
 		fmt.Fprintf(c, "HTTP/1.1 503 Busy\r\nId: %s\r\nContent-Length: 0\r\n\r\n", r.Header.Get("Id"))
 		_, _ = io.Copy(io.Discard, in)
 	})
-	k := client()
+	k := newClient()
 	res, err := k.Do(context.Background(), s.address, &Request{Method: "POST", Target: "/", Host: "h", Header: http.Header{"Id": {"1"}}, Body: []byte(strings.Repeat("x", 64<<20))})
 	g.Expect(err).NotTo(HaveOccurred())
 	_, _ = io.ReadAll(res)
@@ -408,7 +411,7 @@
 	g.Expect(k.idle[s.address]).To(BeEmpty())
 }
 
-func TestTheEndOfTheContextClosesTheConnection(t *testing.T) {
+func TestContextCancellationClosesConnection(t *testing.T) {
 	g := NewWithT(t)
 	read, gone := make(chan struct{}), make(chan struct{})
 	s := serve(t, func(_ int, _ net.Conn, in *bufio.Reader) {
@@ -424,7 +427,7 @@
 		<-read
 		cancel()
 	}()
-	_, err := client().Do(ctx, s.address, &Request{Method: "GET", Target: "/", Host: "h"})
+	_, err := newClient().Do(ctx, s.address, &Request{Method: "GET", Target: "/", Host: "h"})
 	g.Expect(err).To(HaveOccurred())
 	g.Eventually(gone, "20s").Should(BeClosed())
 }
