--- a/pkg/decisionlog/decisionlog.go
+++ b/pkg/decisionlog/decisionlog.go
@@ -1,7 +1,8 @@
 // Package decisionlog writes one line of key=value pairs for each decision that
-// touches a request or changes what the process believes. Writing never blocks:
-// lines wait in a bounded buffer, and what finds no room, or is above its kind's
-// rate, is counted and left out. Lines of failed requests are left out last.
+// concerns a request or changes the state that the process acts on. Writing never
+// blocks: lines wait in a bounded buffer. A line that finds the buffer full, or exceeds
+// the rate limit of its kind, is dropped and counted. Lines of failed requests and of
+// the process are dropped last.
 package decisionlog
 
 import (
@@ -14,32 +15,32 @@
 	"time"
 )
 
-// Kinds of lines that have no rate.
+// Kinds of lines. Each kind has a rate limit of its own.
 const (
 	// KindFailed is for requests that failed or were refused.
 	KindFailed = "failed"
-	// KindProcess is for start, stop, reload and dependencies.
+	// KindProcess is for start, stop and reload of the process and for its dependencies.
 	KindProcess = "process"
-	// KindState is for changes of what the process knows: configuration, runners, gateways.
+	// KindState is for changes of the process's state: configuration, runners, gateways.
 	KindState = "state"
-	// KindDone is for requests that were answered.
+	// KindDone is for requests that ended without an error of the gateway.
 	KindDone = "done"
-	// KindStep is for the steps of a request.
+	// KindStep is for the steps of a request before its end.
 	KindStep = "step"
 )
 
 const (
-	// bufferBytes bounds the lines that wait to be written.
+	// bufferBytes limits the lines that wait to be written. The last line may exceed it.
 	bufferBytes = 256 << 10
-	// reservedBytes of the buffer are for lines of failed requests and of the
-	// process alone.
+	// reservedBytes is the part of the buffer that only lines of failed requests and of
+	// the process may use.
 	reservedBytes = 64 << 10
-	// rateWindow is the time over which lines of a kind are counted.
+	// rateWindow is the window of the rate limits.
 	rateWindow = time.Second
 )
 
-// rates bounds the lines of a kind in each second.
-var rates = map[string]int{KindFailed: 400, KindProcess: 200, KindState: 200, KindDone: 100, KindStep: 100}
+// maxLinesPerWindow is the maximum number of lines per rateWindow, by kind.
+var maxLinesPerWindow = map[string]int{KindFailed: 400, KindProcess: 200, KindState: 200, KindDone: 100, KindStep: 100}
 
 // Field is one key and its value.
 type Field struct {
@@ -47,30 +48,30 @@
 	Value any
 }
 
-// F makes a field.
+// F returns a field.
 func F(key string, value any) Field { return Field{key, value} }
 
-// Log writes lines to one writer.
+// Log writes the lines of one process to one writer.
 type Log struct {
-	process string
-	mu      sync.Mutex
-	buffer  bytes.Buffer
-	wake    chan struct{}
-	counts  map[string]int
-	since   time.Time
-	dropped map[string]int
-	closed  bool
-	done    chan struct{}
+	process     string
+	mu          sync.Mutex
+	buffer      bytes.Buffer
+	wake        chan struct{}
+	counts      map[string]int
+	windowStart time.Time
+	dropped     map[string]int
+	closed      bool
+	done        chan struct{}
 }
 
-// New starts a log of a process.
+// New starts the log of a process. Close ends it.
 func New(process string, w io.Writer) *Log {
 	l := &Log{process: process, wake: make(chan struct{}, 1), counts: map[string]int{}, dropped: map[string]int{}, done: make(chan struct{})}
 	go l.run(w)
 	return l
 }
 
-// Write adds a line. It never waits.
+// Write adds a line to the buffer, or drops it. It never waits for the writer.
 func (l *Log) Write(kind, event string, fields ...Field) {
 	now := time.Now()
 	l.mu.Lock()
@@ -78,28 +79,28 @@
 	if l.closed {
 		return
 	}
-	if now.Sub(l.since) >= rateWindow {
-		l.since = now
+	if now.Sub(l.windowStart) >= rateWindow {
+		l.windowStart = now
 		clear(l.counts)
 		l.writeDropped(now)
 	}
-	if l.counts[kind]++; l.counts[kind] > rates[kind] || l.buffer.Len() > l.room(kind) {
+	if l.counts[kind]++; l.counts[kind] > maxLinesPerWindow[kind] || l.buffer.Len() > l.maxBuffered(kind) {
 		l.dropped[kind]++
 		return
 	}
 	l.append(now, kind, event, fields)
-	l.signal()
+	l.wakeWriter()
 }
 
-// room returns how full the buffer may be for a line of a kind.
-func (l *Log) room(kind string) int {
+// maxBuffered returns how many bytes may already be buffered when a line of a kind is added.
+func (l *Log) maxBuffered(kind string) int {
 	if kind == KindFailed || kind == KindProcess {
 		return bufferBytes
 	}
 	return bufferBytes - reservedBytes
 }
 
-// writeDropped writes how many lines were left out.
+// writeDropped writes how many lines of each kind were dropped, unless the buffer is full.
 func (l *Log) writeDropped(now time.Time) {
 	if l.buffer.Len() > bufferBytes {
 		return
@@ -158,14 +159,14 @@
 	return append(b, s...)
 }
 
-func (l *Log) signal() {
+func (l *Log) wakeWriter() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
 	}
 }
 
-// run writes what waits; a stuck writer holds up only this goroutine.
+// run writes the buffered lines to w. A blocked writer blocks only this goroutine.
 func (l *Log) run(w io.Writer) {
 	defer close(l.done)
 	for range l.wake {
@@ -183,13 +184,13 @@
 	}
 }
 
-// Close writes what waits, at most for the given time.
+// Close writes the buffered lines and waits for that at most as long as wait. Later lines are ignored.
 func (l *Log) Close(wait time.Duration) {
 	l.mu.Lock()
 	l.writeDropped(time.Now())
 	l.closed = true
 	l.mu.Unlock()
-	l.signal()
+	l.wakeWriter()
 	select {
 	case <-l.done:
 	case <-time.After(wait):
--- a/pkg/decisionlog/decisionlog_bench_test.go
+++ b/pkg/decisionlog/decisionlog_bench_test.go
@@ -6,14 +6,13 @@
 	"time"
 )
 
-// BenchmarkWrite tells what one line of a request's end costs, and its size.
+// BenchmarkWrite measures the cost of writing one request_end line.
 func BenchmarkWrite(b *testing.B) {
 	l := New("front-zone-a-1", io.Discard)
 	defer l.Close(time.Second)
 	for b.Loop() {
-		// Each second has room for a bounded number of lines; the benchmark writes
-		// them all.
-		l.since = time.Now().Add(time.Hour)
+		// Resets the rate limit, so that no line is dropped because of it.
+		l.windowStart = time.Now().Add(time.Hour)
 		l.counts[KindDone] = 0
 		l.Write(KindDone, "request_end", F("request", "13fc8ec49aa82a74"), F("route", "r-yevzqfr"), F("service", "kaba98a"), F("version", uint64(2)),
 			F("status", 200), F("outcome", "done"), F("took", 2141*time.Millisecond), F("sends", 1), F("returning", false), F("target", 900*time.Millisecond),
--- a/pkg/decisionlog/decisionlog_test.go
+++ b/pkg/decisionlog/decisionlog_test.go
@@ -11,25 +11,25 @@
 	. "github.com/onsi/gomega"
 )
 
-// stuck is a writer that takes nothing until it is freed.
-type stuck struct {
+// blockedWriter blocks each write until free is closed.
+type blockedWriter struct {
 	free chan struct{}
 	mu   sync.Mutex
 	out  bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *blockedWriter) Write(p []byte) (int, error) {
 	<-s.free
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.out.Write(p)
 }
 
-// A reader of the log that takes nothing holds nobody up, and lines of failed
-// requests are kept longer than others.
-func TestAStuckReaderHoldsNobodyUp(t *testing.T) {
+// A blocked writer must not block callers of Write, and lines of failed requests must be
+// dropped last.
+func TestBlockedWriterDoesNotBlockCallers(t *testing.T) {
 	g := NewWithT(t)
-	w := &stuck{free: make(chan struct{})}
+	w := &blockedWriter{free: make(chan struct{})}
 	l := New("p", w)
 	done := make(chan struct{})
 	go func() {
@@ -51,20 +51,20 @@
 	g.Expect(w.out.String()).To(MatchRegexp(`event=lines_left_out kind=done count=\d+`))
 }
 
-func TestLinesOfAKindAreBounded(t *testing.T) {
+func TestLinesPerKindAreLimited(t *testing.T) {
 	g := NewWithT(t)
 	var out bytes.Buffer
 	l := New("p", &out)
-	l.since = time.Now().Add(time.Hour)
-	for i := range 3 * rates[KindStep] {
+	l.windowStart = time.Now().Add(time.Hour)
+	for i := range 3 * maxLinesPerWindow[KindStep] {
 		l.Write(KindStep, "s", F("n", i))
 	}
 	l.Close(10 * time.Second)
-	g.Expect(strings.Count(out.String(), "event=s ")).To(Equal(rates[KindStep]))
-	g.Expect(out.String()).To(ContainSubstring(fmt.Sprintf("kind=step count=%d", 2*rates[KindStep])))
+	g.Expect(strings.Count(out.String(), "event=s ")).To(Equal(maxLinesPerWindow[KindStep]))
+	g.Expect(out.String()).To(ContainSubstring(fmt.Sprintf("kind=step count=%d", 2*maxLinesPerWindow[KindStep])))
 }
 
-func TestValuesAreOnOneLine(t *testing.T) {
+func TestValuesWithLineBreaksStayOnOneLine(t *testing.T) {
 	g := NewWithT(t)
 	var out bytes.Buffer
 	l := New("p", &out)
--- a/pkg/decisionlog/parse.go
+++ b/pkg/decisionlog/parse.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// Line is one line of a log that was read back.
+// Line is one parsed line of a decision log.
 type Line struct {
 	Time    time.Time
 	Process string
 	Kind    string
 	Event   string
-	// Pairs are the other keys and values in their order.
+	// Pairs are the other keys and values in the order of the line.
 	Pairs []Pair
 }
 
@@ -24,7 +24,7 @@
 	Key, Value string
 }
 
-// Get returns the value of a key, empty if there is none.
+// Get returns the value of a key, empty if the line does not have the key.
 func (l *Line) Get(key string) string {
 	for _, p := range l.Pairs {
 		if p.Key == key {
@@ -34,7 +34,7 @@
 	return ""
 }
 
-// String writes the line for people.
+// String returns the line in a form for people, without date and kind.
 func (l *Line) String() string {
 	var b strings.Builder
 	b.WriteString(l.Time.Format("15:04:05.000") + " " + l.Process + " " + l.Event)
@@ -44,11 +44,11 @@
 	return b.String()
 }
 
-// maxLine bounds one line that is read, in bytes.
+// maxLine is the longest line that Read accepts, in bytes.
 const maxLine = 1 << 20
 
-// Read returns the decisions in a text, whatever stands before them on a line
-// and whatever else the text holds, in the order of their times.
+// Read returns the decision log lines of a text, sorted by time. It ignores any prefix of
+// these lines, and all other lines.
 func Read(r io.Reader) ([]Line, error) {
 	var out []Line
 	scan := bufio.NewScanner(r)
@@ -62,7 +62,7 @@
 	return out, scan.Err()
 }
 
-// Parse reads one line, false if it is no decision.
+// Parse parses one line. It returns false if this is not a decision log line.
 func Parse(text string) (Line, bool) {
 	at := strings.Index(text, "time=")
 	if at < 0 {
@@ -93,7 +93,7 @@
 	return l, l.Event != "" && l.Process != ""
 }
 
-// nextPair takes the first key and value off a text.
+// nextPair returns the first key and value of a text, and the rest of the text.
 func nextPair(text string) (Pair, string) {
 	text = strings.TrimLeft(text, " ")
 	key, rest, ok := strings.Cut(text, "=")
--- a/pkg/decisionlog/story.go
+++ b/pkg/decisionlog/story.go
@@ -7,23 +7,24 @@
 	"time"
 )
 
-// Explanation is one request's way over all processes, with what the processes
-// believed that bears on it.
+// Explanation lists the steps of one request in all processes, with the state changes
+// that may have affected it.
 type Explanation struct {
 	ID string
-	// Lines are the request's own, Context those of the state and of dependencies.
+	// Lines are the lines of the request, Context those about the state of its processes,
+	// their runners and their dependencies.
 	Lines, Context []Line
-	// Outcome and Cause say how it ended and why, in words.
+	// Outcome and Cause describe how the request ended and why.
 	Outcome, Cause string
 }
 
-// contextBefore is how long before a request's end changes of state bear on it.
+// contextBefore is how far back from a request's end lines are included in its context.
 const contextBefore = 10 * time.Second
 
-// ErrNoRequest reports that a log tells nothing of a request.
+// ErrNoRequest reports that a log has no line about a request.
 type ErrNoRequest struct {
 	ID string
-	// Lines is how many decisions were read, LeftOut how many were not written.
+	// Lines is how many lines were read, LeftOut how many of them report dropped lines.
 	Lines, LeftOut int
 }
 
@@ -32,7 +33,7 @@
 	return fmt.Sprintf("no line about the request: id=%s lines=%d left_out=%d", e.ID, e.Lines, e.LeftOut)
 }
 
-// Explain finds a request's story. It fails with *ErrNoRequest.
+// Explain collects what a log contains about a request. It fails with *ErrNoRequest.
 func Explain(lines []Line, id string) (*Explanation, error) {
 	s := &Explanation{ID: id}
 	leftOut := 0
@@ -47,14 +48,14 @@
 	if len(s.Lines) == 0 {
 		return nil, &ErrNoRequest{ID: id, Lines: len(lines), LeftOut: leftOut}
 	}
-	s.context(lines)
-	s.conclude()
+	s.collectContext(lines)
+	s.summarize()
 	return s, nil
 }
 
-// context picks the beliefs about the request's processes and runners; of the
-// configurations only the one that the request was served by.
-func (s *Explanation) context(lines []Line) {
+// collectContext selects the lines about the state of the request's processes and runners.
+// Of the configurations it takes only the one that the request was served with.
+func (s *Explanation) collectContext(lines []Line) {
 	var processes, runners []string
 	for i := range s.Lines {
 		processes = append(processes, s.Lines[i].Process)
@@ -81,21 +82,21 @@
 	}
 }
 
-// noteworthy are the events that a request's end is explained with.
-var noteworthy = []string{"store_lost", "runner_leaving", "runner_gone", "runner_leaving_told", "runner_pause_begins"}
+// causeEvents are the context events that are listed with the cause of a request's end.
+var causeEvents = []string{"store_lost", "runner_leaving", "runner_gone", "runner_leaving_told", "runner_pause_begins"}
 
-// conclude puts the end and its cause into words.
-func (s *Explanation) conclude() {
+// summarize sets Outcome and Cause.
+func (s *Explanation) summarize() {
 	last := &s.Lines[len(s.Lines)-1]
 	if last.Event != "request_end" {
 		s.Outcome = "not ended in this log"
-		s.Cause = "the process ended, or its last lines were left out; last step " + last.Event
+		s.Cause = "the process ended, or its last lines were dropped; last step " + last.Event
 		return
 	}
 	s.Outcome = last.Get("outcome") + ", status " + last.Get("status") + ", after " + last.Get("took")
 	s.Cause = last.Get("error")
 	if s.Cause == "" {
-		s.Cause = "none: the runner's own answer was passed on"
+		s.Cause = "none: the runner's response was forwarded"
 	}
 	for i := range s.Lines[:len(s.Lines)-1] {
 		if l := &s.Lines[i]; l.Kind == KindFailed {
@@ -103,20 +104,20 @@
 		}
 	}
 	for i := range s.Context {
-		if l := &s.Context[i]; slices.Contains(noteworthy, l.Event) {
+		if l := &s.Context[i]; slices.Contains(causeEvents, l.Event) {
 			s.Cause += "\n  meanwhile: " + l.String()
 		}
 	}
 }
 
-// Write writes the story for people.
+// Write writes the explanation as text for people.
 func (s *Explanation) Write(w io.Writer) {
-	fmt.Fprintf(w, "request %s\noutcome %s\ncause   %s\n\nway:\n", s.ID, s.Outcome, s.Cause)
+	fmt.Fprintf(w, "request %s\noutcome %s\ncause   %s\n\nsteps:\n", s.ID, s.Outcome, s.Cause)
 	for i := range s.Lines {
 		fmt.Fprintln(w, "  "+s.Lines[i].String())
 	}
 	if len(s.Context) > 0 {
-		fmt.Fprintf(w, "\nwhat its processes learned in the %s before its end:\n", contextBefore)
+		fmt.Fprintf(w, "\nstate changes and events in its processes in the %s before its end:\n", contextBefore)
 	}
 	for i := range s.Context {
 		fmt.Fprintln(w, "  "+s.Context[i].String())
--- a/pkg/decisionlog/story_test.go
+++ b/pkg/decisionlog/story_test.go
@@ -13,8 +13,8 @@
 	"github.com/hopwell/hopwell/pkg/spectest"
 )
 
-// What is written is what is read back, whatever the values hold.
-func TestWhatIsWrittenIsReadBack(t *testing.T) {
+// Any value that Write writes must be returned unchanged by Read.
+func TestWrittenValuesAreParsedBack(t *testing.T) {
 	spectest.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		var out bytes.Buffer
@@ -47,7 +47,7 @@
   1.2 b time=2026-12-02T10:00:01.200Z process=b kind=done event=request_end request=r2 status=200 outcome=done took=9.0ms
 `
 
-func TestAStoryHasTheWayTheBeliefsAndTheCause(t *testing.T) {
+func TestExplanationHasLinesContextAndCause(t *testing.T) {
 	g := NewWithT(t)
 	lines, err := Read(strings.NewReader(sample))
 	g.Expect(err).NotTo(HaveOccurred())
