--- a/pkg/losses/losses.go
+++ b/pkg/losses/losses.go
@@ -1,6 +1,7 @@
-// Package losses finds in the logs of all processes what requests lost and why, by
-// window of time: which generations and lookups were not answered in time, which
-// prompts were computed in vain, and how full the engines were meanwhile.
+// Package losses finds lost requests and their causes in the decision logs of all
+// processes, by time window: which generations and lookups were not answered in time,
+// which prompts were computed in vain, and the load of the engines. A generation is a
+// request to a model engine, a lookup one to a plain runner.
 package losses
 
 import (
@@ -15,65 +16,67 @@
 // Cause is why a request was not answered in time.
 type Cause string
 
-// The causes. A request has one: the first of these that fits.
+// The causes. A request has one cause, the first that applies.
 const (
-	// InTime is no loss.
+	// InTime: answered in time, not lost.
 	InTime Cause = "in_time"
-	// GatewayLost: the gateway ended while it served the request.
+	// GatewayLost: the log of the gateway has no end of the request, since the gateway ended
+	// while it served the request.
 	GatewayLost Cause = "gateway_lost"
-	// ClientGone: the client left.
+	// ClientGone: the client closed the connection.
 	ClientGone Cause = "client_gone"
 	// NoRoom: refused, since no decode engine had memory for it.
 	NoRoom Cause = "no_room"
-	// OverLimit: refused, since its workspace had used up its limit.
+	// OverLimit: refused, since its workspace had used up its quota.
 	OverLimit Cause = "over_limit"
-	// NoKey: refused for want of a valid key.
+	// NoKey: refused, since it had no valid key.
 	NoKey Cause = "no_key"
-	// KeyUnconfirmed: refused, since its key might have been taken away.
+	// KeyUnconfirmed: refused, since its key might have been revoked.
 	KeyUnconfirmed Cause = "key_unconfirmed"
-	// Quarantined: refused, since it had crashed runners before.
+	// Quarantined: refused, since an equal request had crashed runners before.
 	Quarantined Cause = "quarantined"
-	// NoRegion: refused, since no runner was left in the regions that it is bound to.
+	// NoRegion: refused, since no runner was available in its allowed regions.
 	NoRegion Cause = "no_region"
 	// Evacuated: refused, since all runners were in evacuated failure domains.
 	Evacuated Cause = "evacuated"
-	// RunnerLimit: refused, since all runners name limits and took no more.
+	// RunnerLimit: refused, since the rate limits of all runners were used up.
 	RunnerLimit Cause = "runner_limit"
-	// RunnersUnavailable: refused, since all runners leave, or asked for a pause.
+	// RunnersUnavailable: refused, since all runners were leaving or paused.
 	RunnersUnavailable Cause = "runners_unavailable"
 	// Refused: refused for another reason.
 	Refused Cause = "refused"
-	// EngineLost: the stream broke at its engine, and was ended or resumed.
+	// EngineLost: the stream from its engine broke. The gateway ended or resumed it.
 	EngineLost Cause = "engine_lost"
-	// ServiceFailed: the runner answered with a failure of its own.
+	// ServiceFailed: the runner responded with a status of 500 or above.
 	ServiceFailed Cause = "service_failed"
-	// AnswerLost: the runner's answer did not come, and the request must not be
-	// repeated or no repetition was left.
+	// AnswerLost: the runner's response was not received, and the request was not repeatable
+	// or the retry budget was used up.
 	AnswerLost Cause = "answer_lost"
-	// TimedOut: the time of the client or of the route was over.
+	// TimedOut: the deadline of the client or of the route passed.
 	TimedOut Cause = "timed_out"
-	// Resumed: served, but as the resumption of a stream that broke before.
+	// Resumed: served, but as the client's resumption of a stream that broke before.
 	Resumed Cause = "resumed"
-	// Returned: served after a refusal.
+	// Returned: served, but as the client's retry of a request that was refused.
 	Returned Cause = "returned"
-	// LateFirst: the first event, or a whole answer, came after the target.
+	// LateFirst: the first event of a generation, or the whole response of a lookup, came
+	// later than the route's target.
 	LateFirst Cause = "late_first"
-	// LongPause: a pause between two events was longer than the route's target.
+	// LongPause: a pause between two events was longer than the route's limit for it.
 	LongPause Cause = "long_pause"
 )
 
-// Causes lists the causes in the order of the tables.
+// Causes lists the causes that the tables and charts show, in their order.
 var Causes = []Cause{GatewayLost, EngineLost, NoRoom, OverLimit, NoKey, KeyUnconfirmed, Quarantined, NoRegion, Evacuated, Refused, Returned, Resumed, LateFirst, LongPause, ServiceFailed, AnswerLost, TimedOut, ClientGone}
 
-// Request is one request as its gateway saw it.
+// Request is one request, as its gateway logged it.
 type Request struct {
 	ID, Process, Service string
-	// Generation tells requests to model engines from those to plain services.
+	// Generation is true for requests to model engines, false for those to plain runners.
 	Generation bool
-	// Arrived is by the gateway's clock.
+	// Arrived is the time of arrival by the gateway's clock.
 	Arrived time.Time
 	Cause   Cause
-	// Why is the gateway's own account of a loss.
+	// Why is the gateway's error, or else a summary of its log line.
 	Why string
 }
 
@@ -86,29 +89,30 @@
 	Tokens  int
 }
 
-// Pool is what one gateway knew of a service's engines at one moment.
+// Pool is the state of a service's engines as one gateway logged it at one time.
 type Pool struct {
 	Time             time.Time
 	Process, Service string
-	// Prefill, Decode and Changing are numbers of engines by stage.
+	// Prefill, Decode and Changing are the numbers of engines in the prefill stage, in the
+	// decode stage and changing stage.
 	Prefill, Decode, Changing int
-	// Reserved is the mean share of the decode engines' memory that is reserved.
+	// Reserved is the reserved share of the decode engines' memory, as a mean over the engines.
 	Reserved float64
-	// Waiting is how many requests wait for room at all gateways, Reading the
-	// prompt tokens that wait at prefill engines.
+	// Waiting is the number of requests that wait for engine memory at all gateways, Reading
+	// the number of prompt tokens queued at prefill engines.
 	Waiting, Reading int
 }
 
-// Log is what was found in the logs.
+// Log is the data extracted from the logs.
 type Log struct {
 	Requests []Request
 	Wasted   []Waste
 	Pools    []Pool
-	// Malformed is how many fields could not be read; they count as 0.
+	// Malformed is the number of fields that could not be parsed. They count as 0.
 	Malformed int
 }
 
-// New reads the decisions of all processes, which are in the order of their times.
+// New extracts the data from the lines of all processes, which must be sorted by time.
 func New(lines []decisionlog.Line) *Log {
 	l := &Log{}
 	open := map[string]*decisionlog.Line{}
@@ -119,20 +123,20 @@
 			open[line.Get("request")] = line
 		case "request_end":
 			delete(open, line.Get("request"))
-			l.end(line)
+			l.addRequest(line)
 		case "prompt_wasted":
 			l.Wasted = append(l.Wasted, Waste{
 				Time: line.Time, Request: line.Get("request"), Runner: line.Get("runner"),
 				Reason: line.Get("reason"), Tokens: l.number(line, "tokens"),
 			})
 		case "pool":
-			l.Pools = append(l.Pools, l.pool(line))
+			l.Pools = append(l.Pools, l.parsePool(line))
 		}
 	}
 	for _, line := range open {
 		l.Requests = append(l.Requests, Request{
 			ID: line.Get("request"), Process: line.Process, Service: line.Get("service"), Generation: true,
-			Arrived: line.Time.Add(-l.span(line, "at")), Cause: GatewayLost,
+			Arrived: line.Time.Add(-l.duration(line, "at")), Cause: GatewayLost,
 			Why: "no end in the log; decoding at " + line.Get("runner") + " since " + line.Time.Format("15:04:05.000"),
 		})
 	}
@@ -142,24 +146,24 @@
 	return l
 }
 
-// end takes the end of one request. Those that no route takes are left out.
-func (l *Log) end(line *decisionlog.Line) {
+// addRequest adds a request from its request_end line. It ignores requests that match no route.
+func (l *Log) addRequest(line *decisionlog.Line) {
 	if line.Get("service") == "" {
 		return
 	}
 	r := Request{
 		ID: line.Get("request"), Process: line.Process, Service: line.Get("service"),
-		Generation: line.Get("prompt") != "", Arrived: line.Time.Add(-l.span(line, "took")), Why: line.Get("error"),
+		Generation: line.Get("prompt") != "", Arrived: line.Time.Add(-l.duration(line, "took")), Why: line.Get("error"),
 	}
-	r.Cause = l.cause(line, r.Generation)
+	r.Cause = l.causeOf(line, r.Generation)
 	if r.Why == "" && r.Cause != InTime {
-		r.Why = served(line)
+		r.Why = describeServed(line)
 	}
 	l.Requests = append(l.Requests, r)
 }
 
-// served describes an answer that came, but not in time.
-func served(line *decisionlog.Line) string {
+// describeServed summarizes the line of a lost request that has no error of the gateway.
+func describeServed(line *decisionlog.Line) string {
 	out := "status " + line.Get("status") + " after " + line.Get("took")
 	for _, key := range []string{"room_after", "prefill_after", "first_event", "pause", "runner"} {
 		if v := line.Get(key); v != "" {
@@ -169,8 +173,8 @@
 	return out
 }
 
-// cause finds why a request was lost.
-func (l *Log) cause(line *decisionlog.Line, generation bool) Cause {
+// causeOf returns the cause of a request from its request_end line.
+func (l *Log) causeOf(line *decisionlog.Line, generation bool) Cause {
 	switch line.Get("cause") {
 	case "client_gone":
 		return ClientGone
@@ -204,14 +208,14 @@
 	if status := l.number(line, "status"); status >= 500 {
 		return ServiceFailed
 	}
-	return l.late(line, generation)
+	return l.lateCause(line, generation)
 }
 
-// late finds why an answer that came was not in time.
-func (l *Log) late(line *decisionlog.Line, generation bool) Cause {
-	target := l.span(line, "target")
+// lateCause returns why a response was not in time, or InTime.
+func (l *Log) lateCause(line *decisionlog.Line, generation bool) Cause {
+	target := l.duration(line, "target")
 	if !generation {
-		if target > 0 && l.span(line, "took") > target {
+		if target > 0 && l.duration(line, "took") > target {
 			return LateFirst
 		}
 		return InTime
@@ -223,57 +227,57 @@
 		return Resumed
 	case line.Get("returning") == "true":
 		return Returned
-	case target > 0 && l.span(line, "first_event") > target:
+	case target > 0 && l.duration(line, "first_event") > target:
 		return LateFirst
-	case l.span(line, "gap") > 0 && l.span(line, "pause") > l.span(line, "gap"):
+	case l.duration(line, "gap") > 0 && l.duration(line, "pause") > l.duration(line, "gap"):
 		return LongPause
 	}
 	return InTime
 }
 
-func (l *Log) pool(line *decisionlog.Line) Pool {
+func (l *Log) parsePool(line *decisionlog.Line) Pool {
 	return Pool{
 		Time: line.Time, Process: line.Process, Service: line.Get("service"),
 		Prefill: l.number(line, "prefill"), Decode: l.number(line, "decode"), Changing: l.number(line, "changing"),
-		Reserved: l.share(line, "reserved"), Waiting: l.number(line, "waiting"), Reading: l.number(line, "reading"),
+		Reserved: l.fraction(line, "reserved"), Waiting: l.number(line, "waiting"), Reading: l.number(line, "reading"),
 	}
 }
 
-// number reads a whole number; a field that is missing is 0.
+// number parses an integer. A missing field counts as 0.
 func (l *Log) number(line *decisionlog.Line, key string) int {
 	value := line.Get(key)
 	if value == "" {
 		return 0
 	}
 	n, err := strconv.Atoi(value)
-	l.check(err)
+	l.countMalformed(err)
 	return n
 }
 
-// span reads a duration; a field that is missing is 0.
-func (l *Log) span(line *decisionlog.Line, key string) time.Duration {
+// duration parses a duration. A missing field counts as 0.
+func (l *Log) duration(line *decisionlog.Line, key string) time.Duration {
 	value := line.Get(key)
 	if value == "" {
 		return 0
 	}
 	d, err := time.ParseDuration(value)
-	l.check(err)
+	l.countMalformed(err)
 	return d
 }
 
-// share reads a fraction; a field that is missing is 0.
-func (l *Log) share(line *decisionlog.Line, key string) float64 {
+// fraction parses a fraction. A missing field counts as 0.
+func (l *Log) fraction(line *decisionlog.Line, key string) float64 {
 	value := line.Get(key)
 	if value == "" {
 		return 0
 	}
 	v, err := strconv.ParseFloat(value, 64)
-	l.check(err)
+	l.countMalformed(err)
 	return v
 }
 
-// check counts a field that can't be read.
-func (l *Log) check(err error) {
+// countMalformed counts a field that could not be parsed.
+func (l *Log) countMalformed(err error) {
 	if err != nil {
 		l.Malformed++
 	}
--- a/pkg/losses/losses_test.go
+++ b/pkg/losses/losses_test.go
@@ -14,7 +14,7 @@
 
 const generation = " service=llm target=900.0ms gap=300.0ms prompt=3000 "
 
-// sample is the logs of two gateways, of which one lost power.
+// sample is the logs of gateways a and b. b lost power while it served g5.
 const sample = `
 time=2026-12-02T10:00:01.000Z process=a kind=done event=request_end request=g1 status=200 took=1000.0ms first_event=200.0ms pause=60.0ms returning=false` + generation + `
 time=2026-12-02T10:00:01.100Z process=a kind=done event=request_end request=g2 status=200 took=1000.0ms first_event=950.0ms pause=60.0ms returning=false` + generation + `
@@ -31,7 +31,7 @@
 time=2026-12-02T10:00:02.200Z process=b kind=state event=pool service=llm prefill=3 decode=6 changing=0 reserved=0.700 waiting=4 reading=x
 `
 
-func report(t *testing.T, text string) *Report {
+func newReport(t *testing.T, text string) *Report {
 	lines, err := decisionlog.Read(strings.NewReader(text))
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	start := time.Date(2026, 12, 2, 10, 0, 0, 0, time.UTC)
@@ -40,7 +40,7 @@
 
 func TestEachRequestHasOneCause(t *testing.T) {
 	g := NewWithT(t)
-	r := report(t, sample)
+	r := newReport(t, sample)
 	g.Expect(r.Windows).To(HaveLen(2))
 	first, second := r.Windows[0], r.Windows[1]
 	g.Expect(first.Generations).To(Equal(Count{Total: 5, Lost: map[Cause]int{LateFirst: 1, LongPause: 1, NoRoom: 1, GatewayLost: 1}}))
@@ -52,9 +52,9 @@
 	g.Expect(second.Engines.Waiting).To(BeNumerically("~", 3, 1e-9))
 }
 
-func TestTheWorstWindowSaysWhichRequestsWhenAndWhy(t *testing.T) {
+func TestLostRequestsAreListedWithTimeAndCause(t *testing.T) {
 	g := NewWithT(t)
-	r := report(t, sample)
+	r := newReport(t, sample)
 	worst := r.Worst(1)[0]
 	g.Expect(worst.From).To(Equal(2 * time.Second))
 	var out strings.Builder
@@ -63,25 +63,25 @@
 	g.Expect(out.String()).NotTo(ContainSubstring("g1"))
 }
 
-// A field that can't be read is said, not taken for 0 in silence.
-func TestFieldsThatCannotBeReadAreCounted(t *testing.T) {
+// Fields that can't be parsed count as 0, so the report must give their number.
+func TestMalformedFieldsAreCounted(t *testing.T) {
 	g := NewWithT(t)
-	r := report(t, sample)
+	r := newReport(t, sample)
 	var out strings.Builder
 	g.Expect(r.Write(&out)).To(Succeed())
 	g.Expect(out.String()).To(ContainSubstring("1 fields could not be read"))
 	g.Expect(out.String()).To(MatchRegexp(`all\s+7\s+1\s+0.14`))
 }
 
-func TestAReportIsDrawn(t *testing.T) {
+func TestReportIsDrawnAsSVG(t *testing.T) {
 	g := NewWithT(t)
 	var out strings.Builder
-	g.Expect(report(t, sample).WriteSVG(&out)).To(Succeed())
+	g.Expect(newReport(t, sample).WriteSVG(&out)).To(Succeed())
 	g.Expect(out.String()).To(And(ContainSubstring("<svg"), ContainSubstring(string(GatewayLost)), ContainSubstring("</svg>")))
-	g.Expect(report(t, "nothing").WriteSVG(&out)).To(Succeed())
+	g.Expect(newReport(t, "nothing").WriteSVG(&out)).To(Succeed())
 }
 
-// Whatever lines hold, no request is counted twice and none is lost from the sums.
+// For any request lines, each request must be counted exactly once.
 func TestEveryRequestIsCountedOnce(t *testing.T) {
 	spectest.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
@@ -101,9 +101,9 @@
 	})
 }
 
-func TestRequestsRefusedByARuleHaveCausesOfTheirOwn(t *testing.T) {
+func TestRefusalsHaveSeparateCauses(t *testing.T) {
 	g := NewWithT(t)
-	r := report(t, `
+	r := newReport(t, `
 time=2026-12-02T10:00:00.100Z process=a kind=failed event=request_end request=q1 status=429 took=0.0ms cause=over_limit error="quota used up" returning=false`+generation+`
 time=2026-12-02T10:00:00.200Z process=a kind=failed event=request_end request=q2 status=401 took=0.0ms service=app cause=no_key error="no valid key"
 time=2026-12-02T10:00:00.300Z process=a kind=failed event=request_end request=q3 status=503 took=0.0ms service=app cause=key_unconfirmed error="keys not confirmed"
--- a/pkg/losses/plot.go
+++ b/pkg/losses/plot.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// plotWidth and plotHeight are the size of the picture, panelHeight that of
-	// the part for generations; the rest is for the engines' state.
+	// plotWidth and plotHeight are the size of the image, panelHeight is the height of the
+	// chart of generations. The chart of the engines' state takes the rest.
 	plotWidth   = 26 * vg.Centimeter
 	plotHeight  = 18 * vg.Centimeter
 	panelHeight = 11 * vg.Centimeter
-	// barFill is the part of a window's width that its bar takes.
+	// barFill is the share of a window's width that its bar fills.
 	barFill = 0.8
 )
 
-// ErrPlot reports that a report can't be drawn.
+// ErrPlot reports that a part of a report can't be drawn.
 type ErrPlot struct {
 	Part string
 	Err  error
@@ -34,14 +34,14 @@
 // Unwrap returns the cause.
 func (e *ErrPlot) Unwrap() error { return e.Err }
 
-// WriteSVG draws the generations by cause in bars over time, and below them the
-// engines' reserved memory and waiting requests.
+// WriteSVG draws a bar chart of the generations by cause over time, and below it a chart of
+// the engines by stage, their reserved memory and the waiting requests.
 func (r *Report) WriteSVG(w io.Writer) error {
-	bars, err := r.bars()
+	bars, err := r.causeChart()
 	if err != nil {
 		return err
 	}
-	engines, err := r.lines()
+	engines, err := r.engineChart()
 	if err != nil {
 		return err
 	}
@@ -53,8 +53,8 @@
 	return err
 }
 
-// shade returns one of n colours that are told apart.
-func shade(i, n int) color.Color {
+// paletteColor returns color i of n. Colors repeat if n exceeds the palette.
+func paletteColor(i, n int) color.Color {
 	palette := []color.RGBA{
 		{0x4c, 0x78, 0xa8, 0xff}, {0xe4, 0x57, 0x56, 0xff}, {0xf5, 0x8b, 0x1f, 0xff}, {0xb7, 0x9a, 0x20, 0xff}, {0x72, 0xb7, 0xb2, 0xff},
 		{0x9d, 0x75, 0x5d, 0xff}, {0xee, 0xca, 0x3b, 0xff}, {0xb2, 0x79, 0xa2, 0xff}, {0xff, 0x9d, 0xa6, 0xff}, {0x59, 0x59, 0x59, 0xff},
@@ -63,10 +63,10 @@
 	return palette[i%min(n, len(palette))]
 }
 
-// bars draws how many generations of each window were in time, and what was lost.
-func (r *Report) bars() (*plot.Plot, error) {
+// causeChart draws the generations in time and the lost ones by cause for each window.
+func (r *Report) causeChart() (*plot.Plot, error) {
 	p := plot.New()
-	p.Title.Text = "Generations by the time of their arrival"
+	p.Title.Text = "Generations by time of arrival"
 	p.Y.Label.Text = "generations"
 	p.Legend.Top = true
 	width := (plotWidth - 2*vg.Centimeter) / vg.Length(max(1, len(r.Windows))) * barFill
@@ -76,7 +76,7 @@
 		values := make(plotter.Values, len(r.Windows))
 		sum := 0.0
 		for n := range r.Windows {
-			values[n] = r.Windows[n].Generations.of(cause)
+			values[n] = r.Windows[n].Generations.countOf(cause)
 			sum += values[n]
 		}
 		if sum == 0 {
@@ -86,7 +86,7 @@
 		if err != nil {
 			return nil, &ErrPlot{Part: string(cause), Err: err}
 		}
-		bar.Color, bar.LineStyle.Width = shade(i, len(parts)), 0
+		bar.Color, bar.LineStyle.Width = paletteColor(i, len(parts)), 0
 		if below != nil {
 			bar.StackOn(below)
 		}
@@ -98,18 +98,18 @@
 	return p, nil
 }
 
-// of returns how many requests ended so.
-func (c Count) of(cause Cause) float64 {
+// countOf returns the number of requests with a cause.
+func (c Count) countOf(cause Cause) float64 {
 	if cause == InTime {
 		return float64(c.InTime())
 	}
 	return float64(c.Lost[cause])
 }
 
-// lines draws the engines' state.
-func (r *Report) lines() (*plot.Plot, error) {
+// engineChart draws the state of the engines over time.
+func (r *Report) engineChart() (*plot.Plot, error) {
 	p := plot.New()
-	p.X.Label.Text = "seconds from " + r.Start.Format("15:04:05")
+	p.X.Label.Text = "seconds since " + r.Start.Format("15:04:05")
 	p.Y.Label.Text = "engines; reserved memory x 10"
 	p.Legend.Top = true
 	series := []struct {
@@ -130,7 +130,7 @@
 		if err != nil {
 			return nil, &ErrPlot{Part: s.name, Err: err}
 		}
-		line.Color = shade(i, len(series))
+		line.Color = paletteColor(i, len(series))
 		p.Add(line)
 		p.Legend.Add(s.name, line)
 	}
@@ -138,10 +138,10 @@
 	return p, nil
 }
 
-// ticksWanted is about how many labels the time axis has.
+// ticksWanted is the approximate number of labels on the time axis.
 const ticksWanted = 12
 
-// ticks labels windows by their second.
+// ticks returns the labels of the time axis, in seconds since the report's start.
 func (r *Report) ticks() plot.ConstantTicks {
 	var out plot.ConstantTicks
 	step := max(1, len(r.Windows)/ticksWanted)
--- a/pkg/losses/text.go
+++ b/pkg/losses/text.go
@@ -7,10 +7,10 @@
 	"text/tabwriter"
 )
 
-// Write writes the tables for people: generations, lookups, wasted prompts and the
-// engines' state by window.
+// Write writes tables for people: generations, lookups, wasted prompt tokens and the
+// state of the engines, by window.
 func (r *Report) Write(w io.Writer) error {
-	fmt.Fprintf(w, "from %s, windows of %s, by the gateways' clocks and the requests' arrival\n", r.Start.Format("15:04:05.000"), r.Length)
+	fmt.Fprintf(w, "from %s, windows of %s, requests by time of arrival on the gateways' clocks\n", r.Start.Format("15:04:05.000"), r.Length)
 	if n := r.log.Malformed; n > 0 {
 		fmt.Fprintf(w, "%d fields could not be read and count as 0\n", n)
 	}
@@ -22,7 +22,7 @@
 	return out.Flush()
 }
 
-// writeCounts writes one table of causes; causes that never occur have no column.
+// writeCounts writes one table of causes. Causes without requests have no column.
 func (r *Report) writeCounts(w io.Writer, title string, pick func(*Window) *Count) {
 	total := r.Total()
 	var causes []Cause
@@ -39,7 +39,7 @@
 	row := func(name string, c *Count) {
 		fmt.Fprintf(w, "%s\t%d\t%d\t%.2f\t", name, c.Total, c.InTime(), c.Share())
 		for _, cause := range causes {
-			fmt.Fprintf(w, "%s\t", blank(c.Lost[cause]))
+			fmt.Fprintf(w, "%s\t", blankIfZero(c.Lost[cause]))
 		}
 		fmt.Fprintln(w)
 	}
@@ -49,8 +49,8 @@
 	row("all", pick(&total))
 }
 
-// blank writes a number, nothing for 0.
-func blank(n int) string {
+// blankIfZero formats a number, 0 as an empty string.
+func blankIfZero(n int) string {
 	if n == 0 {
 		return ""
 	}
@@ -62,11 +62,11 @@
 	if len(reasons) == 0 {
 		return
 	}
-	fmt.Fprintf(w, "\nPROMPT TOKENS IN VAIN\t%s\t\n", strings.Join(reasons, "\t"))
+	fmt.Fprintf(w, "\nWASTED PROMPT TOKENS\t%s\t\n", strings.Join(reasons, "\t"))
 	row := func(name string, tokens map[string]int) {
 		fmt.Fprintf(w, "%s\t", name)
 		for _, reason := range reasons {
-			fmt.Fprintf(w, "%s\t", blank(tokens[reason]))
+			fmt.Fprintf(w, "%s\t", blankIfZero(tokens[reason]))
 		}
 		fmt.Fprintln(w)
 	}
@@ -86,7 +86,7 @@
 	}
 }
 
-// WriteLost writes which requests of a window were lost, when and why.
+// WriteLost lists the lost requests of a window with their arrival times and causes.
 func (r *Report) WriteLost(w io.Writer, window Window) error {
 	fmt.Fprintf(w, "\nlost requests that arrived in the %s from %s\n", r.Length, window.From)
 	out := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
--- a/pkg/losses/window.go
+++ b/pkg/losses/window.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Count is requests of one sort that arrived in a window.
+// Count is the number of generations, or of lookups, that arrived in a window.
 type Count struct {
 	Total int
-	// Lost counts the requests by why they were not answered in time.
+	// Lost is the number of requests that were not answered in time, by cause.
 	Lost map[Cause]int
 }
 
-// InTime is how many were answered in time.
+// InTime returns the number of requests that were answered in time.
 func (c Count) InTime() int {
 	n := c.Total
 	for _, lost := range c.Lost {
@@ -23,7 +23,7 @@
 	return n
 }
 
-// Share is the part that was answered in time, 1 of none.
+// Share returns the share of the requests that was answered in time, 1 if there were none.
 func (c Count) Share() float64 {
 	if c.Total == 0 {
 		return 1
@@ -31,23 +31,24 @@
 	return float64(c.InTime()) / float64(c.Total)
 }
 
-// Window is a stretch of time.
+// Window is the data of one time window.
 type Window struct {
-	// From is the time since the report's start.
+	// From is the start of the window, relative to the start of the report.
 	From                 time.Duration
 	Generations, Lookups Count
-	// Wasted is prompt tokens that were computed in vain, by reason.
+	// Wasted is the number of prompt tokens that were computed in vain, by reason.
 	Wasted map[string]int
-	// Engines is the mean of what the gateways knew of the engines.
+	// Engines is the mean state of the engines.
 	Engines Engines
 }
 
-// Engines is the state of the engines in a window, as means over gateways and time.
+// Engines is the state of the engines in a window, as means over all Pool entries of all
+// gateways in the window. See Pool for the fields.
 type Engines struct {
 	Prefill, Decode, Changing, Reserved, Waiting, Reading float64
 }
 
-// Report is the losses by window.
+// Report is the data of a log by window.
 type Report struct {
 	Start   time.Time
 	Length  time.Duration
@@ -55,8 +56,8 @@
 	log     *Log
 }
 
-// Report cuts the log into windows of a length, from a start; the zero time takes
-// that of the first request.
+// Report divides the log into windows of the given length from start. If start is zero, the
+// first window starts with the first request.
 func (l *Log) Report(start time.Time, length time.Duration) *Report {
 	if start.IsZero() && len(l.Requests) > 0 {
 		start = l.Requests[0].Arrived
@@ -82,11 +83,12 @@
 			w.Wasted[l.Wasted[i].Reason] += l.Wasted[i].Tokens
 		}
 	}
-	r.engines()
+	r.averageEngines()
 	return r
 }
 
-// window returns the window of a moment, nil before the start.
+// window returns the window that contains a time, nil if that is before the start. It adds
+// windows as needed.
 func (r *Report) window(at time.Time) *Window {
 	n := int(at.Sub(r.Start) / r.Length)
 	if at.Before(r.Start) {
@@ -101,8 +103,8 @@
 	return &r.Windows[n]
 }
 
-// engines fills the means of the engines' state.
-func (r *Report) engines() {
+// averageEngines sets the Engines of all windows.
+func (r *Report) averageEngines() {
 	samples := make([]float64, len(r.Windows))
 	for i := range r.log.Pools {
 		p := &r.log.Pools[i]
@@ -124,16 +126,16 @@
 	}
 }
 
-// Worst returns the windows with the smallest part of generations in time, the
-// worst first.
+// Worst returns the n windows with the smallest share of generations in time, the
+// smallest first.
 func (r *Report) Worst(n int) []Window {
 	out := slices.Clone(r.Windows)
 	slices.SortStableFunc(out, func(a, b Window) int { return cmp.Compare(a.Generations.Share(), b.Generations.Share()) })
 	return out[:min(n, len(out))]
 }
 
-// Lost returns the requests of a window that were not answered in time, in the order
-// of their arrival.
+// Lost returns the requests of a window that were not answered in time, sorted by
+// arrival.
 func (r *Report) Lost(w Window) []Request {
 	var out []Request
 	for _, q := range r.log.Requests {
@@ -144,7 +146,7 @@
 	return out
 }
 
-// Total returns the sum over all windows, without the engines' state.
+// Total returns the sum of all windows, without Engines.
 func (r *Report) Total() Window {
 	sum := Window{Generations: Count{Lost: map[Cause]int{}}, Lookups: Count{Lost: map[Cause]int{}}, Wasted: map[string]int{}}
 	for _, w := range r.Windows {
@@ -161,7 +163,7 @@
 	return sum
 }
 
-// Reasons returns the reasons for wasted prompts, in the order of their names.
+// Reasons returns the reasons for wasted prompt tokens, sorted by name.
 func (r *Report) Reasons() []string {
 	return slices.Sorted(maps.Keys(r.Total().Wasted))
 }
