--- a/pkg/logs/logs.go
+++ b/pkg/logs/logs.go
@@ -1,6 +1,6 @@
-// Package logs writes hopwell's logs through klog: one line of key=value pairs
-// for each event. Every layer of the program has a logger of its own, which a
-// command-line flag switches on.
+// Package logs writes hopwell's logs through klog, one line of key=value pairs
+// per event. Each layer of the program has its own logger, which is enabled by a
+// command-line flag.
 package logs
 
 import (
@@ -12,7 +12,7 @@
 	"k8s.io/klog/v2"
 )
 
-// Layers that `--log` can switch on. Warnings and errors of all layers are
+// Layers that `--log` can enable. Warnings and errors of all layers are
 // always written.
 const (
 	LayerGateway = "gateway"
@@ -27,11 +27,11 @@
 
 // Logger writes the events of one layer.
 type Logger struct {
-	layer string
-	on    atomic.Bool
+	layer   string
+	enabled atomic.Bool
 }
 
-// loggers holds one Logger for each layer, made once.
+// loggers holds the Logger of each layer.
 var loggers = func() map[string]*Logger {
 	m := map[string]*Logger{}
 	for _, l := range Layers {
@@ -40,7 +40,7 @@
 	return m
 }()
 
-// ErrLayer reports that no layer has that name.
+// ErrLayer reports an unknown layer name.
 type ErrLayer struct {
 	Name string
 }
@@ -50,13 +50,13 @@
 	return "unknown log layer: name=" + e.Name + " expected=" + strings.Join(Layers, ",")
 }
 
-// For returns the logger of a layer.
+// For returns the logger of a layer, nil for an unknown layer.
 func For(layer string) *Logger { return loggers[layer] }
 
-// AdoptLibrary sends the HTTP library's own messages to the http layer.
+// AdoptLibrary redirects the messages of the HTTP library (nbio) to the http layer.
 var AdoptLibrary = sync.OnceFunc(func() { logging.SetLogger(libraryLogger{For(LayerHTTP)}) })
 
-// Enable switches on the layers of a comma-separated list. It fails with
+// Enable enables the layers of a comma-separated list. It fails with
 // *ErrLayer.
 func Enable(list string) error {
 	if list == "" {
@@ -67,30 +67,30 @@
 		if !ok {
 			return &ErrLayer{Name: name}
 		}
-		l.on.Store(true)
+		l.enabled.Store(true)
 	}
 	return nil
 }
 
-// Info writes an event if the layer is on. The arguments are keys and values
-// in turn.
+// Info writes an event if the layer is enabled. The arguments are alternating keys
+// and values.
 func (l *Logger) Info(event string, keysAndValues ...any) {
-	if l.on.Load() {
+	if l.enabled.Load() {
 		klog.InfoSDepth(1, event, append(keysAndValues, "layer", l.layer)...)
 	}
 }
 
-// On reports whether the layer is switched on, for callers whose arguments
-// cost something to make.
-func (l *Logger) On() bool { return l.on.Load() }
+// On reports whether the layer is enabled, for callers with arguments that are
+// expensive to compute.
+func (l *Logger) On() bool { return l.enabled.Load() }
 
-// Warn writes an event whether the layer is on or not.
+// Warn writes an event even if the layer is not enabled.
 func (l *Logger) Warn(event string, err error, keysAndValues ...any) {
 	klog.ErrorSDepth(1, err, event, append(keysAndValues, "layer", l.layer)...)
 }
 
-// libraryLogger sends nbio's messages to a layer. nbio reports closed
-// connections as errors, which are ordinary events here.
+// libraryLogger writes nbio's messages at info level to a layer, without debug messages.
+// nbio reports closed connections as errors, but here they are normal.
 type libraryLogger struct{ l *Logger }
 
 func (a libraryLogger) Debug(string, ...any) {}
