--- a/pkg/decisionlog/decisionlog.go
+++ b/pkg/decisionlog/decisionlog.go
@@ -1,8 +1,8 @@
 // Package decisionlog writes one line of key=value pairs for each decision that
 // concerns a request or changes the state that the process acts on. Writing never
-// blocks: lines wait in a bounded buffer. A line that finds the buffer full, or exceeds
-// the rate limit of its kind, is dropped and counted. Lines of failed requests and of
-// the process are dropped last.
+// blocks: lines wait in a bounded buffer. A line is dropped and counted if the buffer
+// is full or the rate limit of its kind is reached. Lines of failed requests and of the
+// process are dropped last.
 package decisionlog
 
 import (
@@ -184,7 +184,7 @@
 	}
 }
 
-// Close writes the buffered lines and waits for that at most as long as wait. Later lines are ignored.
+// Close writes the buffered lines, waiting no longer than the given time. Later lines are ignored.
 func (l *Log) Close(wait time.Duration) {
 	l.mu.Lock()
 	l.writeDropped(time.Now())
--- a/pkg/losses/losses.go
+++ b/pkg/losses/losses.go
@@ -94,7 +94,7 @@
 	Time             time.Time
 	Process, Service string
 	// Prefill, Decode and Changing are the numbers of engines in the prefill stage, in the
-	// decode stage and changing stage.
+	// decode stage and in a stage change.
 	Prefill, Decode, Changing int
 	// Reserved is the reserved share of the decode engines' memory, as a mean over the engines.
 	Reserved float64
@@ -115,14 +115,14 @@
 // New extracts the data from the lines of all processes, which must be sorted by time.
 func New(lines []decisionlog.Line) *Log {
 	l := &Log{}
-	open := map[string]*decisionlog.Line{}
+	decoding := map[string]*decisionlog.Line{}
 	for i := range lines {
 		line := &lines[i]
 		switch line.Event {
 		case "decode_begin":
-			open[line.Get("request")] = line
+			decoding[line.Get("request")] = line
 		case "request_end":
-			delete(open, line.Get("request"))
+			delete(decoding, line.Get("request"))
 			l.addRequest(line)
 		case "prompt_wasted":
 			l.Wasted = append(l.Wasted, Waste{
@@ -133,7 +133,7 @@
 			l.Pools = append(l.Pools, l.parsePool(line))
 		}
 	}
-	for _, line := range open {
+	for _, line := range decoding {
 		l.Requests = append(l.Requests, Request{
 			ID: line.Get("request"), Process: line.Process, Service: line.Get("service"), Generation: true,
 			Arrived: line.Time.Add(-l.duration(line, "at")), Cause: GatewayLost,
--- a/pkg/upstream/forgetful.go
+++ b/pkg/upstream/forgetful.go
@@ -17,13 +17,13 @@
 type idleLimits map[string]idleLimit
 
 type idleLimit struct {
-	limit time.Duration
-	until time.Time
+	limit   time.Duration
+	expires time.Time
 }
 
 // limit returns how long a connection to an address may be idle before reuse.
 func (f idleLimits) limit(address string, now time.Time) time.Duration {
-	if r, ok := f[address]; ok && now.Before(r.until) {
+	if r, ok := f[address]; ok && now.Before(r.expires) {
 		return r.limit
 	}
 	return time.Duration(1<<63 - 1)
@@ -32,13 +32,13 @@
 // record lowers the limit after a request failed on a connection that had been idle for idleFor.
 func (f idleLimits) record(address string, idleFor time.Duration, now time.Time) {
 	limit := min(f.limit(address, now), time.Duration(idleLimitFactor*float64(idleFor)))
-	f[address] = idleLimit{limit: limit, until: now.Add(idleLimitTTL)}
+	f[address] = idleLimit{limit: limit, expires: now.Add(idleLimitTTL)}
 }
 
 // sweep removes expired limits.
 func (f idleLimits) sweep(now time.Time) {
 	for address, r := range f {
-		if !now.Before(r.until) {
+		if !now.Before(r.expires) {
 			delete(f, address)
 		}
 	}
--- a/pkg/upstream/pool.go
+++ b/pkg/upstream/pool.go
@@ -107,7 +107,7 @@
 	c.idle[k.address] = append(list, k)
 }
 
-// Limit sets the maximum number of idle connections per address. Idle connections above it stay open.
+// Limit sets the maximum number of idle connections per address. It closes no connections.
 func (c *Client) Limit(idle int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/pkg/upstream/sockets.go
+++ b/pkg/upstream/sockets.go
@@ -32,11 +32,11 @@
 	if err != nil {
 		return err
 	}
-	var set error
+	var optErr error
 	err = raw.Control(func(fd uintptr) {
-		set = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
+		optErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
-	return errors.Join(err, set, tcp.SetKeepAliveConfig(net.KeepAliveConfig{
+	return errors.Join(err, optErr, tcp.SetKeepAliveConfig(net.KeepAliveConfig{
 		Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: 1,
 	}))
 }
--- a/pkg/upstream/upstream.go
+++ b/pkg/upstream/upstream.go
@@ -31,8 +31,8 @@
 	inlineBody = 32 << 10
 	// writeTimeout limits each write to a runner: the head, or one chunk of the body. It is
 	// several times longer than the retransmission of a lost packet takes. A body that
-	// the runner doesn't read counts against the gateway's memory, and its client waits for
-	// nothing.
+	// the runner doesn't read counts against the gateway's memory, and its client waits in
+	// vain.
 	writeTimeout = 3 * time.Second
 	// idleMargin is how long before the runner's keep-alive timeout the gateway stops
 	// using an idle connection.
@@ -108,7 +108,7 @@
 type Options struct {
 	// ConnectTimeout limits the time to open a connection.
 	ConnectTimeout time.Duration
-	// Idle is the keep-alive timeout of runners that send none.
+	// Idle is the keep-alive timeout assumed for runners that send none.
 	Idle time.Duration
 	// MaxIdle is the maximum number of idle connections per address.
 	MaxIdle int
@@ -172,7 +172,7 @@
 	return nil, &ErrExchange{Address: address, Reused: k.uses > 1, Err: err}
 }
 
-// respond wraps a response. At the end of the response the connection is closed or kept for reuse.
+// respond wraps a response, at whose end the connection is closed or kept for reuse.
 func (c *Client) respond(k *conn, res *http.Response, stop func() bool, wrote <-chan error, surplus int) *Response {
 	out := &Response{Response: res}
 	out.done = func(complete bool) {
@@ -249,8 +249,8 @@
 
 // sendBody writes a long body in chunks of inlineBody bytes.
 func (k *conn) sendBody(body []byte) error {
-	for unit := range slices.Chunk(body, inlineBody) {
-		if err := k.send(unit); err != nil {
+	for chunk := range slices.Chunk(body, inlineBody) {
+		if err := k.send(chunk); err != nil {
 			return err
 		}
 	}
--- a/pkg/upstream/upstream_test.go
+++ b/pkg/upstream/upstream_test.go
@@ -126,7 +126,7 @@
 	g.Expect(s.count()).To(Equal(1))
 }
 
-func TestIdleConnectionLimitIsKept(t *testing.T) {
+func TestMaxIdleIsEnforced(t *testing.T) {
 	g := NewWithT(t)
 	s := serve(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		for respondOK(c, in, "") {
