--- a/pkg/decisionlog/story.go
+++ b/pkg/decisionlog/story.go
@@ -112,7 +112,7 @@
 
 // Write writes the explanation as text for people.
 func (s *Explanation) Write(w io.Writer) {
-	fmt.Fprintf(w, "request %s\noutcome %s\ncause   %s\n\nsteps:\n", s.ID, s.Outcome, s.Cause)
+	fmt.Fprintf(w, "request %s\noutcome %s\ncause   %s\n\nway:\n", s.ID, s.Outcome, s.Cause)
 	for i := range s.Lines {
 		fmt.Fprintln(w, "  "+s.Lines[i].String())
 	}
--- a/pkg/losses/text.go
+++ b/pkg/losses/text.go
@@ -62,7 +62,7 @@
 	if len(reasons) == 0 {
 		return
 	}
-	fmt.Fprintf(w, "\nWASTED PROMPT TOKENS\t%s\t\n", strings.Join(reasons, "\t"))
+	fmt.Fprintf(w, "\nPROMPT TOKENS IN VAIN\t%s\t\n", strings.Join(reasons, "\t"))
 	row := func(name string, tokens map[string]int) {
 		fmt.Fprintf(w, "%s\t", name)
 		for _, reason := range reasons {
