--- a/pkg/enginepool/demand_test.go
+++ b/pkg/enginepool/demand_test.go
@@ -9,11 +9,11 @@
 
 // recordResponses begins and ends n requests on an engine, with prompts of a length in tokens
 // and a guessed length of the response.
-func recordResponses(p *Pool, n, prompt, guess int, now time.Time) {
+func recordResponses(p *Pool, n, prompt, hint int, now time.Time) {
 	for i := range n {
 		id := "job" + string(rune('a'+i%26))
 		e := p.engine("d1")
-		e.own[id] = &reservation{job: Job{ID: id, Prompt: prompt, Length: p.Lengths.Estimate(guess, 0)}}
+		e.own[id] = &reservation{job: Job{ID: id, Prompt: prompt, Length: p.Lengths.Estimate(hint, 0)}}
 		p.Made("d1", id, 1, now)
 		delete(e.own, id)
 	}
@@ -21,9 +21,9 @@
 
 func TestPrefillShareDependsOnPromptAndResponseLengths(t *testing.T) {
 	g := NewWithT(t)
-	share := func(prompt, guess int) float64 {
+	share := func(prompt, hint int) float64 {
 		p, _ := pool(2, 1, 40000)
-		recordResponses(p, 2*minResponses, prompt, guess, time.Now())
+		recordResponses(p, 2*minResponses, prompt, hint, time.Now())
 		s, known := p.PrefillShare()
 		g.Expect(known).To(BeTrue())
 		return s
--- a/pkg/enginepool/engine.go
+++ b/pkg/enginepool/engine.go
@@ -118,7 +118,7 @@
 func variance(left, spread float64) float64 { return left * left * math.Expm1(spread*spread) }
 
 // running returns how many requests have a reservation, of all gateways.
-func (e *engine) running() int {
+func (e *engine) reservationCount() int {
 	n := len(e.own)
 	for _, reported := range e.peers {
 		n += len(reported.loads)
@@ -134,7 +134,7 @@
 // prompt again. To avoid that, room reserves a margin: deviations times the standard
 // deviation of all tokens still to come.
 func (e *engine) room(j Job, now time.Time, rate, spread, deviations float64) float64 {
-	if e.running() >= e.slots {
+	if e.reservationCount() >= e.slots {
 		return -1
 	}
 	footprints := e.footprints(now, rate, spread)
--- a/pkg/enginepool/enginepool_test.go
+++ b/pkg/enginepool/enginepool_test.go
@@ -40,7 +40,7 @@
 func wait(p *Pool, j Job, rank Rank, limit time.Duration) (*runners.State, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
-	return p.Wait(ctx, p.Join(j, rank))
+	return p.Wait(ctx, p.NewWaiter(j, rank))
 }
 
 func TestWaitChoosesRunnerWithMostRoom(t *testing.T) {
@@ -62,7 +62,7 @@
 		for i := range rapid.IntRange(2, 12).Draw(t, "jobs") {
 			j := job(fmt.Sprint(i), 900, 50)
 			j.Priority = rapid.IntRange(0, 3).Draw(t, "priority")
-			p.enqueue(p.Join(j, rapid.SampledFrom([]Rank{Begun, Returning, Fresh, Late}).Draw(t, "rank")))
+			p.enqueue(p.NewWaiter(j, rapid.SampledFrom([]Rank{Begun, Returning, Fresh, Late}).Draw(t, "rank")))
 		}
 		for i := 1; i < len(p.waiting); i++ {
 			a, b := p.waiting[i-1], p.waiting[i]
@@ -127,7 +127,7 @@
 	p, _ := pool(1, 0, 1000)
 	s, err := wait(p, job("first", 900, 50), Fresh, time.Second)
 	g.Expect(err).NotTo(HaveOccurred())
-	fresh, back := p.Join(job("fresh", 900, 50), Fresh), p.Join(job("back", 900, 50), Returning)
+	fresh, back := p.NewWaiter(job("fresh", 900, 50), Fresh), p.NewWaiter(job("back", 900, 50), Returning)
 	p.enqueue(fresh)
 	p.enqueue(back)
 	p.End(s.ID, "first", time.Now())
@@ -140,7 +140,7 @@
 	p, _ := pool(1, 0, 1000)
 	_, err := wait(p, job("first", 400, 50), Fresh, time.Second)
 	g.Expect(err).NotTo(HaveOccurred())
-	large, larger, small := p.Join(job("large", 700, 50), Fresh), p.Join(job("larger", 800, 50), Fresh), p.Join(job("small", 100, 50), Fresh)
+	large, larger, small := p.NewWaiter(job("large", 700, 50), Fresh), p.NewWaiter(job("larger", 800, 50), Fresh), p.NewWaiter(job("small", 100, 50), Fresh)
 	for _, w := range []*Waiter{large, larger, small} {
 		p.enqueue(w)
 	}
@@ -166,22 +166,22 @@
 	spectest.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		n := rapid.IntRange(0, 8).Draw(t, "n")
-		var stays []footprint
+		var footprints []footprint
 		for range n {
-			stays = append(stays, footprint{now: float64(rapid.IntRange(1, 500).Draw(t, "now")), left: float64(rapid.IntRange(0, 200).Draw(t, "left"))})
+			footprints = append(footprints, footprint{now: float64(rapid.IntRange(1, 500).Draw(t, "now")), left: float64(rapid.IntRange(0, 200).Draw(t, "left"))})
 		}
 		add := footprint{now: float64(rapid.IntRange(1, 500).Draw(t, "prompt")), left: float64(rapid.IntRange(0, 200).Draw(t, "out"))}
 		most := 0.0
 		for at := 0; at <= 200; at++ {
 			sum := 0.0
-			for _, p := range append(slices.Clone(stays), add) {
+			for _, p := range append(slices.Clone(footprints), add) {
 				if p.left >= float64(at) {
 					sum += p.now + float64(at)
 				}
 			}
 			most = math.Max(most, sum)
 		}
-		g.Expect(peak(stays, add)).To(BeNumerically("~", most, 0.001))
+		g.Expect(peak(footprints, add)).To(BeNumerically("~", most, 0.001))
 	})
 }
 
@@ -223,13 +223,13 @@
 	g.Expect(p.prefillRunners["p0"].rate).To(BeNumerically("~", 10000, 200))
 }
 
-func TestLengthsLearnBiasOfGuesses(t *testing.T) {
+func TestLengthsLearnBiasOfHints(t *testing.T) {
 	g := NewWithT(t)
 	l := NewLengths()
 	before := l.Estimate(500, 0).Expected(0)
 	for i := range 400 {
-		guess := 200 + 10*(i%80)
-		l.Learn(guess, 2*guess)
+		hint := 200 + 10*(i%80)
+		l.Learn(hint, 2*hint)
 	}
 	after := l.Estimate(500, 0)
 	g.Expect(before).To(BeNumerically("~", 550, 60))
@@ -259,7 +259,7 @@
 	s, err := wait(p, job("first", 900, 50), Fresh, time.Second)
 	g.Expect(err).NotTo(HaveOccurred())
 	now := time.Now()
-	late, fresh, back := p.Join(job("late", 900, 50), Returning), p.Join(job("fresh", 900, 50), Fresh), p.Join(job("back", 900, 50), Returning)
+	late, fresh, back := p.NewWaiter(job("late", 900, 50), Returning), p.NewWaiter(job("fresh", 900, 50), Fresh), p.NewWaiter(job("back", 900, 50), Returning)
 	late.LateFrom(now)
 	back.LateFrom(now.Add(time.Hour))
 	for _, w := range []*Waiter{late, fresh, back} {
@@ -369,7 +369,7 @@
 	home := func(domain string) bool { return domain == "home" }
 	for i := range 40 {
 		id := fmt.Sprint("r", i)
-		w := p.Join(Job{ID: id, Prompt: 100, Length: Estimate{}, Allows: home}, Fresh)
+		w := p.NewWaiter(Job{ID: id, Prompt: 100, Length: Estimate{}, Allows: home}, Fresh)
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Millisecond)
 		s, err := p.Wait(ctx, w)
 		cancel()
@@ -399,7 +399,7 @@
 	p.Configure(Spec{Memory: 100000, Slots: 64})
 	got := map[string]int{}
 	for i := range 20 {
-		s, err := p.Wait(context.Background(), p.Join(Job{ID: fmt.Sprint("r", i), Prompt: 100}, Fresh))
+		s, err := p.Wait(context.Background(), p.NewWaiter(Job{ID: fmt.Sprint("r", i), Prompt: 100}, Fresh))
 		g.Expect(err).NotTo(HaveOccurred())
 		got[s.ID]++
 	}
@@ -407,7 +407,7 @@
 	p.End("cold", "r0", now)
 	p.End("cold", "r1", now)
 	p.End("cold", "r2", now)
-	s, err := p.Wait(context.Background(), p.Join(Job{ID: "next", Prompt: 100}, Fresh))
+	s, err := p.Wait(context.Background(), p.NewWaiter(Job{ID: "next", Prompt: 100}, Fresh))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(s.ID).To(Equal("cold"), "ended jobs that were not sent release their claims")
 }
@@ -416,7 +416,7 @@
 // memory. The figures are those of an engine in a deployment of 46 engines.
 func TestMemoryMarginPreventsPreemption(t *testing.T) {
 	g := NewWithT(t)
-	const memory, prompt, guess = 73000, 5000, 3500
+	const memory, prompt, hint = 73000, 5000, 3500
 	// run keeps an engine full of other gateways' requests for a while. Each request is reported when
 	// it begins and every three seconds. run returns the number of preempted requests per completed
 	// request, and the mean number of running requests.
@@ -435,9 +435,9 @@
 		now := time.Time{}.Add(time.Hour)
 		for i := range steps {
 			now = now.Add(step)
-			job := Job{ID: fmt.Sprint(i), Prompt: prompt, Length: lengths.Estimate(guess, 0)}
+			job := Job{ID: fmt.Sprint(i), Prompt: prompt, Length: lengths.Estimate(hint, 0)}
 			if e.room(job, now, rate, lengths.Spread(), deviations) >= 0 {
-				resident[job.ID] = &request{reservation: reservation{job: job}, length: int(guess * math.Exp(priorSpread*r.NormFloat64()))}
+				resident[job.ID] = &request{reservation: reservation{job: job}, length: int(hint * math.Exp(priorSpread*r.NormFloat64()))}
 			}
 			taken, newest := 0, ""
 			for id, q := range resident {
--- a/pkg/enginepool/length.go
+++ b/pkg/enginepool/length.go
@@ -30,8 +30,8 @@
 // NewLengths returns a learner that initially predicts the guess as the median length.
 func NewLengths() *Lengths {
 	l := &Lengths{}
-	for _, guess := range []float64{100, 300, 900, 1800} {
-		v := math.Log(guess)
+	for _, hint := range []float64{100, 300, 900, 1800} {
+		v := math.Log(hint)
 		w := float64(priorWeight) / 4
 		l.n += w
 		l.x += w * v
@@ -64,11 +64,11 @@
 }
 
 // Learn records the guessed and the actual length of a response, in tokens.
-func (l *Lengths) Learn(guess, length int) {
-	if guess <= 0 || length <= 0 {
+func (l *Lengths) Learn(hint, length int) {
+	if hint <= 0 || length <= 0 {
 		return
 	}
-	x, y := math.Log(float64(guess)), math.Log(float64(length))
+	x, y := math.Log(float64(hint)), math.Log(float64(length))
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a, b, _ := l.fit()
@@ -93,11 +93,11 @@
 
 // Estimate returns the estimate for a guessed length and a limit of the length, both in
 // tokens; a maxTokens of 0 means no limit.
-func (l *Lengths) Estimate(guess, maxTokens int) Estimate {
+func (l *Lengths) Estimate(hint, maxTokens int) Estimate {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a, b, spread := l.fit()
-	out := Estimate{median: math.Exp(a + b*math.Log(max(1, float64(guess)))), spread: spread, maxTokens: float64(maxTokens)}
+	out := Estimate{median: math.Exp(a + b*math.Log(max(1, float64(hint)))), spread: spread, maxTokens: float64(maxTokens)}
 	if maxTokens > 0 {
 		out.median = min(out.median, out.maxTokens)
 	}
--- a/pkg/enginepool/prefill.go
+++ b/pkg/enginepool/prefill.go
@@ -148,7 +148,7 @@
 
 // EndPrefill removes a prompt from its runner. It updates the learned rate if the prompt was
 // processed.
-func (p *Pool) EndPrefill(runner, id string, read bool, now time.Time) {
+func (p *Pool) EndPrefill(runner, id string, processed bool, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.release(runner, id)
@@ -157,7 +157,7 @@
 	delete(r.jobs, id)
 	p.recordChange(p.engine(runner))
 	took := now.Sub(j.since).Seconds()
-	if !ok || !read || took <= 0 {
+	if !ok || !processed || took <= 0 {
 		return
 	}
 	r.rate += (float64(j.tokens+j.ahead)/took - r.rate) * prefillRateWeight
--- a/pkg/enginepool/queue.go
+++ b/pkg/enginepool/queue.go
@@ -56,8 +56,8 @@
 	return fmt.Sprintf("no room on any decode runner: request=%s waited=%s ahead=%d", e.ID, e.Waited, e.Ahead)
 }
 
-// Join returns a waiter for a job. Wait adds it to the queue.
-func (p *Pool) Join(j Job, rank Rank) *Waiter {
+// NewWaiter returns a waiter for a job. Wait adds it to the queue.
+func (p *Pool) NewWaiter(j Job, rank Rank) *Waiter {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.serial++
--- a/pkg/enginepool/snapshot.go
+++ b/pkg/enginepool/snapshot.go
@@ -44,7 +44,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s.Full {
-		p.clearPeer(gateway)
+		p.dropLoads(gateway)
 	}
 	p.peerWaiting[gateway] = s.Waiting
 	reported := p.peerEngines[gateway]
@@ -77,13 +77,13 @@
 func (p *Pool) DropGateway(gateway string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.clearPeer(gateway)
+	p.dropLoads(gateway)
 	delete(p.peerWaiting, gateway)
 }
 
 // clearPeer removes the reservations and prefills of another gateway. The caller holds
 // the lock.
-func (p *Pool) clearPeer(gateway string) {
+func (p *Pool) dropLoads(gateway string) {
 	for _, e := range p.peerEngines[gateway] {
 		e.dropGateway(gateway)
 	}
--- a/pkg/enginepool/snapshot_test.go
+++ b/pkg/enginepool/snapshot_test.go
@@ -17,7 +17,7 @@
 	spectest.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		p, _ := pool(3, 2, 100000)
-		changes, _ := pool(3, 2, 100000)
+		fromDeltas, _ := pool(3, 2, 100000)
 		now, since := time.Now(), uint64(0)
 		runnersOf := map[string]string{}
 		for i := range rapid.IntRange(1, 30).Draw(t, "steps") {
@@ -43,18 +43,18 @@
 			case "send":
 				var s Snapshot
 				s, since = p.Snapshot(since)
-				changes.ReceiveSnapshot("a", s, now)
+				fromDeltas.ReceiveSnapshot("a", s, now)
 			}
 		}
 		s, _ := p.Snapshot(since)
-		changes.ReceiveSnapshot("a", s, now)
-		whole, _ := pool(3, 2, 100000)
+		fromDeltas.ReceiveSnapshot("a", s, now)
+		fromFull, _ := pool(3, 2, 100000)
 		all, _ := p.Snapshot(0)
-		whole.ReceiveSnapshot("a", all, now)
+		fromFull.ReceiveSnapshot("a", all, now)
 		for _, id := range []string{"d0", "d1", "d2", "p0", "p1"} {
-			g.Expect(changes.engine(id).running()).To(Equal(whole.engine(id).running()), id)
-			g.Expect(changes.engine(id).usedShare(now, 0)).To(Equal(whole.engine(id).usedShare(now, 0)), id)
-			g.Expect(changes.backlog(id)).To(Equal(whole.backlog(id)), id)
+			g.Expect(fromDeltas.engine(id).reservationCount()).To(Equal(fromFull.engine(id).reservationCount()), id)
+			g.Expect(fromDeltas.engine(id).usedShare(now, 0)).To(Equal(fromFull.engine(id).usedShare(now, 0)), id)
+			g.Expect(fromDeltas.backlog(id)).To(Equal(fromFull.backlog(id)), id)
 		}
 	})
 }
--- a/pkg/ingress/answers.go
+++ b/pkg/ingress/answers.go
@@ -70,14 +70,14 @@
 	var notReady *ErrNotReady
 	var credential *workspace.ErrCredential
 	var unconfirmed *ErrUnconfirmed
-	var limited *quota.ErrQuota
+	var overQuota *quota.ErrQuota
 	var quarantined *quarantine.ErrQuarantined
 	if x.life == nil && x.route != nil && x.route.Kind == routetable.Stream {
 		x.fields = append(x.fields, decisionlog.F("prompt", x.call.Prompt))
 	}
 	switch {
-	case errors.As(err, &limited):
-		x.respondOverQuota(limited)
+	case errors.As(err, &overQuota):
+		x.respondOverQuota(overQuota)
 	case errors.As(err, &credential):
 		x.unauthorized(err)
 	case errors.As(err, &unconfirmed):
@@ -151,7 +151,7 @@
 	if err != nil {
 		kind = decisionlog.KindFailed
 	}
-	x.g.metrics.answered(x, status, took)
+	x.g.metrics.ended(x, status, took)
 	fields := []decisionlog.Field{decisionlog.F("request", x.id()), decisionlog.F("route", route), decisionlog.F("service", x.service),
 		decisionlog.F("version", x.version), decisionlog.F("status", status), decisionlog.F("outcome", outcome(status, err)),
 		decisionlog.F("took", took), decisionlog.F("sends", x.sends), decisionlog.F("returning", x.rank == enginepool.Returning)}
--- a/pkg/ingress/generate.go
+++ b/pkg/ingress/generate.go
@@ -161,12 +161,12 @@
 		}
 		s.rank = enginepool.Begun
 	}
-	s.abandon(firstError(s.endReason(), last))
+	s.finishIncomplete(firstError(s.endReason(), last))
 }
 
 // abandon ends the request without a complete response. If a part of the stream was sent, the
 // connection is aborted.
-func (s *generation) abandon(last error) {
+func (s *generation) finishIncomplete(last error) {
 	if gone, ok := last.(errClientGone); ok {
 		s.finish(0, gone)
 		return
--- a/pkg/ingress/ingress.go
+++ b/pkg/ingress/ingress.go
@@ -116,8 +116,8 @@
 }
 
 // Idle reports whether no request is being served and none has arrived for the given time.
-func (g *Ingress) Idle(now time.Time, since time.Duration) bool {
-	return g.open.Load() == 0 && now.Sub(time.Unix(0, g.lastArrival.Load())) >= since
+func (g *Ingress) Idle(now time.Time, idleFor time.Duration) bool {
+	return g.open.Load() == 0 && now.Sub(time.Unix(0, g.lastArrival.Load())) >= idleFor
 }
 
 // informed reports whether the process has a route table and at least one runner.
--- a/pkg/ingress/kept.go
+++ b/pkg/ingress/kept.go
@@ -46,13 +46,13 @@
 
 // find returns the engine of a list that has most tokens of a prompt in its cache, and their
 // number; nil if none has any.
-func (k *promptCaches) find(ctx context.Context, list []*runners.State, prompt string) (*runners.State, int) {
+func (k *promptCaches) find(ctx context.Context, engines []*runners.State, prompt string) (*runners.State, int) {
 	if prompt == "" {
 		return nil, 0
 	}
-	list = list[:min(len(list), maxPromptCacheCalls)]
-	calls := make([]*promptCacheList, len(list))
-	for i, s := range list {
+	engines = engines[:min(len(engines), maxPromptCacheCalls)]
+	calls := make([]*promptCacheList, len(engines))
+	for i, s := range engines {
 		calls[i] = k.ask(ctx, s)
 	}
 	var best *runners.State
@@ -64,7 +64,7 @@
 			return nil, 0
 		}
 		if n := c.tokens[prompt]; n > most {
-			best, most = list[i], n
+			best, most = engines[i], n
 		}
 	}
 	return best, most
@@ -76,13 +76,13 @@
 	now := time.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if l := k.lists[s.ID]; l != nil && now.Sub(l.asked) < promptCacheTTL {
-		return l
+	if list := k.lists[s.ID]; list != nil && now.Sub(list.asked) < promptCacheTTL {
+		return list
 	}
-	l := &promptCacheList{asked: now, done: make(chan struct{})}
-	k.lists[s.ID] = l
+	list := &promptCacheList{asked: now, done: make(chan struct{})}
+	k.lists[s.ID] = list
 	go func() {
-		defer close(l.done)
+		defer close(list.done)
 		call, cancel := context.WithTimeout(context.WithoutCancel(ctx), promptCacheTimeout)
 		defer cancel()
 		s.Called("", time.Now())
@@ -90,9 +90,9 @@
 		if err != nil {
 			k.log.Write(decisionlog.KindFailed, "kept_prompts_unknown", decisionlog.F("runner", s.ID), decisionlog.F("error", err))
 		}
-		l.tokens = tokens
+		list.tokens = tokens
 	}()
-	return l
+	return list
 }
 
 // sweep removes lists that are too old to be used.
--- a/pkg/ingress/metrics.go
+++ b/pkg/ingress/metrics.go
@@ -43,8 +43,9 @@
 	}
 }
 
-// answered records the status and duration of a request.
-func (m *meters) answered(x *exchange, status int, took time.Duration) {
+// ended records the duration and status of a request that ended; the status is 0 without a
+// response.
+func (m *meters) ended(x *exchange, status int, took time.Duration) {
 	kind := "none"
 	if x.route != nil {
 		kind = string(x.route.Kind)
--- a/pkg/ingress/plain.go
+++ b/pkg/ingress/plain.go
@@ -75,7 +75,7 @@
 	if !w.repeatable {
 		cost = nonRepeatableFailureCost
 	}
-	best := w.claimBest(g.subset(w.service, healthy), cost, now)
+	best := w.claimBest(g.plainSubset(w.service, healthy), cost, now)
 	if best == nil {
 		best = w.claimBest(healthy, cost, now)
 	}
@@ -103,7 +103,7 @@
 	if first == nil {
 		return &enginepool.ErrNoRunner{Service: w.service}
 	}
-	if limit, named := first.Limit(now); named {
+	if limit, announced := first.Limit(now); announced {
 		return &ErrLimited{Service: w.service, Runner: first.ID, After: least, Limit: limit}
 	}
 	return &runners.ErrUnavailable{Service: w.service, Paused: 1, After: least}
@@ -111,9 +111,9 @@
 
 // claimBest claims a place on the runner of a list with the lowest cost and returns it; nil if all
 // are avoided or accept no request now.
-func (w plainRequest) claimBest(list []*runners.State, failureCost float64, now time.Time) *runners.State {
+func (w plainRequest) claimBest(list []*runners.State, failureWeight float64, now time.Time) *runners.State {
 	for {
-		best := w.lowestCost(list, failureCost, now)
+		best := w.lowestCost(list, failureWeight, now)
 		if best == nil || best.Claim(w.id, now) {
 			return best
 		}
@@ -125,14 +125,14 @@
 // lowestCost returns the runner of a list with the lowest cost, which is the expected time until
 // its response, weighted by its failures, refusals and failure domain; nil if all are avoided or
 // accept no request now.
-func (w plainRequest) lowestCost(list []*runners.State, failureCost float64, now time.Time) *runners.State {
+func (w plainRequest) lowestCost(list []*runners.State, failureWeight float64, now time.Time) *runners.State {
 	var best *runners.State
 	var least float64
 	for _, s := range list {
 		if w.avoid[s.ID] || !s.Room(now) {
 			continue
 		}
-		cost := (float64(s.Outstanding()) + 1) * (s.Latency().Seconds() + baseLatency) * (1 + failureCost*s.Failures(now) + refusalCost*s.Refusals(now))
+		cost := (float64(s.Outstanding()) + 1) * (s.Latency().Seconds() + baseLatency) * (1 + failureWeight*s.Failures(now) + refusalCost*s.Refusals(now))
 		if s.Domain != w.domain {
 			cost *= otherDomainCost
 		}
--- a/pkg/ingress/reserve.go
+++ b/pkg/ingress/reserve.go
@@ -21,7 +21,7 @@
 func (s *generation) reserve() (*reservation, error) {
 	began := time.Now()
 	latest, unanswered := s.roomDeadline(), 0
-	w := s.pool.Join(s.job, s.rank)
+	w := s.pool.NewWaiter(s.job, s.rank)
 	for id := range s.failedDecode {
 		w.Avoid(id)
 	}
@@ -124,8 +124,8 @@
 	case enginepool.Fresh:
 		return s.arrived.Add(time.Duration(newRequestWaitShare * float64(s.route.Latency)))
 	default:
-		patience := max(minClientTimeout, latencyFactor*s.route.Latency, gapFactor*s.route.Gap)
-		return s.arrived.Add(patience - serveReserve)
+		clientTimeout := max(minClientTimeout, latencyFactor*s.route.Latency, gapFactor*s.route.Gap)
+		return s.arrived.Add(clientTimeout - serveReserve)
 	}
 }
 
--- a/pkg/ingress/returns.go
+++ b/pkg/ingress/returns.go
@@ -29,9 +29,9 @@
 }
 
 // observe records the timeout of a request, and reports whether its client is retrying.
-func (r *returnDetector) observe(patience time.Duration) bool {
-	r.longest = max(r.longest, patience)
-	less := patience < r.longest-returnMargin
+func (r *returnDetector) observe(timeout time.Duration) bool {
+	r.longest = max(r.longest, timeout)
+	less := timeout < r.longest-returnMargin
 	long := 1.0
 	if less {
 		long = 0
@@ -43,7 +43,7 @@
 
 // returning records the timeout of a request on a route, and reports whether its client is
 // retrying.
-func (g *Ingress) returning(route string, patience time.Duration) bool {
+func (g *Ingress) returning(route string, timeout time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	r := g.returnDetectors[route]
@@ -51,5 +51,5 @@
 		r = &returnDetector{}
 		g.returnDetectors[route] = r
 	}
-	return r.observe(patience)
+	return r.observe(timeout)
 }
--- a/pkg/ingress/share.go
+++ b/pkg/ingress/share.go
@@ -17,7 +17,7 @@
 // gateways together would open more connections than the runners accept, which reset those beyond
 // their limit. In that case each gateway uses fewer runners, chosen by a hash of its name, so that
 // all runners are used by about the same number of gateways.
-func (g *Ingress) subset(service string, list []*runners.State) []*runners.State {
+func (g *Ingress) plainSubset(service string, list []*runners.State) []*runners.State {
 	used := g.subsetSize(service, len(list))
 	if used >= len(list) {
 		return list
--- a/pkg/ingress/slow_test.go
+++ b/pkg/ingress/slow_test.go
@@ -62,9 +62,9 @@
 }
 
 // serveOnPipes starts an ingress with one plain runner, and returns it with its listener.
-func serveOnPipes(t *testing.T, maxBuffered int64) (*Ingress, pipeListener) {
+func serveOnPipes(t *testing.T, maxHeld int64) (*Ingress, pipeListener) {
 	log := decisionlog.New("g", io.Discard)
-	in := New(Options{Engines: endlessEngines{}, Reader: plainReader{}, Log: log, MaxOpen: 4000, MaxHeld: maxBuffered, Budget: retrybudget.Limits{Window: time.Second}})
+	in := New(Options{Engines: endlessEngines{}, Reader: plainReader{}, Log: log, MaxOpen: 4000, MaxHeld: maxHeld, Budget: retrybudget.Limits{Window: time.Second}})
 	table, err := routetable.New(routetable.Config{
 		Version: 1, Services: map[string]routetable.Service{"s": {Name: "s"}}, Limits: routetable.Limits{BodyBytes: 1 << 20},
 		Routes: []routetable.Route{{Name: "r", Host: "h", PathPrefix: "/", Kind: routetable.Unsafe, Timeout: time.Minute, MaxAttempts: 1, Targets: []routetable.Target{{Service: "s", Weight: 1}}}},
@@ -88,10 +88,10 @@
 // Guards against clients that stop reading and occupy memory, and a place on their runner, until
 // the request's time limit.
 func TestStalledClientsReleaseMemoryAndRunners(t *testing.T) {
-	const clients, maxBuffered = 2000, 32 << 20
+	const clients, maxHeld = 2000, 32 << 20
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		in, l := serveOnPipes(t, maxBuffered)
+		in, l := serveOnPipes(t, maxHeld)
 		before := heapInUse()
 		for i := range clients {
 			c := l.connect()
@@ -105,7 +105,7 @@
 		synctest.Wait()
 		runner := in.Directory.Find("a")
 		g.Expect(runner.Outstanding()).To(Equal(clients))
-		g.Expect(in.bufferedBytes.Load()).To(BeNumerically("<=", maxBuffered))
+		g.Expect(in.bufferedBytes.Load()).To(BeNumerically("<=", maxHeld))
 		g.Expect(heapInUse()-before).To(BeNumerically("<", 112<<20), "memory of the smallest gateway")
 		time.Sleep(clientStallTimeout)
 		synctest.Wait()
--- a/pkg/ingress/suspicion.go
+++ b/pkg/ingress/suspicion.go
@@ -58,25 +58,25 @@
 	if x.g.options.Suspicion.Table == nil || errors.As(err, &timeout) && timeout.Timeout() {
 		return
 	}
-	asked, at := x.digest(), time.Now()
+	digest, at := x.digest(), time.Now()
 	go func() {
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(x.ctx), aliveTimeout)
 		defer cancel()
 		runner.Called("", time.Now())
 		alive, err := x.g.options.Engines.Alive(ctx, runner)
 		if err != nil {
-			x.logFailedStep("runner_not_asked", runner.ID, err, decisionlog.F("asked", asked))
+			x.logFailedStep("runner_not_asked", runner.ID, err, decisionlog.F("asked", digest))
 		}
 		if alive || err != nil {
 			return
 		}
-		x.g.crashed(asked, quarantine.Break{Runner: xxhash.Sum64String(runner.ID), Early: early, At: at})
+		x.g.crashed(digest, quarantine.Break{Runner: xxhash.Sum64String(runner.ID), Early: early, At: at})
 	}()
 }
 
 // crashed records that a runner crashed while it ran a request.
-func (g *Ingress) crashed(asked quarantine.Digest, b quarantine.Break) {
-	report, found := g.options.Suspicion.Table.Broke(asked, b)
+func (g *Ingress) crashed(digest quarantine.Digest, b quarantine.Break) {
+	report, found := g.options.Suspicion.Table.Broke(digest, b)
 	if found {
 		g.quarantineBegins(report, "found")
 	}
