--- a/pkg/enginepool/choice.go
+++ b/pkg/enginepool/choice.go
@@ -72,7 +72,8 @@
 
 // allowed returns the runners of a stage that this gateway uses and that are in allowed
 // failure domains. If fewer than minSubset of its subset qualify, it considers all
-// runners of the stage. The caller holds the lock.
+// runners of the stage. If allows is nil, all failure domains are allowed, and the result
+// includes unusable runners; otherwise it leaves them out. The caller holds the lock.
 func (p *Pool) allowed(stage runners.Stage, allows func(domain string) bool, now time.Time) []*runners.State {
 	used := p.subsetOf(stage, now)
 	if allows == nil {
@@ -93,9 +94,8 @@
 }
 
 // sample returns up to maxSampled usable runners of a stage that this gateway uses, in
-// random order, without those that are left out for their failures. Only the failure
-// domains for which allows returns true are considered; nil allows all. The caller holds
-// the lock.
+// random order, without the ejected ones, see runners.Healthy. Only the failure domains
+// for which allows returns true are considered; nil allows all. The caller holds the lock.
 func (p *Pool) sample(stage runners.Stage, allows func(domain string) bool, now time.Time) []*runners.State {
 	from := p.allowed(stage, allows, now)
 	order := slices.Clone(from)
--- a/pkg/enginepool/demand.go
+++ b/pkg/enginepool/demand.go
@@ -8,9 +8,9 @@
 // demand learns from the requests served how an engine's time divides between prefill and
 // decode. The ratio is a property of the requests, whatever number of engines serves them.
 type demand struct {
-	// prefill is the engine time that prompts take, in seconds. decode is the time for
-	// which responses occupy memory, in seconds of one engine's whole memory. Both are
-	// exponentially decayed sums.
+	// prefill is the engine time that prompts take, in seconds. decode is the memory that
+	// responses occupy, as a fraction of one engine's memory, times the duration in seconds.
+	// Both are exponentially decayed sums.
 	prefill, decode float64
 	// responses is the decayed number of responses; at is when the last one began.
 	responses float64
--- a/pkg/enginepool/demand_test.go
+++ b/pkg/enginepool/demand_test.go
@@ -8,7 +8,7 @@
 )
 
 // recordResponses begins and ends n requests on an engine, with prompts of a length in tokens
-// and a guessed length of the response.
+// and a length hint.
 func recordResponses(p *Pool, n, prompt, hint int, now time.Time) {
 	for i := range n {
 		id := "job" + string(rune('a'+i%26))
--- a/pkg/enginepool/engine.go
+++ b/pkg/enginepool/engine.go
@@ -77,7 +77,8 @@
 
 // footprints lists the memory use of all requests on the runner. Those of other gateways
 // are assumed to have grown since they were reported, at a rate in tokens per second.
-// The spread is that of the logarithm of response lengths, used for reported requests.
+// spread is the standard deviation of the logarithm of response lengths. It is used for
+// the requests of other gateways; this gateway's own have theirs in Job.Length.
 func (e *engine) footprints(now time.Time, rate, spread float64) []footprint {
 	out := make([]footprint, 0, len(e.own)+8)
 	for _, b := range e.own {
@@ -117,7 +118,7 @@
 // for a spread (standard deviation) of the logarithm of lengths.
 func variance(left, spread float64) float64 { return left * left * math.Expm1(spread*spread) }
 
-// running returns how many requests have a reservation, of all gateways.
+// reservationCount returns the number of reservations of all gateways.
 func (e *engine) reservationCount() int {
 	n := len(e.own)
 	for _, reported := range e.peers {
--- a/pkg/enginepool/enginepool_bench_test.go
+++ b/pkg/enginepool/enginepool_bench_test.go
@@ -40,9 +40,9 @@
 	}
 }
 
-// BenchmarkFullSnapshotAndStatus measures the iterations of a gateway over all engines: a full snapshot for
-// another gateway (in each period in which one is due), and the status for the log (once a
-// second). A gateway uses 240 of these engines and has reservations on a few.
+// BenchmarkFullSnapshotAndStatus measures the two operations that iterate over all engines: a
+// full snapshot for another gateway (in each period in which one is due), and the status for the
+// log (once a second). The engines have no reservations.
 func BenchmarkFullSnapshotAndStatus(b *testing.B) {
 	for _, n := range []int{300, 3000} {
 		d := runners.NewDirectory("a")
@@ -57,12 +57,12 @@
 			p.engine(s.ID)
 			p.mu.Unlock()
 		}
-		b.Run(fmt.Sprintf("everything, %d engines", n), func(b *testing.B) {
+		b.Run(fmt.Sprintf("full snapshot, %d engines", n), func(b *testing.B) {
 			for b.Loop() {
 				p.Snapshot(0)
 			}
 		})
-		b.Run(fmt.Sprintf("state, %d engines", n), func(b *testing.B) {
+		b.Run(fmt.Sprintf("status, %d engines", n), func(b *testing.B) {
 			for b.Loop() {
 				p.Status(now)
 			}
--- a/pkg/enginepool/enginepool_test.go
+++ b/pkg/enginepool/enginepool_test.go
@@ -17,8 +17,8 @@
 	"github.com/hopwell/hopwell/pkg/spectest"
 )
 
-// pool returns a pool of one service with decode runners d0.. and prefill
-// runners p0.. in two domains.
+// pool returns a pool of one service with decode runners d0.. and prefill runners p0.. in two
+// domains.
 func pool(decode, prefill, memory int) (*Pool, *runners.Directory) {
 	d := runners.NewDirectory("a")
 	for i := range decode {
@@ -196,7 +196,8 @@
 	g.Expect(expected).To(BeNumerically("~", 100*time.Millisecond, time.Millisecond))
 }
 
-// A KV cache that could not be fetched counts as a failure of its prefill runner.
+// A prefill runner that failed, for example because its KV cache could not be fetched, is avoided.
+// Excluded runners are never chosen.
 func TestPrefillAvoidsFailingAndExcludedRunners(t *testing.T) {
 	g := NewWithT(t)
 	p, d := pool(0, 2, 1000)
@@ -267,6 +268,7 @@
 	}
 	for _, w := range []*Waiter{back, fresh, late} {
 		now = now.Add(time.Second)
+		// End dispatches the next job, also if "first" has ended already.
 		p.End(s.ID, "first", now)
 		p.mu.Lock()
 		for id := range p.engine(s.ID).own {
@@ -465,10 +467,10 @@
 		}
 		return float64(preemptions) / float64(ended), float64(sum) / steps
 	}
-	before, many := run(0)
-	after, fewer := run(DefaultOptions().Deviations)
-	t.Logf("preempted per completed request: %.3f with %.1f running without a margin, %.3f with %.1f running with it", before, many, after, fewer)
-	g.Expect(before).To(BeNumerically(">", 2*after), "the test load must cause preemption")
-	g.Expect(after).To(BeNumerically("<", 0.05))
-	g.Expect(fewer).To(BeNumerically(">=", many-1.5), "mean number of running requests")
+	preemptedWithout, runningWithout := run(0)
+	preemptedWith, runningWith := run(DefaultOptions().Deviations)
+	t.Logf("preempted per completed request: %.3f with %.1f running without a margin, %.3f with %.1f running with it", preemptedWithout, runningWithout, preemptedWith, runningWith)
+	g.Expect(preemptedWithout).To(BeNumerically(">", 2*preemptedWith), "the test load must cause preemption")
+	g.Expect(preemptedWith).To(BeNumerically("<", 0.05))
+	g.Expect(runningWith).To(BeNumerically(">=", runningWithout-1.5), "mean number of running requests")
 }
--- a/pkg/enginepool/length.go
+++ b/pkg/enginepool/length.go
@@ -17,17 +17,17 @@
 	minSpread = 0.05
 )
 
-// Lengths learns to predict the length of a response from the length that the client
-// guessed, by a linear regression of the logarithm of the length on that of the guess.
+// Lengths learns to predict the length of a response from the client's length hint, by a
+// linear regression of the logarithm of the length on that of the hint.
 // It is safe for concurrent use.
 type Lengths struct {
 	mu sync.Mutex
-	// Weighted sums over past responses: of the weights, of x (log of the guess),
+	// Weighted sums over past responses: of the weights, of x (log of the hint),
 	// y (log of the length), their products, and of squared errors.
 	n, x, y, xx, xy, ee float64
 }
 
-// NewLengths returns a learner that initially predicts the guess as the median length.
+// NewLengths returns a learner that initially predicts the hint as the median length.
 func NewLengths() *Lengths {
 	l := &Lengths{}
 	for _, hint := range []float64{100, 300, 900, 1800} {
@@ -63,7 +63,7 @@
 	return spread
 }
 
-// Learn records the guessed and the actual length of a response, in tokens.
+// Learn records the length hint and the actual length of a response, in tokens.
 func (l *Lengths) Learn(hint, length int) {
 	if hint <= 0 || length <= 0 {
 		return
@@ -91,7 +91,7 @@
 	median, spread, maxTokens float64
 }
 
-// Estimate returns the estimate for a guessed length and a limit of the length, both in
+// Estimate returns the estimate for a length hint and a limit of the length, both in
 // tokens; a maxTokens of 0 means no limit.
 func (l *Lengths) Estimate(hint, maxTokens int) Estimate {
 	l.mu.Lock()
@@ -108,6 +108,8 @@
 // tokens already and is not complete: the mean of a log-normal distribution truncated
 // below at that number.
 func (b Estimate) Expected(generated int) float64 {
+	// fractionAbove returns the fraction of the normal distribution of the log length, with
+	// its mean raised by shift, that lies above the log of generated.
 	fractionAbove := func(shift float64) float64 {
 		if generated <= 0 {
 			return 1
--- a/pkg/enginepool/pool.go
+++ b/pkg/enginepool/pool.go
@@ -1,7 +1,8 @@
-// Package enginepool decides on which engines the requests of a service run. It reserves
-// memory on a decode runner before the prompt is processed, orders the jobs that wait for
-// memory, and chooses the prefill runner. It does no I/O; the caller confirms a
-// reservation by a hold at the runner itself.
+// Package enginepool decides on which engines the requests of a service run. An engine is
+// a runner that runs a model. In the prefill stage it is called a prefill runner, in the
+// decode stage a decode runner. The package reserves memory on a decode runner before the
+// prompt is processed, orders the jobs that wait for memory, and chooses the prefill
+// runner. It does no I/O; the caller confirms a reservation by a hold at the runner itself.
 package enginepool
 
 import (
@@ -67,7 +68,8 @@
 	// peerWaiting is the number of jobs that wait at each gateway that reported.
 	peerWaiting map[string]int
 	// peerEngines holds the engines on which each other gateway reported load. A gateway
-	// uses few of thousands, and its whole report is replaced every few seconds.
+	// uses only a few of thousands of engines, and its whole report is replaced every few
+	// seconds.
 	peerEngines map[string]map[string]*engine
 	// revision counts the changes of this gateway's own reservations and prefills.
 	revision uint64
@@ -120,9 +122,9 @@
 	return e
 }
 
-// place reserves memory for a job on its preferred runner if that has room, otherwise on
-// the decode runner with the highest score of those compared; nil if none fits. The
-// caller holds the lock.
+// place reserves memory for a job on its preferred runner if the job fits there, otherwise
+// on the decode runner with the highest score of those compared; nil if it fits on none.
+// The caller holds the lock.
 func (p *Pool) place(w *Waiter, now time.Time) *runners.State {
 	runner := p.preferred(w, now)
 	if runner == nil {
@@ -141,8 +143,8 @@
 	return runner
 }
 
-// preferred returns the runner that a job prefers, nil if there is none or it has no
-// room. The caller holds the lock.
+// preferred returns the runner that a job prefers, nil if there is none or the job does
+// not fit there. The caller holds the lock.
 func (p *Pool) preferred(w *Waiter, now time.Time) *runners.State {
 	if w.prefer == "" {
 		return nil
@@ -157,7 +159,7 @@
 	return s
 }
 
-// candidates returns runners with room for a job. The caller holds the lock.
+// candidates returns runners on which a job fits. The caller holds the lock.
 func (p *Pool) candidates(w *Waiter, now time.Time) []candidate {
 	var out []candidate
 	for _, s := range p.sample(runners.Decode, w.job.Allows, now) {
@@ -171,9 +173,10 @@
 	return out
 }
 
-// score rates a runner for a job and returns false if the job does not fit. The score is
-// the room in tokens, less a penalty for failed requests, plus bonuses for the gateway's
-// own failure domain and for an idle connection. The caller holds the lock.
+// score rates a runner for a job. It returns false if the job does not fit: the runner is
+// excluded, accepts no request now (State.Room) or lacks memory (engine.room). The score is
+// the memory left in tokens, less a penalty for failed requests, plus bonuses for the
+// gateway's own failure domain and for an idle connection. The caller holds the lock.
 func (p *Pool) score(s *runners.State, w *Waiter, now time.Time) (float64, bool) {
 	e := p.engine(s.ID)
 	if w.avoid[s.ID] || now.Before(e.refusedUntil) || !w.job.allows(s.Domain) || !s.Room(now) {
@@ -238,7 +241,8 @@
 	b.generated = tokens
 }
 
-// End removes the reservation of a request that ended.
+// End removes the reservation of a request whose attempt on the runner has ended, and
+// dispatches waiting jobs.
 func (p *Pool) End(runner, id string, now time.Time) {
 	p.mu.Lock()
 	e := p.engine(runner)
@@ -252,7 +256,7 @@
 	p.Dispatch(now)
 }
 
-// release gives up the claim of a job that was not sent to the runner.
+// release gives up the claim of a job on the runner, unless the job was sent there.
 func (p *Pool) release(runner, id string) {
 	if s := p.directory.Find(runner); s != nil {
 		s.Release(id)
--- a/pkg/enginepool/prefill.go
+++ b/pkg/enginepool/prefill.go
@@ -17,7 +17,8 @@
 type prefillJob struct {
 	tokens int
 	since  time.Time
-	ahead  int
+	// ahead is the backlog at the runner when the prompt was assigned, in tokens.
+	ahead int
 }
 
 const (
@@ -25,13 +26,14 @@
 	initialPrefillRate = 30000
 	// prefillRateWeight is the weight of the newest measurement in the learned rate.
 	prefillRateWeight = 0.2
-	// crossDomainPenalty is how much longer a prompt may wait for a runner in the failure
-	// domain of its decode runner.
+	// crossDomainPenalty is added to the cost of a runner that is not in the failure domain
+	// of the prompt's decode runner.
 	crossDomainPenalty = 150 * time.Millisecond
-	// newConnectionPenalty is how much longer a prompt may wait for a runner with an idle
-	// connection: a new connection takes a round trip, and briefly a slot of the runner.
+	// newConnectionPenalty is added to the cost of a runner without an idle connection: a
+	// new connection takes a round trip, and briefly a slot of the runner.
 	newConnectionPenalty = 20 * time.Millisecond
-	// lostPrefillPenalty is the cost of a prefill that is lost.
+	// lostPrefillPenalty is the cost of a lost prefill. It is added to the cost of a runner
+	// in proportion to its failure rate.
 	lostPrefillPenalty = 1500 * time.Millisecond
 )
 
@@ -107,8 +109,8 @@
 	return expected
 }
 
-// prefillCost estimates when a runner will have processed a prompt, plus penalties for
-// another failure domain, a new connection and failures.
+// prefillCost returns the estimated time until a runner has processed a prompt, plus
+// penalties for another failure domain, a new connection and failures.
 func (p *Pool) prefillCost(s *runners.State, tokens int, domain string, now time.Time) time.Duration {
 	cost := p.prefillTime(s.ID, tokens)
 	if s.Domain != domain {
@@ -146,8 +148,8 @@
 	return 0
 }
 
-// EndPrefill removes a prompt from its runner. It updates the learned rate if the prompt was
-// processed.
+// EndPrefill removes a prompt from the model of its runner. It updates the learned rate if
+// the prompt was processed.
 func (p *Pool) EndPrefill(runner, id string, processed bool, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/pkg/enginepool/queue.go
+++ b/pkg/enginepool/queue.go
@@ -10,12 +10,13 @@
 	"github.com/hopwell/hopwell/pkg/runners"
 )
 
-// Rank orders waiting jobs of the same priority: the lower rank goes first. Begun and Late
-// take precedence over priority, see tier.
+// Rank orders waiting jobs of the same priority: the lower rank goes first. Begun jobs go
+// before all others and Late jobs after all others, whatever their priority; see tier.
 type Rank int
 
 const (
-	// Begun is for work on which engines have already spent time.
+	// Begun is for requests that have made an attempt, so that engines may have spent time
+	// on them.
 	Begun Rank = iota
 	// Returning is for requests that were refused once and sent again as instructed by
 	// Retry-After.
@@ -94,8 +95,8 @@
 	return nil, &ErrNoRoom{ID: w.job.ID, Waited: time.Since(began), Ahead: ahead}
 }
 
-// tier groups ranks into classes that take precedence over priority: begun work goes
-// before all other work, and late work after it.
+// tier groups ranks into classes that take precedence over priority: Begun jobs go
+// before all others, and Late jobs after all others.
 func (r Rank) tier() int {
 	switch r {
 	case Begun:
--- a/pkg/enginepool/snapshot.go
+++ b/pkg/enginepool/snapshot.go
@@ -14,15 +14,15 @@
 
 // EngineLoad is the load that one gateway has on one engine.
 type EngineLoad struct {
-	// Runner is the ID of the engine.
+	// Runner is the engine's runner ID.
 	Runner string
 	Loads  []Load
 	// Reading is the number of prompt tokens that the engine prefills for the gateway.
 	Reading int
 }
 
-// Snapshot returns the engines that changed after a revision, all with load for 0, and
-// the current revision.
+// Snapshot returns the engines that changed after a revision, and the current revision.
+// For revision 0 it returns all engines with load.
 func (p *Pool) Snapshot(since uint64) (Snapshot, uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -39,7 +39,8 @@
 	return out, p.revision
 }
 
-// ReceiveSnapshot replaces what another gateway reported before.
+// ReceiveSnapshot applies a report of another gateway. A full one replaces all earlier
+// ones, others only what was reported of the engines that they contain.
 func (p *Pool) ReceiveSnapshot(gateway string, s Snapshot, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -67,13 +68,13 @@
 	}
 }
 
-// dropGateway removes another gateway's reservations and prefills from the engine.
+// dropGateway removes another gateway's reservations and prefills from this engine only.
 func (e *engine) dropGateway(gateway string) {
 	delete(e.peers, gateway)
 	delete(e.prefillTokens, gateway)
 }
 
-// DropGateway removes all that a gateway reported which no longer sends reports.
+// DropGateway removes all reports of a gateway that no longer sends any.
 func (p *Pool) DropGateway(gateway string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -81,8 +82,8 @@
 	delete(p.peerWaiting, gateway)
 }
 
-// clearPeer removes the reservations and prefills of another gateway. The caller holds
-// the lock.
+// dropLoads removes another gateway's reservations and prefills from all engines. The
+// caller holds the lock.
 func (p *Pool) dropLoads(gateway string) {
 	for _, e := range p.peerEngines[gateway] {
 		e.dropGateway(gateway)
--- a/pkg/enginepool/status.go
+++ b/pkg/enginepool/status.go
@@ -11,7 +11,8 @@
 	// Prefill and Decode count the engines in each stage, Changing those in a stage
 	// change.
 	Prefill, Decode, Changing int
-	// Reserved is the mean fraction of the decode engines' memory that is reserved.
+	// Reserved is the mean fraction of the decode engines' memory that is in use now,
+	// without what responses are expected to add.
 	Reserved float64
 	// Waiting is how many jobs wait at all gateways; Reading is how many prompt tokens
 	// wait or are being processed at prefill engines.
@@ -43,8 +44,9 @@
 	return s
 }
 
-// Load returns how much an engine has to finish until it is empty, in tokens: the larger of
-// the longest remaining response and the backlog of prompts.
+// Load returns an estimate of the work left on an engine, in tokens: the larger of the
+// output tokens left of its longest response and its backlog of prompt tokens. It is
+// unrelated to the type Load.
 func (p *Pool) Load(runner string, now time.Time) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/pkg/ingress/answers.go
+++ b/pkg/ingress/answers.go
@@ -21,7 +21,8 @@
 const (
 	// shortRetryAfter is the Retry-After of a request that another gateway can serve.
 	shortRetryAfter = 50 * time.Millisecond
-	// startupRetryAfter is the Retry-After while this process has no route table yet.
+	// startupRetryAfter is the Retry-After while this process has no route table or no runners
+	// yet.
 	startupRetryAfter = 1200 * time.Millisecond
 	// restartTime is the time from the end of a process until its successor serves requests.
 	restartTime = time.Second
--- a/pkg/ingress/call.go
+++ b/pkg/ingress/call.go
@@ -26,8 +26,8 @@
 	// Prompt is the length of the prompt, MaxOut the limit on the output and Hint the client's
 	// estimate of the output, all in tokens; 0 if not given.
 	Prompt, MaxOut, Hint int
-	// PromptID identifies the last part of the prompt, which is the request's own. It is the same
-	// in all tries of a client; empty if not given.
+	// PromptID identifies the last part of the prompt, which follows the parts that other requests
+	// share. It is the same in all tries of a client; empty if not given.
 	PromptID string
 	// Credentials are the request's credentials as received, such as API keys.
 	Credentials []string
@@ -39,16 +39,17 @@
 type Order struct {
 	// Left is the time left for the runner to respond.
 	Left time.Duration
-	// Source names the KV cache from which a decode continues; empty for none.
+	// Source is the name, from Engines.Fetch, of the KV cache from which a decode continues; empty
+	// for none.
 	Source string
 	// CacheFrom is a runner that has the prompt in its KV cache, from which the decode runner
 	// fetches it; nil for none.
 	CacheFrom *runners.State
 	// Hold is the ID of the hold that the call uses; empty for none.
 	Hold string
-	// After is the event ID after which a stream is resumed; if empty, that of the call is used.
+	// After is the event ID after which a stream is resumed; if empty, that of the request is used.
 	After string
-	// Priority is the priority of the call at the runner, from 0 (highest) to 9.
+	// Priority is the priority of the request at the runner, from 0 (highest) to 9.
 	Priority int
 	// Keyed is set if clients authenticate by keys. Keys are then not forwarded: the runner
 	// receives the Workspace instead, which is empty on routes that need no key.
@@ -62,13 +63,14 @@
 	// Header holds the headers to forward to the client.
 	Header http.Header
 	Body   io.ReadCloser
-	// NotRun is set if the runner guarantees that it has not run the call and will not run it.
+	// NotRun is set if the runner guarantees that it has not run the request and will not run it.
 	NotRun bool
 	// Elsewhere is set if another runner has the address now, or if the runner is in the wrong
 	// stage.
 	Elsewhere bool
 	// Whole is set if the response carries the runner's signature and its body is not encoded.
-	// Successful responses are forwarded only if it is set.
+	// Successful responses are forwarded only if it is set. It does not mean that the body is
+	// complete.
 	Whole bool
 }
 
@@ -81,13 +83,14 @@
 	Tokens int
 }
 
-// Engines makes the calls to runners. Calls fail with *upstream.ErrDial, *notice.ErrLeaving or
-// *notice.ErrPaused if nothing was sent, with *upstream.ErrExchange if the call may have run, and
-// with *ErrDeclined if the runner refused.
+// Engines makes the calls to runners, engines as well as plain ones. Calls fail with
+// *upstream.ErrDial, *notice.ErrLeaving or *notice.ErrPaused if nothing was sent, with
+// *upstream.ErrExchange if the call may have run, and with *ErrDeclined if the runner refused. Send
+// does not fail if the runner refused; it sets Answer.NotRun or Answer.Elsewhere.
 type Engines interface {
-	// Send sends a call to a runner, which runs it.
+	// Send sends a client's request to a runner, which runs it.
 	Send(ctx context.Context, r *runners.State, c *Call, o Order) (*Answer, error)
-	// Prefill has a runner compute the KV cache of a call's prompt and keep it.
+	// Prefill has a runner compute the KV cache of a request's prompt and keep it.
 	Prefill(ctx context.Context, r *runners.State, c *Call, o Order) (Source, error)
 	// Free releases a KV cache that no runner will fetch.
 	Free(ctx context.Context, r *runners.State, s Source) error
--- a/pkg/ingress/drain.go
+++ b/pkg/ingress/drain.go
@@ -43,7 +43,7 @@
 }
 
 // bound returns the time limit of a request that arrives now: during a drain at most the time left
-// until its end. A limit of 0 is none.
+// until its end. A limit of 0 means no limit.
 func (d *drain) bound(now time.Time, limit time.Duration) time.Duration {
 	p := d.period.Load()
 	if p == nil {
@@ -65,8 +65,8 @@
 	return max(0, p.end.Sub(now))
 }
 
-// StartDrain begins the graceful shutdown. All new requests are accepted for the time accept; the
-// process ends after longest.
+// StartDrain begins the graceful shutdown. All new requests are accepted until the time accept has
+// passed. The process ends at the latest when longest has passed.
 func (g *Ingress) StartDrain(accept, longest time.Duration) {
 	now := time.Now()
 	g.drain.period.CompareAndSwap(nil, &drainPeriod{acceptUntil: now.Add(accept), end: now.Add(longest)})
--- a/pkg/ingress/errors.go
+++ b/pkg/ingress/errors.go
@@ -89,7 +89,7 @@
 	return fmt.Sprintf("out of time: after=%s whose=%s", e.After, e.SetBy)
 }
 
-// ErrGivenUp reports that no attempt of a request got a response.
+// ErrGivenUp reports that a request ended without a response that could be forwarded.
 type ErrGivenUp struct {
 	Outcome request.Outcome
 	Sends   int
@@ -128,8 +128,8 @@
 // ErrLimited reports that all runners that could serve a request have reached their rate limits.
 type ErrLimited struct {
 	Service string
-	// Runner is the one that has room first, Limit its rate limit, and After the time until it has
-	// room.
+	// Runner is the one that accepts a request first, Limit its rate limit, and After the time
+	// until then.
 	Runner string
 	Limit  runnerlimit.Status
 	After  time.Duration
@@ -140,11 +140,12 @@
 	return fmt.Sprintf("runners take no more: service=%s first=%s after=%s %s", e.Service, e.Runner, e.After.Round(time.Millisecond), e.Limit)
 }
 
-// ErrBroken reports that a response ended early, after a part of it had been forwarded.
+// ErrBroken reports that a response ended early, possibly after a part of it had been forwarded.
 type ErrBroken struct {
 	Runner string
-	After  string
-	Err    error
+	// After is the ID of the last event forwarded; empty for none.
+	After string
+	Err   error
 }
 
 // Error implements error.
@@ -162,7 +163,9 @@
 }
 
 // Error implements error.
-func (e *ErrSilent) Error() string { return fmt.Sprintf("silent: runner=%s cause=%v", e.Runner, e.Err) }
+func (e *ErrSilent) Error() string {
+	return fmt.Sprintf("no response in time: runner=%s cause=%v", e.Runner, e.Err)
+}
 
 // Unwrap returns the cause.
 func (e *ErrSilent) Unwrap() error { return e.Err }
@@ -186,4 +189,4 @@
 type errClientGone struct{}
 
 // Error implements error.
-func (errClientGone) Error() string { return "client gone" }
+func (errClientGone) Error() string { return "client disconnected" }
--- a/pkg/ingress/exchange.go
+++ b/pkg/ingress/exchange.go
@@ -119,8 +119,8 @@
 }
 
 // reserveMemory reserves n bytes of the memory for buffered bodies and responses; a negative n
-// releases them. When the memory is used up, requests with new bodies are refused first: no work
-// has been done for them yet, and their clients may retry.
+// releases them. When the memory is used up, a request whose body does not fit is refused: no work
+// has been done for it yet, and its client may retry. A response that does not fit is streamed.
 func (x *exchange) reserveMemory(n int64) bool {
 	if x.g.bufferedBytes.Add(n) > x.g.options.MaxHeld && n > 0 {
 		x.g.bufferedBytes.Add(-n)
--- a/pkg/ingress/forward.go
+++ b/pkg/ingress/forward.go
@@ -18,7 +18,8 @@
 	// maxBuffered is the size in bytes up to which a response is buffered until it is complete.
 	// Longer responses are streamed, and so are all while memory is short.
 	maxBuffered = 256 << 10
-	// maxRefused is the number of refusals by runners after which a request is still retried.
+	// maxRefused is the largest number of refusals by runners after which a request is still
+	// retried.
 	maxRefused = 3
 	// minPlainRetryAfter is the shortest Retry-After of a request that no plain runner accepted.
 	minPlainRetryAfter = 300 * time.Millisecond
@@ -28,7 +29,7 @@
 type sendResult int
 
 const (
-	// responded means that the client has received at least a part of the response.
+	// responded means that the whole response has been sent to the client.
 	responded sendResult = iota
 	// notRun means that the runner has not run the request.
 	notRun
@@ -36,7 +37,7 @@
 	mayHaveRun
 )
 
-// forward serves a request by the runners of a plain service.
+// forward serves a request by the plain runners of a service.
 func (x *exchange) forward() {
 	life := request.NewLife(x.call.ID, x.route.Repeatable())
 	x.life = life
@@ -98,8 +99,8 @@
 	return nil
 }
 
-// sendPlain sends the request to a runner once. A 5xx response of the runner is forwarded to the
-// client only in the final attempt.
+// sendPlain makes one attempt to send the request to a runner. A 5xx response of the runner is
+// forwarded to the client only in the final attempt.
 func (x *exchange) sendPlain(life *request.Life, n int, runner *runners.State, final bool) (sendResult, error) {
 	began := time.Now()
 	defer runner.Release(x.call.ID)
--- a/pkg/ingress/forward_test.go
+++ b/pkg/ingress/forward_test.go
@@ -42,7 +42,7 @@
 	g.Expect(chosen(in, plainRequest{service: "s", repeatable: true, avoid: map[string]bool{"a": true, "b": true}})).To(BeNil())
 }
 
-// A request that must not be repeated is not risked on a runner in backoff: it has not run yet, and
+// A request that must not be repeated is not sent to a runner in backoff: it has not run yet, and
 // its client may retry.
 func TestNonRepeatableRequestSkipsUnreachableRunner(t *testing.T) {
 	g := NewWithT(t)
@@ -98,7 +98,7 @@
 		g.Expect(chosen(in, plainRequest{service: "s", avoid: map[string]bool{first.ID: true}})).NotTo(BeNil())
 	}
 	for _, n := range users {
-		g.Expect(2*n).To(BeNumerically("<", most), "two connections of each gateway")
+		g.Expect(2*n).To(BeNumerically("<", most), "two idle connections of each gateway")
 	}
 	few := New(Options{Name: "g", Gateways: 30})
 	g.Expect(few.subsetSize("s", 3)).To(Equal(3))
--- a/pkg/ingress/generate.go
+++ b/pkg/ingress/generate.go
@@ -21,12 +21,13 @@
 	// before it is refused with Retry-After.
 	newRequestWaitShare = 0.22
 	// minClientTimeout and the two factors estimate how long clients wait for the first event of a
-	// stream: the longest of this time, latencyFactor times the latency target and gapFactor times
-	// the target gap between events.
+	// stream: the longest of minClientTimeout, latencyFactor times the latency target and gapFactor
+	// times the target gap between events.
 	minClientTimeout = 2 * time.Second
 	latencyFactor    = 4
 	gapFactor        = 8
-	// serveReserve is the part of that time kept for the prefill and the first event.
+	// serveReserve is the part of the client's timeout, or of the latency target, that is kept for
+	// the prefill and the first event.
 	serveReserve = 500 * time.Millisecond
 	// holdTimeout limits the call that takes a hold.
 	holdTimeout = 400 * time.Millisecond
@@ -52,8 +53,10 @@
 	releaseTimeout = time.Second
 	// defaultOutputTokens is the expected output, in tokens, of a request without a length hint.
 	defaultOutputTokens = 512
-	// minStreamRetryAfter and maxStreamRetryAfter are the range of Retry-After for refused streams.
-	// retryAfterShare limits it to a share of the time that the client has left.
+	// minStreamRetryAfter and maxStreamRetryAfter are the range of Retry-After for refused streams,
+	// and retryAfterShare limits it to a share of the time that the client has left. It is half of
+	// that share if the share is less than the minimum, and the time until the first pause ends if
+	// all runners are paused.
 	minStreamRetryAfter = 3000 * time.Millisecond
 	maxStreamRetryAfter = 4600 * time.Millisecond
 	retryAfterShare     = 0.33
@@ -164,8 +167,8 @@
 	s.finishIncomplete(firstError(s.endReason(), last))
 }
 
-// abandon ends the request without a complete response. If a part of the stream was sent, the
-// connection is aborted.
+// finishIncomplete ends the request without a complete response. If a part of the stream was sent,
+// the connection is aborted; otherwise giveUp responds with an error.
 func (s *generation) finishIncomplete(last error) {
 	if gone, ok := last.(errClientGone); ok {
 		s.finish(0, gone)
@@ -224,6 +227,7 @@
 		return notRun, &ErrRunnerLeft{Runner: runner.ID}
 	}
 	if err := s.reconfirm(); err != nil {
+		// This reason also stands for a revoked key and for a quarantined request.
 		s.releaseKV(prefillRunner, source, "key_not_confirmed")
 		s.dropHold(room)
 		return notRun, err
--- a/pkg/ingress/identity.go
+++ b/pkg/ingress/identity.go
@@ -14,11 +14,11 @@
 // Revocation holds the settings that stop revoked keys from being accepted while the gateway may
 // have missed the revocation.
 type Revocation struct {
-	// After is the age of the last confirmation, by the store, that there is nothing newer, above
-	// which requests with a key are refused; 0 for no limit.
+	// After limits the age of the store's last confirmation that this gateway has the newest
+	// configuration. Requests with a key are refused if it is older; 0 for no limit.
 	After time.Duration
-	// Confirmed returns the time, by boottime, of the last read of the store that is known to have
-	// found nothing newer; zero for never.
+	// Confirmed returns the time, by boottime, of the last read of the store that found no newer
+	// configuration; zero for never.
 	Confirmed func() time.Time
 }
 
--- a/pkg/ingress/identity_test.go
+++ b/pkg/ingress/identity_test.go
@@ -77,7 +77,7 @@
 }
 
 // Guards against accepting, after a suspension of the machine, keys that were revoked meanwhile:
-// the steady clock stood still, so the last confirmation would look recent.
+// the monotonic clock stops during a suspension, so the last confirmation would look recent.
 func TestKeysAreUnconfirmedAfterSuspension(t *testing.T) {
 	g := NewWithT(t)
 	confirmed := boottime.Now()
@@ -91,8 +91,8 @@
 	g.Expect(errors.As(newExchange(in, "/closed/", "Bearer k").identify(), &old)).To(BeTrue())
 }
 
-// If keys fail closed and the configuration is no longer confirmed, all keys are refused, also
-// unknown ones, but never as invalid.
+// If Revocation.After is set and the configuration is no longer confirmed, all keys are refused,
+// also unknown ones, but never as invalid.
 func TestUnconfirmedKeysAreNotReportedInvalid(t *testing.T) {
 	g := NewWithT(t)
 	confirmed := time.Now()
@@ -102,12 +102,12 @@
 	g.Expect(x.identify()).To(Succeed())
 	confirmed = time.Now().Add(-2 * time.Second)
 	var old *ErrUnconfirmed
-	g.Expect(errors.As(x.reconfirm(), &old)).To(BeTrue(), "the process was suspended while the request waited")
+	g.Expect(errors.As(x.reconfirm(), &old)).To(BeTrue(), "the confirmation became too old while the request waited")
 	for _, credential := range []string{"Bearer k", "Bearer unknown", ""} {
 		g.Expect(errors.As(newExchange(in, "/closed/", credential).identify(), &old)).To(BeTrue(), credential)
 	}
 	g.Expect(newExchange(in, "/open/").identify()).To(Succeed())
 	open := New(Options{})
 	open.Use(tableWithKeys(t, 1, "k"))
-	g.Expect(newExchange(open, "/closed/", "Bearer k").identify()).To(Succeed(), "keys don't fail closed")
+	g.Expect(newExchange(open, "/closed/", "Bearer k").identify()).To(Succeed(), "Revocation.After is not set")
 }
--- a/pkg/ingress/ingress.go
+++ b/pkg/ingress/ingress.go
@@ -1,6 +1,9 @@
 // Package ingress serves clients' requests by forwarding them to runners, which do their own
 // admission control. Bodies and responses are forwarded unchanged. The package decides where, when
 // and how often a request is sent.
+//
+// A service consists of engines, which run requests in the stages prefill and decode, or of plain
+// runners, which have no stage.
 package ingress
 
 import (
@@ -38,11 +41,11 @@
 	MaxOpen int
 	MaxHeld int64
 	// Neighbours returns the number of other gateways in the failure domain, to which the balancer
-	// sends clients first. Nil if it is not known.
+	// sends clients first; nil if the number is unavailable.
 	Neighbours func() int
 	// Pool holds the settings of the choice of engines.
 	Pool enginepool.Options
-	// Revocation says when keys are refused because they can't be confirmed.
+	// Revocation holds the settings for refusing keys whose revocation may have been missed.
 	Revocation Revocation
 	// Quota enforces the workspaces' quotas; nil for none.
 	Quota *quota.Ledger
@@ -164,17 +167,17 @@
 	}
 }
 
-// DropGateway drops the reservations of a peer that no longer sends.
+// DropGateway drops the reservations of a peer that no longer sends reports.
 func (g *Ingress) DropGateway(gateway string) {
 	for _, p := range g.Pools() {
 		p.DropGateway(gateway)
 	}
 }
 
-// Outcomes returns the failures of runners to report to other gateways.
+// Outcomes returns the runners' failures, which are reported to other gateways.
 func (g *Ingress) Outcomes() []runners.Outcome { return g.Directory.Outcomes(time.Now()) }
 
-// ReceiveStageChanges applies a peer's report of engines that are switching to another stage.
+// ReceiveStageChanges applies a peer's report of engines that are changing their stage.
 func (g *Ingress) ReceiveStageChanges(changes []runners.StageChange) {
 	g.Directory.ReceiveStageChanges(changes, time.Now())
 }
--- a/pkg/ingress/kept.go
+++ b/pkg/ingress/kept.go
@@ -44,8 +44,8 @@
 	return &promptCaches{engines: e, log: l, lists: map[string]*promptCacheList{}}
 }
 
-// find returns the engine of a list that has most tokens of a prompt in its cache, and their
-// number; nil if none has any.
+// find returns the one of the given engines that has the most tokens of a prompt in its cache, and
+// their number; nil if none has any.
 func (k *promptCaches) find(ctx context.Context, engines []*runners.State, prompt string) (*runners.State, int) {
 	if prompt == "" {
 		return nil, 0
--- a/pkg/ingress/kept_test.go
+++ b/pkg/ingress/kept_test.go
@@ -41,8 +41,8 @@
 	return d.Present("s", time.Now())
 }
 
-// Streams resumed at the same time share one call to each engine, and the number of engines asked
-// is limited.
+// Streams resumed within promptCacheTTL share one call to each engine, and the number of engines
+// asked is limited.
 func TestResumedStreamsShareBoundedCacheCalls(t *testing.T) {
 	g := NewWithT(t)
 	engines := enginesOf(3 * maxPromptCacheCalls)
--- a/pkg/ingress/metrics.go
+++ b/pkg/ingress/metrics.go
@@ -12,14 +12,20 @@
 
 // meters holds the metrics of an Ingress.
 type meters struct {
-	set        *metrics.Set
+	set *metrics.Set
+	// firstEvent is the time until the first event of a stream, wait the wait for room on a decode
+	// runner, and prefill the duration of a prefill, all in seconds.
 	firstEvent *metrics.Histogram
 	wait       *metrics.Histogram
 	prefill    *metrics.Histogram
-	prefilled  *metrics.Counter
-	wasted     *metrics.Counter
-	resumed    *metrics.Counter
-	broken     *metrics.Counter
+	// prefilled counts the prompt tokens that prefill runners computed, wasted those whose
+	// computation was wasted or has to be repeated.
+	prefilled *metrics.Counter
+	wasted    *metrics.Counter
+	// resumed counts the times that this gateway resumed a stream on another runner, broken the
+	// streams that were aborted.
+	resumed *metrics.Counter
+	broken  *metrics.Counter
 	// quarantines counts the quarantines that this gateway learned of.
 	quarantines *metrics.Counter
 	// notBuffered counts the responses that were streamed because the memory for buffers was used
--- a/pkg/ingress/plain.go
+++ b/pkg/ingress/plain.go
@@ -9,9 +9,9 @@
 	"github.com/hopwell/hopwell/pkg/runners"
 )
 
-// claimPlain chooses a plain runner and claims a place on it. If all runners have reached their
-// rate limits or are paused, it waits for the next place for as long as a new request may wait for
-// room. It fails with *ErrLimited or *runners.ErrUnavailable if there is still no place.
+// claimPlain chooses a plain runner and claims room for one request on it. If all runners have
+// reached their rate limits or are paused, it waits for room, for as long as a new request may. It
+// fails with *ErrLimited or *runners.ErrUnavailable if there is still no room.
 func (x *exchange) claimPlain(avoid map[string]bool) (*runners.State, error) {
 	latest := x.arrived.Add(time.Duration(newRequestWaitShare * float64(x.route.Latency)))
 	w := plainRequest{id: x.call.ID, service: x.service, domain: x.g.options.Domain, repeatable: x.route.Repeatable(), avoid: avoid, allows: x.domainFilter()}
@@ -58,12 +58,12 @@
 	allows func(domain string) bool
 }
 
-// choosePlain claims a place on the plain runner with the lowest cost, which favors the gateway's
+// choosePlain claims room on the plain runner with the lowest cost, which favors the gateway's
 // own failure domain. The candidates are first the healthy runners of this gateway's subset, then
 // all healthy ones, and for a repeatable request also those in backoff. It fails with
-// *runners.ErrUnavailable if all runners are leaving, paused or were paused a moment ago, with
-// *ErrLimited if the remaining ones accept no request now, and with *enginepool.ErrNoRunner if none
-// remains.
+// *runners.ErrUnavailable if all runners are leaving, paused, or admit few requests because a pause
+// has just ended, with *ErrLimited if the remaining ones accept no request now, and with
+// *enginepool.ErrNoRunner if none remains.
 func (g *Ingress) choosePlain(w plainRequest) (*runners.State, error) {
 	now := time.Now()
 	usable := g.Directory.Usable(w.service, "", now)
@@ -109,7 +109,7 @@
 	return &runners.ErrUnavailable{Service: w.service, Paused: 1, After: least}
 }
 
-// claimBest claims a place on the runner of a list with the lowest cost and returns it; nil if all
+// claimBest claims room on the runner of a list with the lowest cost and returns it; nil if all
 // are avoided or accept no request now.
 func (w plainRequest) claimBest(list []*runners.State, failureWeight float64, now time.Time) *runners.State {
 	for {
@@ -117,7 +117,7 @@
 		if best == nil || best.Claim(w.id, now) {
 			return best
 		}
-		// Another request claimed the last place meanwhile.
+		// Another request claimed the last room meanwhile.
 		list = slices.DeleteFunc(slices.Clone(list), func(s *runners.State) bool { return s == best })
 	}
 }
@@ -149,8 +149,9 @@
 	// otherDomainCost is the factor on the cost of a runner in another failure domain.
 	otherDomainCost = 1.3
 	// failureCost is the weight of a runner's failure rate in its cost for a repeatable request,
-	// nonRepeatableFailureCost for one that must not be repeated and is lost by a failure. The
-	// other runners serve those requests as long as they take at most about five times as long.
+	// nonRepeatableFailureCost for one that must not be repeated and is lost by a failure. A
+	// request of the second kind goes to another runner if its expected response time there is at
+	// most about five times as long (which is the factor for a failure rate of 0.4).
 	failureCost              = 4.0
 	nonRepeatableFailureCost = 10.0
 	// refusalCost is the weight of a runner's refusal rate in its cost. Without it, a runner that
--- a/pkg/ingress/prefill.go
+++ b/pkg/ingress/prefill.go
@@ -114,7 +114,8 @@
 	return s.g.options.Engines.Prefill(ctx, prefillRunner, s.call, s.order())
 }
 
-// recordLostCache records a prompt whose KV cache the decode runner could not fetch.
+// recordLostCache records that the decode runner refused the request, probably because it could not
+// fetch the KV cache from the prefill runner. It counts as a failure of the prefill runner.
 func (s *generation) recordLostCache(prefillRunner *runners.State, source Source) {
 	if prefillRunner == nil {
 		return
@@ -136,6 +137,7 @@
 		return
 	}
 	if s.endReason() != nil {
+		// This reason also stands for a timeout and for the end of a drain.
 		reason = "client_gone"
 	}
 	s.recordWasted(reason, prefillRunner, source.Tokens)
--- a/pkg/ingress/relay.go
+++ b/pkg/ingress/relay.go
@@ -37,7 +37,8 @@
 	last   string
 	runner string
 	events int
-	// written is when the last event was sent, longestGap the longest time between two events.
+	// written is when the last event was sent. longestGap is the longest time between two events,
+	// which is logged as pause.
 	written    time.Time
 	longestGap time.Duration
 }
@@ -127,7 +128,7 @@
 }
 
 // readEvent returns the next event including the empty line that ends it. At the end of the stream
-// it returns the rest, with the cause.
+// it returns the rest, with the error that ended the stream.
 func readEvent(in *bufio.Reader) ([]byte, error) {
 	var event []byte
 	for {
--- a/pkg/ingress/reserve.go
+++ b/pkg/ingress/reserve.go
@@ -40,8 +40,8 @@
 		if err != nil {
 			return nil, firstError(s.endReason(), err)
 		}
-		// The call may end after the deadline if it began before it: cutting it off would show
-		// nothing about the runner.
+		// A call that began before the deadline may end after it: if it were cut off, that would
+		// show nothing about the runner.
 		hold, err := s.hold(runner)
 		if err == nil {
 			s.g.metrics.wait.UpdateDuration(began)
@@ -136,9 +136,9 @@
 	return s.g.options.Engines.Hold(ctx, runner, s.missingTokens(runner)+holdOutputTokens, s.holdTTL())
 }
 
-// holdTTL returns how long a hold lasts. It is used before the first event is due, or the event is
-// late anyway. A hold whose response was lost can't be released, and occupies memory until it
-// expires.
+// holdTTL returns how long a hold lasts. A hold is not needed for longer than the latency target: by
+// then the decode has begun, or the first event is late anyway. A hold whose response was lost
+// can't be released, and occupies memory until it expires.
 func (s *generation) holdTTL() time.Duration {
 	if s.route.Latency > 0 {
 		return min(s.engine.HoldFor, s.route.Latency)
--- a/pkg/ingress/returns.go
+++ b/pkg/ingress/returns.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// returnMargin is the smallest difference, in the time that clients wait, by which a retry is
-	// recognized. It is less than the shortest time after which clients retry.
+	// returnMargin is the smallest difference in timeouts by which a retry is recognized. It is
+	// less than the shortest time after which clients retry.
 	returnMargin = 150 * time.Millisecond
 	// minLongestShare is the share of a route's requests that must have the longest timeout, before
 	// those with a shorter one are taken for retries. If timeouts differ for other reasons, few
@@ -19,8 +19,9 @@
 )
 
 // returnDetector recognizes the clients of a route that were refused before and retry, by their
-// timeouts: a retry has less time left than a new request.
+// timeouts: a retry has a shorter timeout than a new request.
 type returnDetector struct {
+	// longest is the longest timeout observed; it never decreases.
 	longest time.Duration
 	// seen is the number of requests observed. longestShare is the share of the latest requests
 	// whose timeout is about the longest.
--- a/pkg/ingress/share.go
+++ b/pkg/ingress/share.go
@@ -9,14 +9,15 @@
 	"github.com/hopwell/hopwell/pkg/runners"
 )
 
-// connectionsPerGateway is the number of a plain runner's connections counted for each gateway that
-// uses it: two that it keeps open, and as many for those that it opens while these are busy.
+// connectionsPerGateway is the assumed number of connections of each gateway to a plain runner that
+// it uses: two that the gateway keeps open, and two more that it opens while those are busy.
 const connectionsPerGateway = 4
 
-// subset returns the plain runners of a list that this gateway uses. These are all, unless the
-// gateways together would open more connections than the runners accept, which reset those beyond
-// their limit. In that case each gateway uses fewer runners, chosen by a hash of its name, so that
-// all runners are used by about the same number of gateways.
+// plainSubset returns the plain runners of a list that this gateway uses; package subset chooses
+// engines only. It returns all, unless the gateways together would open more connections than the
+// runners accept (a runner resets connections beyond its limit). In that case each gateway uses
+// fewer runners, chosen by a hash of its name, so that all runners are used by about the same number
+// of gateways.
 func (g *Ingress) plainSubset(service string, list []*runners.State) []*runners.State {
 	used := g.subsetSize(service, len(list))
 	if used >= len(list) {
--- a/pkg/ingress/slow.go
+++ b/pkg/ingress/slow.go
@@ -10,8 +10,8 @@
 const (
 	// clientStallTimeout is the time without progress after which a client that does not read its
 	// response is disconnected. Until then it occupies a place on the runner and memory of the
-	// gateway. Clients give up a stream after a gap of 2 s, within which a lost packet is
-	// retransmitted.
+	// gateway. The timeout is longer than the gap of 2 s after which clients give up a stream; a
+	// lost packet is retransmitted within that gap.
 	clientStallTimeout = 3 * time.Second
 	// minBodyTime is the least time that a client gets for sending a body.
 	minBodyTime = time.Second
--- a/pkg/ingress/slow_test.go
+++ b/pkg/ingress/slow_test.go
@@ -106,6 +106,7 @@
 		runner := in.Directory.Find("a")
 		g.Expect(runner.Outstanding()).To(Equal(clients))
 		g.Expect(in.bufferedBytes.Load()).To(BeNumerically("<=", maxHeld))
+		// The limit covers the buffers, up to maxHeld, and the state of the connections.
 		g.Expect(heapInUse()-before).To(BeNumerically("<", 112<<20), "memory of the smallest gateway")
 		time.Sleep(clientStallTimeout)
 		synctest.Wait()
--- a/pkg/ingress/suspicion.go
+++ b/pkg/ingress/suspicion.go
@@ -13,7 +13,8 @@
 	"github.com/hopwell/hopwell/pkg/runners"
 )
 
-// Suspicion holds what gateways share about requests that crash their runners.
+// Suspicion connects an Ingress to the table of requests that crash their runners, and to the other
+// gateways, which share their reports of them.
 type Suspicion struct {
 	// Table holds the suspected and quarantined requests; nil turns quarantine off.
 	Table *quarantine.Table
@@ -48,9 +49,10 @@
 // at once.
 const aliveTimeout = 400 * time.Millisecond
 
-// reportBrokenRun records a run that ended with its runner's connection, if the runner crashed. If
-// early is set, no part of the response had come. It asks the runner first whether it is alive,
-// since otherwise runners that reset connections and go on would get harmless requests quarantined.
+// reportBrokenRun records that the connection to the runner broke while it ran the request, if the
+// runner crashed. If early is set, no part of the response had been received. It first checks
+// whether the runner is alive, since otherwise runners that reset connections and continue to run
+// would get harmless requests quarantined.
 // A connection that only timed out doesn't indicate a crash. Broken prefills are not counted: the
 // decode engine that computes the prompt instead crashes at the same point, or serves the request.
 func (x *exchange) reportBrokenRun(runner *runners.State, early bool, err error) {
@@ -98,7 +100,8 @@
 	}
 	g.quarantineBegins(r, "told")
 	if r.Left == 0 {
-		// Only this gateway found that the reports of several gateways suffice together.
+		// The reports of several gateways together led to the quarantine here, which the other
+		// gateways may not have concluded.
 		g.options.Suspicion.Report(quarantine.Report{Digest: r.Digest, Left: quarantine.Hold})
 	}
 }
--- a/pkg/ingress/where.go
+++ b/pkg/ingress/where.go
@@ -10,14 +10,15 @@
 )
 
 // notServableRetryAfter is the Retry-After of a request that no runner may serve now. Operators
-// change the allowed regions, or end an evacuation, within minutes rather than seconds.
+// change the allowed regions, or end an evacuation, within minutes rather than seconds, so a shorter
+// one would only cause useless retries.
 const notServableRetryAfter = 3 * time.Second
 
 // ErrNoRegion reports that the regions to which a request is bound contain no runner.
 type ErrNoRegion struct {
 	Service string
-	// Regions holds the allowed regions of the route and those of the workspace, each list
-	// separated by commas. A runner must be in all lists.
+	// Regions holds the allowed regions of the route and those of the workspace, each as a
+	// comma-separated list. A runner must be in all lists.
 	Regions []string
 }
 
--- a/pkg/retrybudget/retrybudget.go
+++ b/pkg/retrybudget/retrybudget.go
@@ -19,15 +19,16 @@
 }
 
 // safetyShare is the share of the limits that is used, since the windows of the gateways and those
-// by which compliance is judged begin at different times.
+// in which an observer checks the limits begin at different times.
 const safetyShare = 0.8
 
 // startSlackShare is the share of the slack that a process uses in its first window. What its
 // predecessor spent in that window is not known. With safetyShare, both together stay within the
-// slack.
+// slack: (1 + 0.25) * 0.8 = 1.
 const startSlackShare = 0.25
 
-// buckets is the number of buckets into which a window is divided.
+// buckets is the number of buckets into which a window is divided. One more is kept, so that the
+// buckets always cover a whole window.
 const buckets = 10
 
 // Budget counts the requests and extra sends of one service at one gateway.
@@ -37,8 +38,9 @@
 	gateways int
 	requests [buckets + 1]float64
 	extras   [buckets + 1]float64
-	at       int64
-	start    time.Time
+	// at is the number of the current bucket, counted from start.
+	at    int64
+	start time.Time
 	// created is when the budget was created. aged is set one window later.
 	created time.Time
 	aged    bool
@@ -108,6 +110,8 @@
 	return b.allowed() - sum(b.extras[:])
 }
 
+// allowed returns the extra sends allowed in the current window, including those already made. The
+// caller must hold mu.
 func (b *Budget) allowed() float64 {
 	slack := b.limits.Slack / float64(b.gateways)
 	if !b.aged {
--- a/pkg/retrybudget/retrybudget_test.go
+++ b/pkg/retrybudget/retrybudget_test.go
@@ -13,7 +13,8 @@
 var limits = Limits{Share: 0.2, Slack: 50, Window: 10 * time.Second}
 
 // Gateways that share a budget stay within it in every window, whatever the times of requests and
-// retries.
+// retries. The budget of a window counts its requests or those of the window before, whichever are
+// more.
 func TestGatewaysTogetherStayWithinBudget(t *testing.T) {
 	spectest.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
@@ -88,6 +89,7 @@
 	for b.Spend(now) {
 		spent++
 	}
+	// The gateway's part of the slack is 1, which startSlackShare and safetyShare reduce to 0.2.
 	g.Expect(spent).To(Equal(0))
 }
 
--- a/pkg/staging/staging.go
+++ b/pkg/staging/staging.go
@@ -13,17 +13,17 @@
 
 // Policy determines how many engines should be in each stage.
 type Policy struct {
-	// Share is the fraction of the engines that should prefill for the mean load.
-	// Margin is the addition for peaks, times the square root of the number of
-	// engines: the more engines share the load, the smaller its peaks are.
+	// Share is the fraction of the engines that should prefill for the mean load. For
+	// peaks, Margin times the square root of the number of engines is added: the more
+	// engines share the load, the smaller its peaks are.
 	Share, Margin float64
-	// Load is the fraction of the engines that should prefill, divided by the learned
-	// fraction of their time that prefill takes. It replaces Share if the learned value
-	// leads to a clearly different number.
+	// Load times the learned fraction of the engines' time that prefill takes is used in
+	// place of Share if it leads to a clearly different number.
 	Load float64
 	// Least is the minimum number of prefill engines.
 	Least int
-	// Patience is how long the stages must differ from the wanted ones before a change.
+	// Patience is how long the stages must differ from the wanted ones before a change. It
+	// is applied by the caller of Plan, as is Pause.
 	Patience time.Duration
 	// Pause is the least time between two changes, except between those that the same plan
 	// contains.
@@ -64,8 +64,9 @@
 }
 
 // differenceDivisor sets how much the number from the learned share must differ from the
-// usual number: more than engines/differenceDivisor, a tenth. The shares that are learned
-// from the same load at different times differ by less.
+// usual number: by more than engines/differenceDivisor, a tenth of the engines, and by more
+// than tolerance. Shares learned from the same load at different times lead to numbers that
+// differ by less.
 const differenceDivisor = 10
 
 // count returns how many of a number of engines should prefill, for a share and with the
@@ -82,8 +83,8 @@
 	Engines []*runners.State
 	// Learned is the fraction of their time that prefill takes, 0 for unknown; see Wanted.
 	Learned float64
-	// Exact asks for exactly the wanted stages; otherwise a difference within the
-	// tolerance remains.
+	// Exact asks for exactly the wanted stages, as is possible without load; otherwise a
+	// difference within the tolerance remains.
 	Exact bool
 	// Admits reports whether an engine may get a stage change now; other engines only count
 	// in their stage. Nil admits all.
@@ -128,12 +129,15 @@
 	return x.pick(eligible[runners.Prefill], min(-delta, prefill-1), Change{Stage: runners.Decode, Urgent: decode == 0})
 }
 
-// tolerance is the difference from the wanted number of engines that is accepted under load.
+// tolerance is the difference from the wanted number of engines that remains uncorrected
+// unless Situation.Exact is set. It is also the least difference that a learned share must
+// exceed to be used, see Wanted.
 const tolerance = 1
 
 // excess returns the part of a difference that exceeds the tolerance. A stage change under
-// load takes an engine out of service for a while, and lost engines often come back. The
-// minimum of prefill engines and one decode engine are ensured in any case.
+// load takes an engine out of service for a while, and a difference due to lost engines
+// often disappears when they return. The minimum of prefill engines and one decode engine
+// are ensured in any case.
 func (p Policy) excess(delta, prefill, decode int) int {
 	switch {
 	case delta > 0:
@@ -153,7 +157,7 @@
 	load   float64
 }
 
-// compareLoads orders the engines of one domain by load.
+// compareLoads orders engines by load, and by ID if their load is equal.
 func compareLoads(a, b engineLoad) int {
 	return cmp.Or(cmp.Compare(a.load, b.load), cmp.Compare(a.runner.ID, b.runner.ID))
 }
--- a/pkg/staging/staging_test.go
+++ b/pkg/staging/staging_test.go
@@ -81,7 +81,7 @@
 	})
 }
 
-// An engine that may get no stage change counts in its stage, and another engine is changed.
+// An engine that Admits excludes still counts in its stage, and another engine is changed.
 func TestEngineThatIsNotAdmittedIsNotChanged(t *testing.T) {
 	g := NewWithT(t)
 	all := engines(4, 1)
@@ -123,7 +123,7 @@
 }
 
 // An engine with a stage change under way gets no second one. It is planned for again if the
-// change was lost.
+// change has not ended within its time limit.
 func TestChangingEngineGetsNoSecondChange(t *testing.T) {
 	g := NewWithT(t)
 	p, now := DefaultPolicy(), time.Now()
@@ -135,8 +135,8 @@
 	g.Expect(p.Plan(Situation{Engines: all, Exact: true}, now.Add(2*time.Second))).To(HaveLen(1))
 }
 
-// The more engines share the load, the smaller the fraction that prefills: the best numbers were 4
-// of 12, 6 of 18, and 0.20 to 0.28 of 47 and 55.
+// The more engines share the load, the smaller the fraction that prefills: in measurements it was
+// best that 4 of 12 engines prefill, 6 of 18, and a fraction of 0.20 to 0.28 of 47 and of 55.
 func TestLargePoolsNeedSmallerMarginForPeaks(t *testing.T) {
 	g := NewWithT(t)
 	p := DefaultPolicy()
--- a/pkg/subset/subset.go
+++ b/pkg/subset/subset.go
@@ -17,7 +17,8 @@
 // has about E·Users/G engines to choose from.
 const Users = 24
 
-// Subset computes subsets from one gateway's membership list. It is safe for concurrent use.
+// Subset determines which gateways use which engines, from one gateway's membership list. It
+// is safe for concurrent use.
 type Subset struct {
 	// gateways holds the names of all gateways, this one first; hashes holds the hashes of
 	// the names.
@@ -28,7 +29,7 @@
 	users map[string][]string
 }
 
-// New returns the subsets as seen by gateway self, with the names of the others.
+// New returns the Subset of gateway self, whose membership list also contains the others.
 func New(self string, others []string) *Subset {
 	s := &Subset{gateways: append([]string{self}, others...), users: map[string][]string{}}
 	s.hashes = make([]uint64, len(s.gateways))
@@ -75,7 +76,7 @@
 }
 
 // Chosen returns the gateways that rank first for a key, as many as use one engine. The
-// result is not cached, so that the number of keys is not limited.
+// result is not cached, since the number of keys is not limited.
 func (s *Subset) Chosen(key string) []string {
 	if len(s.gateways) <= Users {
 		return s.gateways
@@ -102,9 +103,10 @@
 	return h ^ h>>33
 }
 
-// First returns the n gateways that rank first for a key by rendezvous hashing, all if
-// there are fewer. If a gateway is added or removed, only the keys that it has change, by
-// one gateway each.
+// First returns the n gateways that rank first for a key by rendezvous hashing, in the order
+// of their rank. If there are no more than n, it returns all in the order of the membership
+// list. If a gateway is added or removed, the result changes only for the keys for which it
+// is among the first n, and by one gateway each.
 func (s *Subset) First(key string, n int) []string {
 	if len(s.gateways) <= n {
 		return s.gateways
