--- a/pkg/ingress/plain.go
+++ b/pkg/ingress/plain.go
@@ -117,7 +117,7 @@
 		if best == nil || best.Claim(w.id, now) {
 			return best
 		}
-		// Another request claimed the last room meanwhile.
+		// Another request claimed the remaining room meanwhile.
 		list = slices.DeleteFunc(slices.Clone(list), func(s *runners.State) bool { return s == best })
 	}
 }
--- a/pkg/ingress/share.go
+++ b/pkg/ingress/share.go
@@ -13,11 +13,11 @@
 // it uses: two that the gateway keeps open, and two more that it opens while those are busy.
 const connectionsPerGateway = 4
 
-// plainSubset returns the plain runners of a list that this gateway uses; package subset chooses
-// engines only. It returns all, unless the gateways together would open more connections than the
-// runners accept (a runner resets connections beyond its limit). In that case each gateway uses
-// fewer runners, chosen by a hash of its name, so that all runners are used by about the same number
-// of gateways.
+// plainSubset returns the plain runners of a list that this gateway uses. It is independent of
+// package subset, which chooses engines. It returns the whole list, unless the gateways together
+// would open more connections than the runners accept: a runner resets connections beyond its limit.
+// Each gateway then uses fewer runners, chosen by a hash of its name, so that all runners are used
+// by about the same number of gateways.
 func (g *Ingress) plainSubset(service string, list []*runners.State) []*runners.State {
 	used := g.subsetSize(service, len(list))
 	if used >= len(list) {
