--- a/pkg/enginepool/length.go
+++ b/pkg/enginepool/length.go
@@ -17,21 +17,21 @@
 	minSpread = 0.05
 )
 
-// Lengths learns to predict the length of a response from the length that the client
-// guessed, by a linear regression of the logarithm of the length on that of the guess.
+// Lengths learns to predict the length of a response from the client's length hint, by a
+// linear regression of the logarithm of the length on that of the hint.
 // It is safe for concurrent use.
 type Lengths struct {
 	mu sync.Mutex
-	// Weighted sums over past responses: of the weights, of x (log of the guess),
+	// Weighted sums over past responses: of the weights, of x (log of the hint),
 	// y (log of the length), their products, and of squared errors.
 	n, x, y, xx, xy, ee float64
 }
 
-// NewLengths returns a learner that initially predicts the guess as the median length.
+// NewLengths returns a learner that initially predicts the hint as the median length.
 func NewLengths() *Lengths {
 	l := &Lengths{}
-	for _, guess := range []float64{100, 300, 900, 1800} {
-		v := math.Log(guess)
+	for _, hint := range []float64{100, 300, 900, 1800} {
+		v := math.Log(hint)
 		w := float64(priorWeight) / 4
 		l.n += w
 		l.x += w * v
@@ -63,12 +63,12 @@
 	return spread
 }
 
-// Learn records the guessed and the actual length of a response, in tokens.
-func (l *Lengths) Learn(guess, length int) {
-	if guess <= 0 || length <= 0 {
+// Learn records the length hint and the actual length of a response, in tokens.
+func (l *Lengths) Learn(hint, length int) {
+	if hint <= 0 || length <= 0 {
 		return
 	}
-	x, y := math.Log(float64(guess)), math.Log(float64(length))
+	x, y := math.Log(float64(hint)), math.Log(float64(length))
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a, b, _ := l.fit()
@@ -91,13 +91,13 @@
 	median, spread, maxTokens float64
 }
 
-// Estimate returns the estimate for a guessed length and a limit of the length, both in
+// Estimate returns the estimate for a length hint and a limit of the length, both in
 // tokens; a maxTokens of 0 means no limit.
-func (l *Lengths) Estimate(guess, maxTokens int) Estimate {
+func (l *Lengths) Estimate(hint, maxTokens int) Estimate {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a, b, spread := l.fit()
-	out := Estimate{median: math.Exp(a + b*math.Log(max(1, float64(guess)))), spread: spread, maxTokens: float64(maxTokens)}
+	out := Estimate{median: math.Exp(a + b*math.Log(max(1, float64(hint)))), spread: spread, maxTokens: float64(maxTokens)}
 	if maxTokens > 0 {
 		out.median = min(out.median, out.maxTokens)
 	}
@@ -108,6 +108,8 @@
 // tokens already and is not complete: the mean of a log-normal distribution truncated
 // below at that number.
 func (b Estimate) Expected(generated int) float64 {
+	// fractionAbove returns the fraction of the normal distribution of the log length, with
+	// its mean raised by shift, that lies above the log of generated.
 	fractionAbove := func(shift float64) float64 {
 		if generated <= 0 {
 			return 1
--- a/pkg/ingress/suspicion.go
+++ b/pkg/ingress/suspicion.go
@@ -13,7 +13,8 @@
 	"github.com/hopwell/hopwell/pkg/runners"
 )
 
-// Suspicion holds what gateways share about requests that crash their runners.
+// Suspicion connects an Ingress to the table of requests that crash their runners, and to the other
+// gateways, which share their reports of them.
 type Suspicion struct {
 	// Table holds the suspected and quarantined requests; nil turns quarantine off.
 	Table *quarantine.Table
@@ -48,9 +49,10 @@
 // at once.
 const aliveTimeout = 400 * time.Millisecond
 
-// reportBrokenRun records a run that ended with its runner's connection, if the runner crashed. If
-// early is set, no part of the response had come. It asks the runner first whether it is alive,
-// since otherwise runners that reset connections and go on would get harmless requests quarantined.
+// reportBrokenRun records that the connection to the runner broke while it ran the request, if the
+// runner crashed. If early is set, no part of the response had been received. It first checks
+// whether the runner is alive, since otherwise runners that reset connections and continue to run
+// would get harmless requests quarantined.
 // A connection that only timed out doesn't indicate a crash. Broken prefills are not counted: the
 // decode engine that computes the prompt instead crashes at the same point, or serves the request.
 func (x *exchange) reportBrokenRun(runner *runners.State, early bool, err error) {
@@ -58,25 +60,25 @@
 	if x.g.options.Suspicion.Table == nil || errors.As(err, &timeout) && timeout.Timeout() {
 		return
 	}
-	asked, at := x.digest(), time.Now()
+	digest, at := x.digest(), time.Now()
 	go func() {
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(x.ctx), aliveTimeout)
 		defer cancel()
 		runner.Called("", time.Now())
 		alive, err := x.g.options.Engines.Alive(ctx, runner)
 		if err != nil {
-			x.logFailedStep("runner_not_asked", runner.ID, err, decisionlog.F("asked", asked))
+			x.logFailedStep("runner_not_asked", runner.ID, err, decisionlog.F("asked", digest))
 		}
 		if alive || err != nil {
 			return
 		}
-		x.g.crashed(asked, quarantine.Break{Runner: xxhash.Sum64String(runner.ID), Early: early, At: at})
+		x.g.crashed(digest, quarantine.Break{Runner: xxhash.Sum64String(runner.ID), Early: early, At: at})
 	}()
 }
 
 // crashed records that a runner crashed while it ran a request.
-func (g *Ingress) crashed(asked quarantine.Digest, b quarantine.Break) {
-	report, found := g.options.Suspicion.Table.Broke(asked, b)
+func (g *Ingress) crashed(digest quarantine.Digest, b quarantine.Break) {
+	report, found := g.options.Suspicion.Table.Broke(digest, b)
 	if found {
 		g.quarantineBegins(report, "found")
 	}
@@ -98,7 +100,8 @@
 	}
 	g.quarantineBegins(r, "told")
 	if r.Left == 0 {
-		// Only this gateway found that the reports of several gateways suffice together.
+		// The reports of several gateways together led to the quarantine here, which the other
+		// gateways may not have concluded.
 		g.options.Suspicion.Report(quarantine.Report{Digest: r.Digest, Left: quarantine.Hold})
 	}
 }
