--- a/pkg/coldstart/coldstart.go
+++ b/pkg/coldstart/coldstart.go
@@ -1,11 +1,11 @@
-// Package coldstart divides the load limit of a runner that has just started among the gateways.
-// Such a runner fails when all gateways together send it more requests in one second than its
-// service states. No gateway learns of the others' requests in time, so each keeps to its own
-// share.
+// Package coldstart divides, among the gateways, the load limit of a runner that has just started.
+// Such a runner fails when all gateways together send it more requests in one second than the limit
+// configured for its service. No gateway learns of the others' requests in time, so each keeps to
+// its own share.
 //
-// The shares need no message and no store: they follow from the names of the known gateways, which
-// stay known for up to a minute after they fell silent. docs/design/cold-runners.md compares the
-// alternatives.
+// The shares need no message and no store: they follow from the names of the gateways in the
+// membership list, which keeps a gateway for up to a minute after its last message.
+// docs/design/cold-runners.md compares the alternatives.
 package coldstart
 
 import (
@@ -21,18 +21,19 @@
 	// runner, which is up to 200 ms on healthy links.
 	Window = 1200 * time.Millisecond
 	// sharedFraction is the fraction of the limit that is divided among the gateways. The rest is
-	// for gateways that learn of each other late: the limit holds while each gateway knows half of
-	// the others. A limit of less than two requests holds only while all gateways know each other.
+	// for gateways that learn of each other late: the limit holds while each gateway has half of
+	// the others in its membership list. A limit of less than two requests holds only while the
+	// membership lists of all gateways are complete.
 	sharedFraction = 0.5
 )
 
 // Limit is how many requests a cold runner gets in one second from all gateways together.
 type Limit struct {
-	// PerSecond is the rate that the runner's service states, in requests per second; 0 is no
+	// PerSecond is the rate configured for the runner's service, in requests per second; 0 is no
 	// limit.
 	PerSecond float64
-	// Overshoot is a factor that PerSecond is multiplied by, Slack a number of requests that is
-	// added to the product.
+	// Overshoot is a factor that PerSecond is multiplied by, so 1 adds nothing; Slack a number of
+	// requests that is added to the product.
 	Overshoot, Slack float64
 }
 
@@ -43,9 +44,9 @@
 func (l Limit) requests() float64 { return l.PerSecond*l.Overshoot + l.Slack }
 
 // Share returns how many requests the gateway self may send to a cold runner in any Window. All
-// gateways use the same limit. If it is less than one request for each gateway, some gateways get
-// one and the rest none. Which ones get one differs from runner to runner, so that each gateway has
-// some runners to use.
+// gateways use the same limit. If the shared fraction of it is less than one request for each
+// gateway, some gateways get one request and the rest none. Which gateways get a request differs
+// from runner to runner, so that each gateway has some runners to use.
 func Share(l Limit, self string, others []string, runner string) int {
 	shared := l.requests() * sharedFraction
 	if perGateway := math.Floor(shared / float64(len(others)+1)); perGateway >= 1 {
@@ -64,6 +65,6 @@
 	return 1
 }
 
-// weight ranks the gateways for a runner by rendezvous hashing: when a gateway joins or leaves, no
-// other share changes but that of the gateway ranked last.
+// weight ranks the gateways for a runner by rendezvous hashing: when shares are 0 or 1, a gateway
+// that joins or leaves changes the share of at most one other gateway.
 func weight(gateway, runner string) uint64 { return xxhash.Sum64String(gateway + "/" + runner) }
--- a/pkg/notice/incarnation.go
+++ b/pkg/notice/incarnation.go
@@ -12,9 +12,9 @@
 	Began time.Time
 }
 
-// Replace records that a runner has restarted as a new incarnation. Until the runner's entry is read,
-// responses of the new incarnation are attributed to the old one, so a pause that the new incarnation may
-// have asked for is moved to it.
+// Replace records that the incarnation runner was replaced by the incarnation by. Until the new entry is
+// read, responses of the new incarnation are attributed to the old one, so a pause that the new incarnation
+// may have asked for is moved to the new one.
 func (t *Table) Replace(runner string, by Incarnation, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/pkg/notice/notice.go
+++ b/pkg/notice/notice.go
@@ -17,8 +17,8 @@
 type Notice struct {
 	// Limit is what the response reports of the runner's rate limit.
 	Limit runnerlimit.Statement
-	// Leaving is set if the runner accepts no more work. LeavesIn is the time until the runner ends, valid if
-	// Ends is set.
+	// Leaving is set if the runner accepts no more work. Ends is set if the response reports when the runner
+	// ends, and LeavesIn is the time until then.
 	Leaving  bool
 	Ends     bool
 	LeavesIn time.Duration
@@ -33,7 +33,7 @@
 	// accepted it.
 	Sent     time.Time
 	Accepted bool
-	// Unknown lists the headers that look like notices but are not recognized.
+	// Unknown lists the headers that have the form of a notice but are not recognized.
 	Unknown []string
 }
 
@@ -41,8 +41,8 @@
 	// maxPause bounds the pause that a runner can ask for. A longer one is a mistake and would exclude the
 	// runner permanently.
 	maxPause = time.Hour
-	// leavingLeadTime is how long before its end a runner stops getting work. It is longer than requests
-	// take.
+	// leavingLeadTime is how long before the announced end of a runner this gateway stops sending it work. It
+	// is longer than requests take.
 	leavingLeadTime = 30 * time.Second
 )
 
@@ -62,7 +62,8 @@
 
 // The purposes.
 const (
-	// Work is a call that loads the runner: a request, a prompt, a reservation or an order.
+	// Work is a call that loads the runner: a request, a prompt, a reservation or an order to change the
+	// stage.
 	Work Purpose = iota + 1
 	// Upkeep is a call that releases something or queries the runner's state.
 	Upkeep
@@ -109,15 +110,16 @@
 	What string
 	// From is the gateway that reported the change; empty if this gateway received the response.
 	From string
-	// For is the length of the pause: as first asked for when it begins, in total when it ends. Asked is the
-	// number of responses that asked for it.
+	// For is the length of the pause: in PauseBegins the length in the first response, in PauseEnds the total
+	// length. Asked is the number of responses that asked for it.
 	For   time.Duration
 	Asked int
 	// Header is the name of an unrecognized header.
 	Header string
 }
 
-// Withheld is a runner that gets no work because it is leaving or paused.
+// Withheld is a runner that gets no work because it is leaving or paused. In package runnerlimit, fields of
+// this name are counts.
 type Withheld struct {
 	Runner string
 	// Leaving is set if the runner is leaving. From is the gateway that received its notice; empty for this
--- a/pkg/notice/notice_test.go
+++ b/pkg/notice/notice_test.go
@@ -34,8 +34,8 @@
 	g.Expect(table.Leaves("a@1")).To(BeFalse())
 }
 
-// Guards against requests during a pause that a runner asked for right after a restart. Its response was
-// attributed to the previous incarnation, with which the pause was dropped.
+// Guards against requests during a pause that a runner asked for right after a restart. An earlier version
+// attributed the response to the previous incarnation and dropped the pause with that incarnation.
 func TestPauseBelongsToIncarnationThatAsked(t *testing.T) {
 	for name, c := range map[string]struct {
 		asked, began, learned float64
@@ -79,7 +79,7 @@
 	spectest.Check(t, func(t *rapid.T) {
 		table := New()
 		until, now := time.Time{}, at(0)
-		for range rapid.IntRange(1, 20).Draw(t, "answers") {
+		for range rapid.IntRange(1, 20).Draw(t, "responses") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond)
 			length := time.Duration(rapid.IntRange(1, 5000).Draw(t, "pause")) * time.Millisecond
 			table.Observe("a", asksFor(length), now)
@@ -191,7 +191,7 @@
 }
 
 // Guards against a slow start that runs into the same refusals repeatedly.
-func TestWindowDoublesToHalfOfRefusedWindow(t *testing.T) {
+func TestWindowDoublesToHalfOfWindowAtRefusal(t *testing.T) {
 	g := NewWithT(t)
 	table := New()
 	claim := func(now time.Time) (n int) {
--- a/pkg/notice/pause.go
+++ b/pkg/notice/pause.go
@@ -7,8 +7,8 @@
 	// pause. The bound is lifted when the window exceeds maxWindow.
 	initialWindow = 1
 	maxWindow     = 16
-	// thresholdFactor sets how far the window doubles after the next pause: to this factor times the number
-	// of concurrent requests at which the runner refused one.
+	// If the runner refuses a request in the slow start while n requests are open, the window of the next
+	// slow start doubles up to thresholdFactor*n.
 	thresholdFactor = 0.5
 	// claimTimeout bounds how long a request that doesn't release its place in the window keeps it.
 	claimTimeout = 5 * time.Second
@@ -27,7 +27,8 @@
 	// endReported is set once the end of the pause was reported to Table.Changed.
 	endReported bool
 	// window bounds the concurrent requests after the pause, claims holds the time of each request's claim by
-	// request ID. Per response time, the window doubles up to threshold and grows by one beyond it.
+	// request ID. Each accepted request adds 1 to the window up to threshold, and 1/window beyond it. Per
+	// response time, the window therefore doubles up to threshold and grows by one beyond it.
 	window, threshold float64
 	claims            map[string]time.Time
 }
--- a/pkg/notice/simulation_test.go
+++ b/pkg/notice/simulation_test.go
@@ -22,6 +22,7 @@
 	// retries is the number of refused clients that retry, by time.
 	retries map[time.Time]int
 
+	// shed counts refusals by runners, refused requests that their gateway refused to the client.
 	served, shed, refused int
 }
 
@@ -89,8 +90,8 @@
 	r.running = left
 }
 
-// arrive sends a request to the least loaded runner that its gateway may use, and retries it at others after
-// a refusal.
+// arrive sends a request to the least loaded runner that its gateway may use, and retries it at other runners
+// after a refusal.
 func (s *simulation) arrive(gateway int) {
 	s.serial++
 	request, table := fmt.Sprint(s.serial), s.gateways[gateway]
@@ -115,8 +116,8 @@
 	}
 }
 
-// scheduleRetry schedules a client's retry for the earliest end of a pause, or up to a quarter of the wait
-// later.
+// scheduleRetry schedules a client's retry after the shortest remaining pause, at least 300 ms, plus up to a
+// quarter of that at random.
 func (s *simulation) scheduleRetry(table *Table) {
 	after := 300 * time.Millisecond
 	for i, r := range s.runners {
--- a/pkg/notice/table.go
+++ b/pkg/notice/table.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// leavingRetention is how long a leaving incarnation is remembered: longer than a store outage, in which
-	// its entry can disappear or reappear unchanged.
+	// leavingRetention is how long a leaving incarnation is remembered: longer than a store outage, because
+	// its entry may disappear in an outage and reappear without the notice.
 	leavingRetention = time.Hour
 	// maxLeaving bounds the number of leaving incarnations that are remembered. The oldest are dropped.
 	maxLeaving = 4096
@@ -230,8 +230,8 @@
 	}
 }
 
-// Receive records the leaving incarnations that another gateway reported, also those that this gateway
-// doesn't know yet.
+// Receive records the leaving incarnations that another gateway reported, including incarnations that are not
+// in this gateway's list of runners yet.
 func (t *Table) Receive(gateway string, leaving []string, now time.Time) {
 	var changes []Change
 	t.mu.Lock()
@@ -264,8 +264,8 @@
 	return out
 }
 
-// Withheld returns the runners that are paused or leaving, sorted by name. Leaving runners are included
-// for a limited time after their notice was received.
+// Withheld returns the runners that are paused or leaving, sorted by ID. Leaving runners are included for the
+// time within after this gateway learned of their notice.
 func (t *Table) Withheld(within time.Duration, now time.Time) []Withheld {
 	if !t.nonEmpty.Load() {
 		return nil
--- a/pkg/runnerlimit/exchange.go
+++ b/pkg/runnerlimit/exchange.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// broadcastChange is the relative change of a limit above which the limit is sent to all gateways at once.
-// Its users receive each value with the call counts.
+// broadcastChange is the relative change of a limit above which the limit is sent to all gateways
+// immediately. The users of a limit also receive smaller changes, with the call counts.
 const broadcastChange = 0.05
 
 // Report is what a gateway sends to another about a runner's limit.
 type Report struct {
 	Runner string
 	Statement
-	// NamedAgo is the time since a response last named the limit. Over is set if the response to a call sent
-	// EndedAgo ago no longer named it.
+	// NamedAgo is the time since a response last named the limit. Over is set if the limit has ended,
+	// EndedAgo ago.
 	NamedAgo time.Duration
 	Over     bool
 	EndedAgo time.Duration
@@ -23,8 +23,8 @@
 	Sent uint64
 }
 
-// Since returns the reports that another gateway was not sent since a revision, and the current revision. All
-// gateways receive changes of limits; the users of a limit also receive its call counts.
+// Since returns the reports that are newer than a revision and meant for a gateway, and the current revision.
+// All gateways receive changes of limits; the users of a limit also receive its call counts.
 func (t *Table) Since(gateway string, since uint64, now time.Time) ([]Report, uint64) {
 	if !t.nonEmpty.Load() {
 		return nil, since
--- a/pkg/runnerlimit/limit.go
+++ b/pkg/runnerlimit/limit.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// fillTime is the time in which an empty bucket fills, so that no more calls accumulate than in this
-	// time. minCapacity is the least capacity of a bucket in calls: the number that one request takes.
+	// fillTime is the time in which an empty bucket fills, so that at most the calls of this time accumulate.
+	// minCapacity is the least capacity of a bucket in calls: the most that one request takes.
 	fillTime    = time.Second
 	minCapacity = 2
 	// minRate is the rate in calls per second that a runner gets even if it names a lower one, so that its
@@ -28,7 +28,8 @@
 	// from is the gateway that received that response; empty for this gateway.
 	learnedAt, namedAt time.Time
 	from               string
-	// ended is set when the response to a call sent at endedAt no longer named the limit.
+	// ended is set when the limit has ended as of endedAt: a call sent then got a response that no longer
+	// named the limit, or the limit expired.
 	ended   bool
 	endedAt time.Time
 	// loggedRate and broadcastRate are the rates last reported to Changed and last marked to be sent to all
@@ -100,8 +101,9 @@
 	}
 }
 
-// consume takes calls out of the bucket. Its level falls below zero for calls over the limit, which are made
-// up for later, but by no more than the users can have sent before they learned of each other's calls.
+// consume takes calls out of the bucket. For calls over the limit the level falls below zero, and later calls
+// wait until it is refilled. It falls no further than to what the users can have sent before they learned of
+// each other's calls.
 func (l *limit) consume(calls float64) {
 	l.level = max(l.level-calls, -l.capacity()-float64(l.maxUsers()*l.calls))
 }
@@ -115,9 +117,9 @@
 	return n
 }
 
-// room reports whether a gateway may make calls now if it is one of the given number of users. Its calls that
-// the others may not have learned of are bounded by an equal part of the bucket, or by one request if that is
-// more.
+// room reports whether this gateway, as one of users gateways, may make the given number of calls now. Its
+// calls that the others may not have learned of are bounded by an equal part of the bucket, or by one request
+// if that is more.
 func (l *limit) room(calls, users int) bool {
 	claimed := l.claimed()
 	if l.level-float64(claimed) < float64(calls) {
@@ -128,7 +130,8 @@
 	return float64(unreported+calls) <= max(float64(calls), ownPart)
 }
 
-// after returns the time until there is room for calls, at a fraction of the rate.
+// after returns the time until there is room for calls, at a fraction of the rate. It is at least
+// propagationTime, also if nothing is missing, and propagationTime if fraction is 0.
 func (l *limit) after(calls int, fraction float64) time.Duration {
 	missing := float64(calls+l.claimed()) - l.level
 	if missing <= 0 || fraction <= 0 {
--- a/pkg/runnerlimit/property_test.go
+++ b/pkg/runnerlimit/property_test.go
@@ -54,7 +54,7 @@
 }
 
 // Guards against gateways that together exceed a limit, whatever their number, or that leave it unused
-// although those that share it have the demand.
+// although its users have enough requests.
 func TestGatewaysComplyWithLimitAndUseIt(t *testing.T) {
 	for _, c := range []struct {
 		gateways int
--- a/pkg/runnerlimit/room.go
+++ b/pkg/runnerlimit/room.go
@@ -96,7 +96,7 @@
 	fraction := t.share(runner, l, now)
 	if fraction == 0 {
 		// This gateway has no share, but another one may have room. The wait is estimated at the full rate,
-		// for a gateway that sends nothing in the meantime.
+		// as if no calls were made until then.
 		fraction = 1
 	}
 	return l.after(calls, fraction)
--- a/pkg/runnerlimit/runnerlimit.go
+++ b/pkg/runnerlimit/runnerlimit.go
@@ -1,6 +1,6 @@
-// Package runnerlimit enforces the rate limits that overloaded runners name: a number of HTTP requests
-// (calls) per second from all gateways together, in force for as long as the runner's responses name it. The
-// package does no I/O; callers pass in the time.
+// Package runnerlimit enforces the rate limits that overloaded runners report in their responses: a number of
+// HTTP requests (calls) per second from all gateways together, in force for as long as the responses contain
+// it. A response that contains a limit is said to name it. The package does no I/O; callers pass in the time.
 //
 // A limit is shared by some of the gateways (its users), chosen by rendezvous hashing; the other gateways
 // send nothing to the runner. Each user counts the calls of all users in a token bucket: its own at once,
@@ -16,7 +16,8 @@
 )
 
 // Kind is the kind of a call to a runner. A limit named in the response to a call ends when the response to a
-// later call of the same kind doesn't name it. Responses to calls of other kinds may never have named it.
+// later call of the same kind doesn't name it. The kind must be the same, because responses to other kinds
+// may not report limits at all.
 type Kind uint8
 
 // The kinds of calls.
@@ -35,7 +36,7 @@
 	// Asked is when the call was sent.
 	Asked time.Time
 	// Named is set if the response names a valid limit, which is PerSecond in calls per second. Unreadable is
-	// set if the response has a value that is not a valid limit.
+	// set if the response names an invalid limit.
 	Named      bool
 	PerSecond  float64
 	Unreadable bool
@@ -74,15 +75,16 @@
 	// logChange is the relative change since the last report to Changed above which a limit is reported
 	// again.
 	logChange = 0.2
-	// retention is how long a limit is kept after the last response that named or ended it. A silent gateway
-	// is removed after the same time.
+	// retention is how long a limit is kept after the last response that named or ended it. The membership
+	// list drops a gateway after the same time without messages.
 	retention = time.Minute
 )
 
 // Table holds the limits of all runners. It is safe for concurrent use.
 type Table struct {
-	// Changed is called after each change of a limit, Counted after each change or call that other gateways
-	// should learn of, both without locks held. They must be set before the table is used; nil disables them.
+	// Changed is called after each change of a limit. Counted is called when reports for other gateways are
+	// due: after each change or call that they should learn of. Both are called without locks held. They must
+	// be set before the table is used; nil disables them.
 	Changed func(Change)
 	Counted func()
 
@@ -166,7 +168,8 @@
 	return &Change{Runner: runner, What: Changes, PerSecond: s.PerSecond, From: from}
 }
 
-// end ends a limit because of the response to a call sent at the given time.
+// end ends a limit as of the time at. That is when the call was sent whose response no longer named the
+// limit, or the time of the sweep.
 func (t *Table) end(runner string, at, now time.Time, from string) *Change {
 	l := t.limits[runner]
 	l.ended, l.endedAt = true, at
--- a/pkg/runnerlimit/runnerlimit_test.go
+++ b/pkg/runnerlimit/runnerlimit_test.go
@@ -109,7 +109,7 @@
 	g.Expect(*changes).To(HaveLen(2))
 }
 
-// A restarted gateway counts from zero. In its first report a gateway is charged for no more calls than the
+// A restarted gateway counts from zero. Of the first report of a gateway no more calls are counted than the
 // limit allowed since the receiver learned of the limit.
 func TestCallsOfAnotherGatewayAreCountedOnce(t *testing.T) {
 	g := NewWithT(t)
--- a/pkg/runnerlimit/status.go
+++ b/pkg/runnerlimit/status.go
@@ -16,7 +16,7 @@
 	NamedAgo time.Duration
 	From     string
 	// Level is the number of calls that are left now. Users is the number of gateways that share the limit,
-	// Heard the number of them that are reachable, this gateway included. Own is set if this gateway is one
+	// Heard the number of users that are reachable, this gateway included. Own is set if this gateway is one
 	// of the users.
 	Level        float64
 	Users, Heard int
--- a/pkg/runnerlimit/users.go
+++ b/pkg/runnerlimit/users.go
@@ -12,8 +12,8 @@
 	window    = 4 * time.Second
 	overshoot = 1.5
 	slack     = 5
-	// raceFraction is the fraction of the calls tolerated beyond the limit and a full bucket that the users
-	// may send at the same moment, before they learn of each other's calls. The rest is for gateways whose
+	// Of the calls that a runner tolerates beyond its limit and a full bucket, raceFraction is for users that
+	// send at the same moment, before they learn of each other's calls. The rest is for gateways whose
 	// membership lists differ, and for reports that are lost once.
 	raceFraction = 0.75
 	// reachableTimeout is how long a user counts as reachable after the last message from it. At least three
@@ -64,7 +64,8 @@
 }
 
 // maxUsers returns how many gateways may share the limit. Each user may send one request before it learns of
-// the calls of the others, so the runner must tolerate as many requests beyond the limit and a full bucket.
+// the calls of the others, so the runner must tolerate one request of each user but the first beyond the
+// limit and a full bucket.
 func (l *limit) maxUsers() int {
 	spare := window.Seconds()*l.rate()*(overshoot-1) + slack - l.capacity()
 	return 1 + max(0, int(raceFraction*spare/float64(l.calls)))
@@ -80,9 +81,9 @@
 	return &l.users
 }
 
-// share returns the fraction of the rate at which this gateway fills its bucket: the fraction of the users
-// that are reachable. Gateways that are partitioned from each other therefore never use the same part of a
-// limit.
+// share returns the reachable part of the users, 0 if this gateway is not one of them. This gateway refills
+// its bucket at share times the rate. Gateways that are partitioned from each other therefore never use the
+// same part of a limit.
 func (t *Table) share(runner string, l *limit, now time.Time) float64 {
 	u := t.usersOf(runner, l)
 	if !u.own {
--- a/pkg/runners/cold.go
+++ b/pkg/runners/cold.go
@@ -10,8 +10,8 @@
 const (
 	// coldAfterRestore is how long the runners of a failure domain count as cold after the domain
 	// was restored from an evacuation, whatever their entries report. They may have become cold
-	// shortly before. An entry that reports this arrives within two heartbeats of 1.2 s, plus one
-	// second if other gateways relay it.
+	// shortly before the restoration. An entry that reports this arrives within two heartbeats of
+	// 1.2 s, plus one second if other gateways relay it.
 	coldAfterRestore = 4 * time.Second
 	// unsentClaimTTL bounds how long a claim at a cold runner is kept for a request that was not
 	// sent. Reserving room and prefilling the prompt take less time.
@@ -24,8 +24,8 @@
 // coldState is the cold-start state of a runner; the zero value is that of a warm runner.
 type coldState struct {
 	// entryUntil is when the runner will be warm according to its entry, responseUntil according to
-	// its responses. An entry that is older than a response does not shorten the time that the
-	// response reported.
+	// its responses. They are kept apart so that an entry that is older than a response does not
+	// shorten the time that the response reported.
 	entryUntil, responseUntil time.Time
 	// share is the number of requests that this gateway may send to the runner in any
 	// coldstart.Window, as computed at sharedAt. It applies only if bounded is set.
@@ -67,6 +67,8 @@
 	return !restored.IsZero() && now.Sub(restored) < coldAfterRestore
 }
 
+// coldRoom reports whether the runner is warm or has a free slot for a request of this gateway. It
+// updates the gateway's share and removes expired claims. The caller holds the lock.
 func (s *State) coldRoom(now time.Time) bool {
 	if !s.isCold(now) {
 		return true
@@ -94,7 +96,8 @@
 	return true
 }
 
-// sentCold records that a request is sent to the runner now.
+// sentCold records that a request is sent to the runner now. At a cold runner it marks the claim of
+// the request as sent, or adds a sent claim if there is none.
 func (s *State) sentCold(request string, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/runners/cold_test.go
+++ b/pkg/runners/cold_test.go
@@ -67,8 +67,8 @@
 	g.Expect(d.Find("a").Cold(now.Add(time.Minute + coldAfterRestore))).To(BeFalse())
 }
 
-// Guards against a runner that becomes cold again and is used as a warm one until its entry shows
-// it.
+// Guards against a runner that becomes cold again and is used as a warm one until its entry reports
+// that it is cold.
 func TestResponseMarksRunnerColdBeforeItsEntry(t *testing.T) {
 	g := NewWithT(t)
 	d, now := directoryWithColdShare(), time.Now()
--- a/pkg/runners/directory.go
+++ b/pkg/runners/directory.go
@@ -37,7 +37,7 @@
 	// coldstart.Window; bounded is false if there is no limit. It is set before the first entry is
 	// put. If it is nil, there is no limit.
 	ColdShare func(Runner) (share int, bounded bool)
-	// Limits holds the rate limits that runners named, Notices what else they reported in their
+	// Limits holds the rate limits that runners reported, Notices what else they reported in their
 	// responses.
 	Limits  *runnerlimit.Table
 	Notices *notice.Table
@@ -47,9 +47,9 @@
 type Change struct {
 	Runner Runner
 	// What is "new", "changed", "leaving", "gone" or Replaced. It is "unusable" when another
-	// gateway reported that the runner refused a call because it is not the runner, or not in the
-	// stage, that the call was meant for. It is "stage_change" when another gateway reported that
-	// the engine was ordered to change its stage.
+	// gateway reported that the runner refused a call that was meant for a different runner or a
+	// different stage. It is "stage_change" when another gateway reported that the engine was
+	// ordered to change its stage.
 	What string
 }
 
@@ -75,8 +75,8 @@
 }
 
 // Put records an entry as it is in the store at the time now. A runner that was leaving stays
-// leaving. A new incarnation replaces the current one of the same name, whichever of them started
-// later by its own clock: the order of the store decides.
+// leaving. A new incarnation replaces the current one of the same name in the order in which the
+// store lists them. Their start times by their own clocks are not compared, unlike in Entry.Before.
 func (d *Directory) Put(r Runner, now time.Time) { d.PutEntry(Entry{Runner: r}, now) }
 
 // PutEntry records an entry with the fields that change during an incarnation; see Put.
@@ -149,7 +149,8 @@
 	}
 }
 
-// Gone records that the entry under a name is no longer in the store.
+// Gone marks the current runner with the given name as removed, because its entry is no longer in
+// the store.
 func (d *Directory) Gone(name string, now time.Time) {
 	d.mu.RLock()
 	s := d.current[name]
@@ -168,7 +169,8 @@
 	}
 }
 
-// Keep applies a full reading of the store: the runners that are not among the names are gone.
+// Keep applies a full reading of the store: the runners that are not among the names are marked as
+// removed.
 func (d *Directory) Keep(names map[string]bool, now time.Time) {
 	d.mu.RLock()
 	var missing []string
@@ -273,8 +275,8 @@
 	return stages[stageKey{service, stage}]
 }
 
-// Generation returns a number that increases when a runner is added, changed or removed, or when a
-// failure domain is evacuated or restored.
+// Generation returns a number that increases when a runner is added, changed or forgotten
+// (forgetAfter after its entry was removed), or when a failure domain is evacuated or restored.
 func (d *Directory) Generation() uint64 { return d.generation.Load() }
 
 // Find returns the runner with the given ID, or nil.
--- a/pkg/runners/evacuation.go
+++ b/pkg/runners/evacuation.go
@@ -61,8 +61,8 @@
 }
 
 // Evacuate records that the runners of a domain get no new work: no prefill, no decode, no retry
-// and no order. Running requests go on, and prompts that were prefilled there may still be fetched.
-// It reports whether the domain was not evacuated before.
+// and no order to change the stage. Running requests go on, and prompts that were prefilled there
+// may still be fetched. It reports whether the domain was not evacuated before.
 func (d *Directory) Evacuate(domain string, now time.Time) bool {
 	if !d.evacuated.set(domain, true, now) {
 		return false
--- a/pkg/runners/evacuation_test.go
+++ b/pkg/runners/evacuation_test.go
@@ -29,7 +29,7 @@
 		}
 	}
 	g.Expect(earlier.Usable(now)).To(BeFalse(), "a State that was returned before the evacuation")
-	g.Expect(d.Present("s", now)).To(HaveLen(1), "stage planning leaves out the evacuated domain")
+	g.Expect(d.Present("s", now)).To(HaveLen(1), "Present leaves out the evacuated domain")
 	g.Expect(d.Evacuated()).To(Equal([]string{"left"}))
 
 	g.Expect(d.KeepEvacuated(map[string]bool{"left": true}, now)).To(BeEmpty())
--- a/pkg/runners/health.go
+++ b/pkg/runners/health.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	// failureWeight is the weight of the newest outcome in the moving averages of failures,
+	// newestWeight is the weight of the newest outcome in the moving averages of failures,
 	// refusals and latency.
-	failureWeight = 0.25
+	newestWeight = 0.25
 	// ejectThreshold is the failure rate at which a runner is ejected.
 	ejectThreshold = 0.6
 	// minCoolDown is how long a runner is ejected the first time. The time doubles with each
 	// ejection, up to maxCoolDown.
 	minCoolDown = 500 * time.Millisecond
 	maxCoolDown = 4 * time.Second
-	// coolDownResetAfter is how long a runner must have succeeded since its last cool-down for the
-	// next one to be short again. A runner that fails and recovers every few seconds is ejected
-	// longer each time, up to maxCoolDown.
+	// coolDownResetAfter is how long after the end of the last ejection a success resets the
+	// cool-down to minCoolDown, if the failure rate is low. A runner that fails and recovers every
+	// few seconds is ejected longer each time, up to maxCoolDown.
 	coolDownResetAfter = 10 * time.Second
 	// failureDecay is the time in which a failure rate without new outcomes decays to a third
 	// (1/e).
@@ -60,12 +60,13 @@
 	return h.refusals * math.Exp(-now.Sub(h.refusedAt).Seconds()/refusalDecay.Seconds())
 }
 
-// Declined records a request that the runner refused because it is full or reports that it is.
+// Declined records a refusal: the runner did not run a request because it is full, or because it
+// reported that it is full.
 func (s *State) Declined(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h := &s.health
-	h.refusals = h.refusalRate(now) + (1-h.refusalRate(now))*failureWeight
+	h.refusals = h.refusalRate(now) + (1-h.refusalRate(now))*newestWeight
 	h.refusedAt = now
 }
 
@@ -83,7 +84,7 @@
 	defer s.mu.Unlock()
 	s.own.add(now, true)
 	h := &s.health
-	h.failures = h.failureRate(now) + (1-h.failureRate(now))*failureWeight
+	h.failures = h.failureRate(now) + (1-h.failureRate(now))*newestWeight
 	h.failuresAt = now
 	if h.failures < ejectThreshold || now.Before(h.ejectedUntil) {
 		return
@@ -112,9 +113,9 @@
 	defer s.mu.Unlock()
 	h := &s.health
 	s.own.add(now, false)
-	h.failures = h.failureRate(now) * (1 - failureWeight)
+	h.failures = h.failureRate(now) * (1 - newestWeight)
 	h.failuresAt = now
-	h.refusals *= 1 - failureWeight
+	h.refusals *= 1 - newestWeight
 	if h.failures < ejectThreshold/2 && now.Sub(h.ejectedUntil) > coolDownResetAfter {
 		h.coolDown = 0
 	}
@@ -122,10 +123,10 @@
 		h.latency = took.Seconds()
 		return
 	}
-	h.latency += (took.Seconds() - h.latency) * failureWeight
+	h.latency += (took.Seconds() - h.latency) * newestWeight
 }
 
-// Resting reports whether the runner is ejected for its failures.
+// Resting reports whether the runner is ejected because of its failures.
 func (s *State) Resting(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/runners/health_test.go
+++ b/pkg/runners/health_test.go
@@ -30,7 +30,8 @@
 	g.Expect(r.health.ejectedUntil.Sub(now)).To(Equal(minCoolDown), "after it succeeded for longer than coolDownResetAfter")
 }
 
-// At most half of a service's runners are ejected at a time, whatever their outcomes are.
+// If more than half of a service's runners are ejected, the ejections are ignored, whatever the
+// outcomes are.
 func TestAtMostHalfOfServiceIsEjected(t *testing.T) {
 	g := NewWithT(t)
 	d := directoryOf("a", "b", "c", "d")
--- a/pkg/runners/outcomes.go
+++ b/pkg/runners/outcomes.go
@@ -10,15 +10,15 @@
 	outcomeDecay = 4 * time.Second
 	// reportTTL is how long a report of another gateway is used.
 	reportTTL = 3 * time.Second
-	// ownWeight is added to the number of this gateway's own outcomes. The sum is the weight of its
-	// own failure rate, in outcomes, when that is combined with reports of other gateways.
+	// ownWeight is how many outcomes this gateway's own failure rate counts for, on top of its own
+	// decayed outcomes, when the rate is combined with the reports of other gateways.
 	ownWeight = 2
 	// otherDomainWeight is the weight of an outcome that was observed from another failure domain:
 	// a runner may fail the requests from one domain only.
 	otherDomainWeight = 0.5
-	// suspectThreshold is the number of decayed failures from which a runner is suspect,
-	// reportThreshold the number of decayed outcomes from which the outcomes at a suspect runner
-	// are reported.
+	// suspectThreshold is the decayed failure count at or above which a runner is suspect.
+	// reportThreshold is the decayed outcome count at or above which the outcomes at a suspect
+	// runner are reported.
 	suspectThreshold = 0.1
 	reportThreshold  = 0.2
 )
@@ -48,14 +48,14 @@
 	}
 }
 
-// Outcome counts the recent requests of one gateway that a runner completed or failed, and those
-// that it failed. Both numbers decay with time.
+// Outcome holds the outcomes of one gateway's recent requests at a runner: Total counts those that
+// completed or failed, Failed those that failed. Both numbers decay with time.
 type Outcome struct {
 	// Runner is the runner's ID.
 	Runner        string
 	Failed, Total float64
-	// Unusable is set if the runner responded to the gateway that it is not the runner that the
-	// call was meant for, or is not in the stage Stage.
+	// Unusable is set if the runner refused a call of the gateway because the call was meant for a
+	// different runner, or because the runner is not in the stage Stage.
 	Unusable bool
 	Stage    Stage
 }
@@ -66,7 +66,7 @@
 	sameDomain bool
 }
 
-// Succeeded records a call other than a client's request that succeeded.
+// Succeeded records a successful call that is not a client's request.
 func (s *State) Succeeded(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,8 +109,8 @@
 
 // Outcomes returns what this gateway reports to others: its own outcomes at the runners that
 // recently failed requests here or at other gateways, and the runners that refused a call because
-// they are not what their entries say. Other gateways need not run into the same refusals. Reports
-// of others are not passed on.
+// their ID or stage differs from their entry, so that other gateways don't call them. Reports of
+// others are not passed on.
 func (d *Directory) Outcomes(now time.Time) []Outcome {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -118,7 +118,7 @@
 	for id, s := range d.all {
 		s.mu.Lock()
 		t := s.own.decayed(now)
-		unusable := s.refusal.own && s.refusal.active(s.Stage, now) && now.Sub(s.refusal.at) <= reportTTL
+		unusable := s.mismatch.own && s.mismatch.active(s.Stage, now) && now.Sub(s.mismatch.at) <= reportTTL
 		if unusable || t.total >= reportThreshold && s.suspect(now) {
 			out = append(out, Outcome{Runner: id, Failed: t.failed, Total: t.total, Unusable: unusable, Stage: s.Stage})
 		}
@@ -155,9 +155,9 @@
 		s.others = map[string]report{}
 	}
 	s.others[gateway] = r
-	if !o.Unusable || o.Stage != s.Stage || s.refusal.active(s.Stage, r.at) {
+	if !o.Unusable || o.Stage != s.Stage || s.mismatch.active(s.Stage, r.at) {
 		return false
 	}
-	s.refusal = refusal{stage: o.Stage, at: r.at}
+	s.mismatch = mismatch{stage: o.Stage, at: r.at}
 	return true
 }
--- a/pkg/runners/outcomes_test.go
+++ b/pkg/runners/outcomes_test.go
@@ -46,7 +46,8 @@
 	g.Expect(a.all["r"].Failures(now)).To(BeNumerically("<", alone/3))
 }
 
-// Once one gateway suspects a runner, the gateways whose requests succeed there report it.
+// Once one gateway suspects a runner, the gateways whose requests to the runner succeed report
+// their outcomes too.
 func TestSuccessesAreReportedForRunnerSuspectedByPeer(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
@@ -100,8 +101,9 @@
 	})
 }
 
-// Guards against a refusal that outlasts its stage. Before, a runner that refused in one stage
-// stayed unused in every stage for the life of the process.
+// Guards against a refusal that still applies after the runner changed its stage. In an earlier
+// version, a runner that refused a call in one stage stayed unused in every stage for the life of
+// the process.
 func TestRefusalEndsWithStageChange(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
--- a/pkg/runners/room.go
+++ b/pkg/runners/room.go
@@ -8,8 +8,8 @@
 )
 
 // callsPerDecode is the number of calls that a request makes to a decode engine: its reservation
-// and the request itself. Runners state their rate limits in requests. Which calls they count as
-// requests is not known, so all calls are counted.
+// and the request itself. Runners report their rate limits in HTTP requests. Which calls they count
+// is not known, so all calls are counted.
 const callsPerDecode = 2
 
 // callsPerRequest returns how many calls a request makes to the runner.
@@ -31,7 +31,8 @@
 }
 
 // Room reports whether this gateway may send the runner one more request now. A runner that is
-// cold, named a rate limit or was paused a moment ago takes fewer requests than others.
+// cold, reported a rate limit or is in the slow start after a pause takes fewer requests than
+// others.
 func (s *State) Room(now time.Time) bool {
 	s.mu.Lock()
 	room := s.coldRoom(now)
@@ -39,11 +40,11 @@
 	return room && s.limits.Room(s.ID, s.callsPerRequest(), now) && s.notices.Room(s.ID, now)
 }
 
-// Limit returns the rate limit that the runner named, false for none.
+// Limit returns the rate limit that the runner reported, false for none.
 func (s *State) Limit(now time.Time) (runnerlimit.Status, bool) { return s.limits.Of(s.ID, now) }
 
-// RoomAfter returns the time until a runner that named a rate limit, or was paused a moment ago,
-// takes one more request; 0 is now.
+// RoomAfter returns the time until a runner that reported a rate limit, or is in the slow start
+// after a pause, takes one more request; 0 is now. The wait for a cold runner is not included.
 func (s *State) RoomAfter(now time.Time) time.Duration {
 	return max(s.limits.After(s.ID, s.callsPerRequest(), now), s.notices.RoomAfter(s.ID, now))
 }
@@ -72,8 +73,8 @@
 	s.limits.Sent(s.ID, request, now)
 }
 
-// Called records a call that is made to the runner now, with the ID of the request that it belongs
-// to, if any.
+// Called records a call to the runner now that does not send the request itself, such as a
+// reservation, with the ID of the request that it belongs to, if any.
 func (s *State) Called(request string, now time.Time) { s.limits.Sent(s.ID, request, now) }
 
 // Release releases the room that was claimed for a request that is not sent.
--- a/pkg/runners/runners.go
+++ b/pkg/runners/runners.go
@@ -56,8 +56,8 @@
 	return e.Born < other.Born || e.Born == other.Born && e.Sequence < other.Sequence
 }
 
-// goneGrace is how long a runner may still be chosen after its entry was removed. An entry is also
-// removed when its runner could not renew it.
+// goneGrace is how long a runner may still be chosen after its entry was removed. The removal does
+// not prove that the runner ended: an entry also expires when its runner could not renew it.
 const goneGrace = 1200 * time.Millisecond
 
 // State is a runner with what this process knows about it.
@@ -72,12 +72,13 @@
 	mu sync.Mutex
 	// goneAt is when the entry was removed; zero while the entry is in the store.
 	goneAt time.Time
-	// refusal is the last response of the runner that it is another runner, or in another stage,
-	// than the call was meant for.
-	refusal refusal
-	// leaving is set when the entry says that the runner takes no new work. States that were
-	// returned before see it too. What responses report is in notices. replaced is set when the
-	// entry is that of a later incarnation: this one has ended.
+	// mismatch is the last response in which the runner reported that the call was meant for a
+	// different runner or a different stage.
+	mismatch mismatch
+	// leaving is set when the entry reports that the runner takes no new work. States that callers
+	// obtained before the entry changed share this field. Leaving notices in responses are kept in
+	// notices, not here. replaced is set when the entry is that of a later incarnation: this one
+	// has ended.
 	leaving, replaced bool
 	// change is the stage change that the engine was ordered to make.
 	change pendingChange
@@ -97,22 +98,23 @@
 	notices   *notice.Table
 }
 
-// unusableFor is how long a runner gets no work after it responded that it is another runner, or in
-// another stage, than its entry says. The entry of a runner that ended expires within three
-// heartbeats. The entry of an engine that changed its stage shows the new stage within one.
+// unusableFor is how long a runner gets no work after it responded that its ID or its stage differs
+// from its entry. By then the entry is corrected: the entry of a runner that ended expires within
+// three heartbeats of 1.2 s, and the entry of an engine that changed its stage shows the new stage
+// within one.
 const unusableFor = 10 * time.Second
 
-// refusal is a response of a runner that it is not the runner, or not in the stage, that a call was
-// meant for; the zero value is none.
-type refusal struct {
-	// stage is the stage that the call was meant for. The refusal does not apply to another stage.
+// mismatch is a response of a runner that refuses a call because the call was meant for a different
+// runner or a different stage; the zero value is none.
+type mismatch struct {
+	// stage is the stage that the call was meant for. The mismatch does not apply to another stage.
 	stage Stage
 	at    time.Time
 	// own is set if this gateway received the response, unset if another gateway reported it.
 	own bool
 }
 
-func (r refusal) active(stage Stage, now time.Time) bool {
+func (r mismatch) active(stage Stage, now time.Time) bool {
 	return !r.at.IsZero() && r.stage == stage && now.Sub(r.at) < unusableFor
 }
 
@@ -137,7 +139,7 @@
 // present reports whether the runner is registered and not leaving, replaced, evacuated or refusing
 // calls. The caller holds the lock.
 func (s *State) present(now time.Time) bool {
-	if s.leaving || s.replaced || s.notices.Leaves(s.ID) || s.evacuated.covers(s.Domain) || s.refusal.active(s.Stage, now) {
+	if s.leaving || s.replaced || s.notices.Leaves(s.ID) || s.evacuated.covers(s.Domain) || s.mismatch.active(s.Stage, now) {
 		return false
 	}
 	return s.goneAt.IsZero() || now.Sub(s.goneAt) < goneGrace
@@ -161,7 +163,7 @@
 func (s *State) MarkUnusable(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.refusal = refusal{stage: s.Stage, at: now, own: true}
+	s.mismatch = mismatch{stage: s.Stage, at: now, own: true}
 }
 
 // Enter records a request that is sent to the runner, Leave the end of the request.
@@ -171,7 +173,7 @@
 	s.outstanding++
 }
 
-// Leave records the end of a request.
+// Leave records the end of a request. It does not mean that the runner is leaving.
 func (s *State) Leave() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/runners/runners_test.go
+++ b/pkg/runners/runners_test.go
@@ -108,7 +108,7 @@
 	g.Expect(bad.Failures(now.Add(20 * time.Second))).To(BeNumerically("<", 0.01))
 }
 
-func TestCommonFailuresEjectNoRunner(t *testing.T) {
+func TestFailuresOfMostRunnersEjectNone(t *testing.T) {
 	g := NewWithT(t)
 	d := NewDirectory("a")
 	for _, id := range []string{"a", "b", "c"} {
@@ -121,7 +121,7 @@
 	g.Expect(Healthy(all, now)).To(HaveLen(3))
 }
 
-// Guards against state of a runner that is kept by its name and applied to a later incarnation.
+// Guards against state that is kept under a runner's name and applied to a later incarnation.
 func TestNewIncarnationInheritsNoState(t *testing.T) {
 	g := NewWithT(t)
 	d := NewDirectory("a")
@@ -152,8 +152,8 @@
 	g.Expect(d.Len()).To(BeZero())
 }
 
-// A replaced incarnation gets no more work at once: an entry that was replaced by a later
-// incarnation has no grace period.
+// An incarnation gets no work from the moment it is replaced: the grace period of removed entries
+// does not apply to it.
 func TestReplacedIncarnationIsNotUsable(t *testing.T) {
 	g := NewWithT(t)
 	d := NewDirectory("a")
@@ -170,8 +170,8 @@
 	g.Expect(d.Usable("s", "", now)).To(BeEmpty())
 }
 
-// Guards against an entry that still says ready, or a response without the notice, that revokes a
-// runner's announced departure. Also guards against a later incarnation under the same name that
+// Guards against a leaving notice that is revoked by an entry without Leaving, or by a later
+// response without the notice. Also guards against a later incarnation under the same name that
 // gets no work because the first one left.
 func TestLeavingNoticeOutlastsEntry(t *testing.T) {
 	g := NewWithT(t)
--- a/pkg/runners/stagechange.go
+++ b/pkg/runners/stagechange.go
@@ -14,7 +14,7 @@
 	Left time.Duration
 }
 
-// pendingChange is a stage change of one runner; the zero value is none.
+// pendingChange is a StageChange as it is recorded for one runner; the zero value is none.
 type pendingChange struct {
 	to    Stage
 	until time.Time
--- a/pkg/runners/stagechange_test.go
+++ b/pkg/runners/stagechange_test.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// Guards against a lost order that makes an engine unusable for good because gateways keep
-// reporting it to each other.
+// Guards against a lost order that makes an engine unusable permanently because gateways keep
+// reporting the change to each other.
 func TestLostStageChangeOrderExpires(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
--- a/pkg/runners/unavailable.go
+++ b/pkg/runners/unavailable.go
@@ -7,7 +7,8 @@
 	"github.com/hopwell/hopwell/pkg/notice"
 )
 
-// ErrUnavailable reports that all registered runners of a service and stage are leaving or paused.
+// ErrUnavailable reports that no runner of a service and stage is usable, and that at least one of
+// them is leaving or paused.
 type ErrUnavailable struct {
 	Service string
 	Stage   Stage
@@ -23,9 +24,9 @@
 		e.Service, e.Stage, e.Leaving, e.Paused, e.After.Round(time.Millisecond))
 }
 
-// Unavailable returns *ErrUnavailable if all runners of a service and stage that may serve a
-// request are leaving or paused, nil if one is usable or there are none. allows reports whether the
-// request may be served in a failure domain; nil allows all.
+// Unavailable returns *ErrUnavailable if no runner of a service and stage is usable for a request
+// and at least one is leaving or paused, otherwise nil. allows reports whether the request may be
+// served in a failure domain; nil allows all.
 func (d *Directory) Unavailable(service string, stage Stage, allows func(domain string) bool, now time.Time) error {
 	if !d.Notices.Any() {
 		return nil
--- a/pkg/runners/unavailable_test.go
+++ b/pkg/runners/unavailable_test.go
@@ -10,7 +10,7 @@
 )
 
 // Guards against a service that counts as unavailable while one of its runners is usable, and
-// against a wait taken from a pause that ends later than another.
+// against an After that is not the end of the earliest pause.
 func TestServiceIsUnavailableOnlyWhenAllRunnersLeaveOrPause(t *testing.T) {
 	g := NewWithT(t)
 	d, now := NewDirectory("a"), time.Now()
