--- a/pkg/notice/notice.go
+++ b/pkg/notice/notice.go
@@ -33,7 +33,7 @@
 	// accepted it.
 	Sent     time.Time
 	Accepted bool
-	// Unknown lists the headers that have the form of a notice but are not recognized.
+	// Unknown lists the headers that have the prefix of notice headers but are not recognized.
 	Unknown []string
 }
 
--- a/pkg/notice/notice_test.go
+++ b/pkg/notice/notice_test.go
@@ -79,7 +79,7 @@
 	spectest.Check(t, func(t *rapid.T) {
 		table := New()
 		until, now := time.Time{}, at(0)
-		for range rapid.IntRange(1, 20).Draw(t, "responses") {
+		for range rapid.IntRange(1, 20).Draw(t, "answers") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond)
 			length := time.Duration(rapid.IntRange(1, 5000).Draw(t, "pause")) * time.Millisecond
 			table.Observe("a", asksFor(length), now)
--- a/pkg/notice/pause.go
+++ b/pkg/notice/pause.go
@@ -7,8 +7,8 @@
 	// pause. The bound is lifted when the window exceeds maxWindow.
 	initialWindow = 1
 	maxWindow     = 16
-	// If the runner refuses a request in the slow start while n requests are open, the window of the next
-	// slow start doubles up to thresholdFactor*n.
+	// If the runner asks for another pause in the slow start while n requests are open, the window of the
+	// next slow start doubles up to thresholdFactor*n.
 	thresholdFactor = 0.5
 	// claimTimeout bounds how long a request that doesn't release its place in the window keeps it.
 	claimTimeout = 5 * time.Second
--- a/pkg/quarantine/digest.go
+++ b/pkg/quarantine/digest.go
@@ -1,7 +1,9 @@
-// Package quarantine detects requests that crash the runners that serve them. All gateways
-// refuse a request after attempts at it broke off at several runners and none completed since.
-// Breaks before the first event or response weigh more than later ones. The package does no I/O
-// and takes the current time as an argument.
+// Package quarantine detects requests that crash the runners that serve them. An attempt is one
+// execution of a request at a runner; a client's try may make several. An attempt breaks off when
+// its connection to the runner breaks before the response is complete and the runner turns out to
+// have crashed. All gateways refuse a request after attempts at it broke off at several runners and
+// none completed since. Breaks before any part of the response arrived weigh more than later ones.
+// The package does no I/O and takes the current time as an argument.
 package quarantine
 
 import (
@@ -14,8 +16,9 @@
 // a request with the digest of another client's request, which would get that request refused.
 const digestBytes = 16
 
-// Digest identifies a request by its content. Two tries of a client have the same digest
-// although their request IDs differ. The digest reveals nothing of the request.
+// Digest identifies a request by its content. Two tries of a client, which it makes by sending the
+// request again, have the same digest although their request IDs differ. The digest reveals nothing
+// of the request.
 type Digest [digestBytes]byte
 
 // Asked is the content that identifies a request.
--- a/pkg/quarantine/quarantine.go
+++ b/pkg/quarantine/quarantine.go
@@ -10,18 +10,19 @@
 )
 
 const (
-	// A request is quarantined once the weights of the runners at which its attempts broke off
-	// sum to quarantineWeight. A runner counts earlyWeight if an attempt broke off before its first
-	// event or response, otherwise lateWeight: three runners with early breaks suffice, or five
-	// with late breaks. A request that crashes its engine as it begins also breaks harmless streams
-	// that run beside it, after their first event: 20 crashes broke 63 such streams, one of them
-	// twice. Requiring five late breaks lets two more engines crash than requiring three would, but
-	// a stream that its client resumes makes four attempts over all its tries.
+	// A request is quarantined once the weights of the runners at which its attempts broke off sum
+	// to quarantineWeight. A runner counts earlyWeight if an attempt broke off before any part of
+	// its response arrived, otherwise lateWeight: three runners with early breaks suffice, or five
+	// with late breaks. A request that crashes an engine as it begins also breaks harmless streams
+	// at the same engine, after their first event: 20 crashes broke 63 such streams, one of them
+	// twice. Requiring five late breaks lets two more engines crash than requiring three would. But
+	// a harmless stream that its client resumes makes four attempts over all its tries, so it may
+	// break four times, and must not be quarantined for that.
 	earlyWeight      = 5
 	lateWeight       = 3
 	quarantineWeight = 15
 	// simultaneousWindow is the time within which breaks at different runners count as one. A rack
-	// that loses power breaks a request that many clients send at several runners at once. The
+	// that loses power breaks, at several runners at once, a request that many clients send. The
 	// connections of a crashed runner close within a few milliseconds; the next try of the same
 	// client comes later.
 	simultaneousWindow = 50 * time.Millisecond
@@ -29,14 +30,14 @@
 	// longest lease that the platform's store grants.
 	Hold = 10 * time.Minute
 	// maxSuspects limits the requests in the table, at about 200 bytes each. A runner crash adds
-	// some tens.
+	// some tens of requests.
 	maxSuspects = 4096
 	// maxBreaks limits the breaks, one per runner, that are kept for one request.
 	maxBreaks = 8
 	// publishDelay is the time that a gateway waits for a quarantine that it received from a peer
 	// to appear in the store. After that it writes the quarantine itself, since the peer may have
-	// stopped. The delay doubles with each write, up to maxPublishDelay, until the store shows the
-	// quarantine, for example during an outage of the store.
+	// stopped. The delay doubles with each write, up to maxPublishDelay, because writes fail
+	// repeatedly during an outage of the store. The writes end when the store shows the quarantine.
 	publishDelay    = 2 * time.Second
 	maxPublishDelay = 30 * time.Second
 )
@@ -86,7 +87,8 @@
 	published      bool
 	publishAt      time.Time
 	publishBackoff time.Duration
-	// lastSuccess is when an attempt last completed. The request did not cause earlier breaks.
+	// lastSuccess is when an attempt last completed. Breaks before that time are not counted
+	// against the request.
 	lastSuccess time.Time
 }
 
@@ -150,8 +152,8 @@
 	return isNew
 }
 
-// Lapsed records that a quarantine is no longer in the store. If its exact end is known and has
-// not been reached, the store lost it in an outage, and it is scheduled to be written again. A
+// Lapsed records that a quarantine is no longer in the store. If its exact end is known, the store
+// may have lost it in an outage, and it is scheduled to be written again until that end. A
 // quarantine that was only read from the store ends.
 func (t *Table) Lapsed(d Digest, now time.Time) {
 	t.mu.Lock()
@@ -216,7 +218,8 @@
 	return out
 }
 
-// Sweep removes breaks and suspects that are older than Hold.
+// Sweep removes breaks that are older than Hold, and suspects that are not quarantined and had
+// neither a break nor a success within Hold.
 func (t *Table) Sweep(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/pkg/quarantine/quarantine_test.go
+++ b/pkg/quarantine/quarantine_test.go
@@ -34,8 +34,8 @@
 func recordBreaks(t *Table, breaks ...Break) bool {
 	quarantined := false
 	for _, b := range breaks {
-		_, now := t.Broke(crashing, b)
-		quarantined = quarantined || now
+		_, started := t.Broke(crashing, b)
+		quarantined = quarantined || started
 	}
 	return quarantined
 }
@@ -58,7 +58,8 @@
 	g.Expect(table.Check(crashing, start.Add(2*time.Second+Hold))).To(Succeed())
 }
 
-// Streams that run beside a request that crashes their engine break after some events.
+// A break after the first event weighs less, because harmless streams break in that way when
+// another request crashes their engine.
 func TestLateBreaksWeighLess(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(recordBreaks(newTable(), late(1, 0), late(2, 1), late(3, 2), late(4, 3))).To(BeFalse())
@@ -112,7 +113,7 @@
 	at := func(s float64) time.Time { return early(0, s).At }
 	g.Expect(notified.Receive(report, at(2))).To(BeTrue())
 	g.Expect(detector.Unpublished(at(2))).To(HaveLen(1))
-	g.Expect(detector.Unpublished(at(2.1))).To(BeEmpty(), "written again without a backoff")
+	g.Expect(detector.Unpublished(at(2.1))).To(BeEmpty(), "not written again before the backoff")
 	g.Expect(notified.Unpublished(at(2))).To(BeEmpty())
 	g.Expect(notified.Unpublished(at(2).Add(publishDelay))).To(HaveLen(1))
 	for _, table := range []*Table{detector, notified, reader} {
--- a/pkg/quota/account.go
+++ b/pkg/quota/account.go
@@ -88,8 +88,8 @@
 	delete(a.withheld, name)
 }
 
-// timeUntil returns how long it takes until the bucket holds an amount, at a fraction of its
-// refill rate.
+// timeUntil returns how long it takes until the bucket holds an amount, at a fraction of its refill
+// rate. The result is at most maxWait, or the maximum duration if nothing is refilled.
 func (a *account) timeUntil(amount, fraction float64) time.Duration {
 	missing := min(amount, a.size) - a.level
 	if missing <= 0 {
--- a/pkg/quota/exchange.go
+++ b/pkg/quota/exchange.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// addPeer returns the peer with a name. A new peer is added as not alive. The caller must hold
-// l.mu.
+// addPeer adds a peer if it is new, as not alive, and returns the peer with the name. The caller
+// must hold l.mu.
 func (l *Ledger) addPeer(name string) *peer {
 	p := l.fleet.peers[name]
 	if p != nil {
@@ -50,10 +50,10 @@
 	}
 }
 
-// Heard records the spending that a peer reported in a datagram. The report must complete what is
-// known of the peer's spending: it is full, or no earlier datagram of the peer was lost. full
-// means that the report names every workspace that the peer ever spent for. settled means that
-// the peer has seen all spending of a window.
+// Heard records the spending that a peer reported in a datagram. The caller passes full reports,
+// and others only if no earlier datagram of the peer was lost since a full one. full means that the
+// report names every workspace that the peer ever spent for. settled means that the peer has seen
+// all spending of a window.
 func (l *Ledger) Heard(name string, incarnation uint64, spending []Spending, full, settled bool, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -88,10 +88,11 @@
 	a.adopted = settled
 }
 
-// handleRestart resets the state of a peer whose incarnation is new. What an earlier process of
-// the peer spent while this gateway received nothing from it will never be reported. Its share of
-// the refill for that time and the amounts withheld for it therefore count as spent. The caller
-// must hold l.mu.
+// handleRestart resets the state of a peer whose incarnation is new. An incarnation of 0 means that
+// nothing was received from the peer before, so that it did not restart. After a restart, what an
+// earlier process of the peer spent while this gateway received nothing from it will never be
+// reported. Its share of the refill for that time and the amounts withheld for it therefore count
+// as spent. The caller must hold l.mu.
 func (l *Ledger) handleRestart(p *peer, incarnation uint64, now time.Time) {
 	restarted := p.incarnation != 0
 	for _, a := range l.accounts {
@@ -125,8 +126,8 @@
 }
 
 // charge counts what a peer has spent since its last report. What the peer spent before this
-// process knew it is not counted; for that reason a bucket holds little when a process starts.
-// The caller must hold l.mu.
+// process received its first report is not counted; for that reason a bucket holds little when a
+// process starts. The caller must hold l.mu.
 func (l *Ledger) charge(p *peer, s Spending) {
 	a := l.accounts[s.Workspace]
 	if a == nil {
--- a/pkg/quota/fleet.go
+++ b/pkg/quota/fleet.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// fleet is the set of gateways that share the buckets.
+// fleet is the set of gateways that share the limits.
 type fleet struct {
 	peers map[string]*peer
 	// grace is how long after its last datagram a peer counts as alive.
 	grace time.Duration
-	// refillTime is the time for which the buckets have been refilled, in seconds. Each of n
-	// gateways adds 1/n of the time for which it was alive. advancedAt is when the share of this
-	// gateway was last added.
+	// refillTime is a clock, in seconds, that runs at the fraction of the gateways that are alive:
+	// each of n gateways adds 1/n of the time for which it was alive. Buckets are refilled by it.
+	// advancedAt is when the share of this gateway was last added.
 	refillTime float64
 	advancedAt time.Time
 }
@@ -75,9 +75,9 @@
 	return 1 - late/float64(alive+1)
 }
 
-// advanceInterval is how long the refill by peers may stay uncounted when a datagram arrives.
-// Datagrams come from hundreds of gateways, and advance loops over all of them. Before a request
-// is admitted, the refill is always counted.
+// On arrival of a datagram, advance is skipped if it ran less than advanceInterval ago. Datagrams
+// come from hundreds of gateways, and advance loops over all of them. Before a request is admitted,
+// the refill is always counted.
 const advanceInterval = 20 * time.Millisecond
 
 // upToDate reports whether a datagram from a peer needs no call of advance: the peer was alive
@@ -95,8 +95,8 @@
 }
 
 // advance adds the refill shares of this gateway and of the peers that are alive, and returns the
-// peers that have timed out. The fraction of each applies to the level that is left after the
-// peers before it.
+// peers that have timed out. The fractions apply in order: each to the level that remains after the
+// amounts for the previous peers were withheld.
 func (f *fleet) advance(now time.Time) []timedOutPeer {
 	share := 1 / float64(f.size())
 	if f.advancedAt.IsZero() {
--- a/pkg/quota/fleet_test.go
+++ b/pkg/quota/fleet_test.go
@@ -42,8 +42,8 @@
 type link struct {
 	sentSequence, sentRevision uint64
 	seenSequence, incarnation  uint64
-	// needFull is set after a lost datagram until the peer has sent a full report. sendFull is
-	// set if the peer needs a full report.
+	// needFull is set after a lost datagram while this process waits for a full report of the peer.
+	// sendFull is set while this process has to send a full report to the peer.
 	needFull, sendFull bool
 	lastSent           time.Time
 }
--- a/pkg/quota/quota.go
+++ b/pkg/quota/quota.go
@@ -6,8 +6,8 @@
 // A bucket is refilled at the limit's rate, with an equal share for each known gateway. The share
 // of a peer is added only once a datagram from that peer has arrived, and a share of the bucket's
 // level is withheld for a peer that is not alive. Gateways that are partitioned from each other
-// therefore never spend the same units twice. Shares sets how the allowance beyond the limit is
-// used.
+// therefore never spend the same units of a limit (requests or tokens) twice. Shares sets which
+// fractions of the allowance beyond the limit are used for what.
 package quota
 
 import (
@@ -39,17 +39,17 @@
 // Shares sets how the allowance beyond a limit is used. Its fields are fractions of the
 // allowance, and their sum is below 1.
 type Shares struct {
-	// Bucket is added to the size of a bucket. It lets through what the limit allows even though
-	// this gateway counts some spending late or twice.
+	// Bucket is added to the size of a bucket. With the addition, requests within the limit are
+	// admitted although this gateway counts some spending late or twice.
 	Bucket float64
-	// Start is what a bucket holds when a process starts: the process does not know yet what was
-	// spent in the window before.
+	// Start is the level of a bucket when a process starts, as a fraction of the allowance. It is
+	// low because the process does not know yet what was spent in the window before.
 	Start float64
 }
 
-// DefaultShares leaves at least a quarter of the allowance for what gateways spend before they
-// receive each other's reports: at ten times the rate, with reports after 0.1 s, this is what the
-// rate gives in about one second.
+// DefaultShares leaves 0.45 of the allowance, so at least a quarter, for what gateways spend before
+// they receive each other's reports. If they spend at ten times the rate and reports arrive after
+// 0.1 s, that is about as much as the rate gives in one second.
 func DefaultShares() Shares { return Shares{Bucket: 0.25, Start: 0.3} }
 
 // Key identifies a workspace in reports between gateways.
@@ -94,7 +94,8 @@
 	shares    Shares
 	accounts  map[Key]*account
 	// recent holds the accounts that this gateway has spent from, the latest change first.
-	recent   *list.List
+	recent *list.List
+	// revision counts the changes of this gateway's spending.
 	revision uint64
 	// configuredAt is when limits were first configured. Accounts that are opened later belong to
 	// new workspaces, for which nothing has been spent.
@@ -253,8 +254,8 @@
 	Heard, Known int
 }
 
-// Status returns the state of the workspaces that this gateway has spent for, the latest first
-// and at most maxEntries of them.
+// Status returns the state of the workspaces that this gateway has spent for, the most recent
+// spending first, and at most maxEntries of them.
 func (l *Ledger) Status(maxEntries int, now time.Time) []Status {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/pkg/quota/quota_test.go
+++ b/pkg/quota/quota_test.go
@@ -188,7 +188,8 @@
 	g.Expect(l.Limited()).To(BeFalse())
 }
 
-// A limit that drops far below the usage so far applies at once. Earlier spending causes no debt.
+// A limit that drops far below the usage so far applies at once. Spending above the new limit
+// causes no debt: the bucket stays as full as it was, as a fraction of its size.
 func TestLoweredLimitCarriesNoDebt(t *testing.T) {
 	g := NewWithT(t)
 	s := tokenWorkspace("s", 100000, 100000)
@@ -254,8 +255,8 @@
 	}
 }
 
-// Gateways are restarted in turn under load. What peers spent before a process started must not
-// be charged to its buckets, whether it learns that spending or the limits first.
+// What peers spent before a process started must not be charged to its buckets, whether the reports
+// or the limits arrive first.
 func TestStartingProcessIsNotChargedForEarlierSpending(t *testing.T) {
 	for _, limitsFirst := range []bool{true, false} {
 		g := NewWithT(t)
--- a/pkg/runners/directory.go
+++ b/pkg/runners/directory.go
@@ -76,7 +76,8 @@
 
 // Put records an entry as it is in the store at the time now. A runner that was leaving stays
 // leaving. A new incarnation replaces the current one of the same name in the order in which the
-// store lists them. Their start times by their own clocks are not compared, unlike in Entry.Before.
+// store lists them. Their start times by their own clocks are not compared here; Entry.Before does
+// that, to detect older entries in a restored store.
 func (d *Directory) Put(r Runner, now time.Time) { d.PutEntry(Entry{Runner: r}, now) }
 
 // PutEntry records an entry with the fields that change during an incarnation; see Put.
--- a/pkg/runners/runners.go
+++ b/pkg/runners/runners.go
@@ -99,7 +99,7 @@
 }
 
 // unusableFor is how long a runner gets no work after it responded that its ID or its stage differs
-// from its entry. By then the entry is corrected: the entry of a runner that ended expires within
+// from its entry. Corrected entries arrive sooner: the entry of a runner that ended expires within
 // three heartbeats of 1.2 s, and the entry of an engine that changed its stage shows the new stage
 // within one.
 const unusableFor = 10 * time.Second
--- a/pkg/workspace/credential.go
+++ b/pkg/workspace/credential.go
@@ -49,13 +49,13 @@
 // Authenticate returns the workspace that the key in the values of a request's Authorization
 // header belongs to, and the digest of the key. It fails with *ErrCredential.
 func (d *Directory) Authenticate(values []string) (*Workspace, Digest, error) {
-	key, err := Credential(values)
+	digest, err := Credential(values)
 	if err != nil {
 		return nil, Digest{}, err
 	}
-	w := d.ByKey(key)
+	w := d.ByKey(digest)
 	if w == nil {
-		return nil, key, &ErrCredential{Why: Unknown, Fingerprint: key.Fingerprint()}
+		return nil, digest, &ErrCredential{Why: Unknown, Fingerprint: digest.Fingerprint()}
 	}
-	return w, key, nil
+	return w, digest, nil
 }
--- a/pkg/workspace/workspace.go
+++ b/pkg/workspace/workspace.go
@@ -16,8 +16,8 @@
 // DigestOf returns the digest of a key.
 func DigestOf(key string) Digest { return sha256.Sum256([]byte(key)) }
 
-// fingerprintBytes is how many bytes of a digest a fingerprint shows: enough to distinguish
-// several thousand keys, far too few to find one.
+// fingerprintBytes is how many bytes of a digest a fingerprint shows: enough to distinguish several
+// thousand keys, far too few to recover or guess a key.
 const fingerprintBytes = 4
 
 // Fingerprint returns a short text that identifies a key in logs.
@@ -44,7 +44,8 @@
 	// Rate is how many units the workspace may use per second, 0 for no limit. Burst is how many
 	// more it may use at once.
 	Rate, Burst float64
-	// PlainTokens is the cost of a request without a number of tokens, if Unit is Tokens.
+	// PlainTokens is the cost, in tokens, of a request that states neither the length of its prompt
+	// nor the maximum length of its response. It applies if Unit is Tokens.
 	PlainTokens float64
 }
 
@@ -79,7 +80,7 @@
 
 // ErrWorkspace reports an error in the configuration of a workspace.
 type ErrWorkspace struct {
-	// Workspace is its name, Index its position in the list.
+	// Workspace is the name of the workspace, Index its position in the list.
 	Workspace string
 	Index     int
 	// Field is the invalid field, Expected a description of a valid value.
@@ -147,8 +148,8 @@
 // validAmount reports whether a number is finite and not negative.
 func validAmount(n float64) bool { return n >= 0 && !math.IsInf(n, 0) && !math.IsNaN(n) }
 
-// ByKey returns the workspace that a key belongs to, or nil.
-func (d *Directory) ByKey(key Digest) *Workspace { return d.byKey[key] }
+// ByKey returns the workspace that the key with the given digest belongs to, or nil.
+func (d *Directory) ByKey(digest Digest) *Workspace { return d.byKey[digest] }
 
 // Named returns the workspace with a name, or nil.
 func (d *Directory) Named(name string) *Workspace { return d.byName[name] }
