--- a/pkg/quarantine/quarantine_test.go
+++ b/pkg/quarantine/quarantine_test.go
@@ -177,7 +177,7 @@
 		table.Broke(Digest{byte(i), byte(i >> 8), byte(i >> 16), 1}, early(uint64(i), 3))
 	}
 	g.Expect(table.size.Load()).To(BeNumerically("<=", maxSuspects))
-	g.Expect(table.Held(start.Add(4*time.Second))).To(Equal(1), "a quarantined suspect was evicted")
+	g.Expect(table.Held(start.Add(4*time.Second))).To(Equal(1), "a quarantined suspect is not evicted")
 	table.Sweep(start.Add(time.Hour))
 	g.Expect(table.Empty()).To(BeTrue())
 }
--- a/pkg/runnerlimit/runnerlimit.go
+++ b/pkg/runnerlimit/runnerlimit.go
@@ -24,9 +24,9 @@
 const (
 	// Run is a call that runs a request.
 	Run Kind = iota + 1
-	// Read is a call that prefills a prompt.
+	// Read is a call that prefills a prompt at the runner.
 	Read
-	// Own is any other call.
+	// Own is any other call that the gateway makes, such as a reservation.
 	Own
 )
 
--- a/pkg/runners/health.go
+++ b/pkg/runners/health.go
@@ -11,8 +11,8 @@
 	newestWeight = 0.25
 	// ejectThreshold is the failure rate at which a runner is ejected.
 	ejectThreshold = 0.6
-	// minCoolDown is how long a runner is ejected the first time. The time doubles with each
-	// ejection, up to maxCoolDown.
+	// minCoolDown is how long a runner is ejected the first time. The time (cool-down) doubles with
+	// each ejection, up to maxCoolDown.
 	minCoolDown = 500 * time.Millisecond
 	maxCoolDown = 4 * time.Second
 	// coolDownResetAfter is how long after the end of the last ejection a success resets the
@@ -28,8 +28,9 @@
 // about as long as a full queue takes to drain.
 const refusalDecay = time.Second
 
-// health holds the failure rate, refusal rate, cool-down and latency of a runner, derived from the
-// outcomes of requests.
+// health holds the failure rate, refusal rate, ejection and latency of a runner, derived from the
+// outcomes of requests. coolDown is the length of its last ejection, 0 if the next one is to be as
+// short as the first.
 type health struct {
 	// refusals is the share of requests that the runner refused without running them, as of
 	// refusedAt.
@@ -60,8 +61,8 @@
 	return h.refusals * math.Exp(-now.Sub(h.refusedAt).Seconds()/refusalDecay.Seconds())
 }
 
-// Declined records a refusal: the runner did not run a request because it is full, or because it
-// reported that it is full.
+// Declined records a refusal: the runner did not run a request, for example because it is full.
+// MarkUnusable records a refusal of a call that was meant for a different runner or stage.
 func (s *State) Declined(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,7 +106,7 @@
 	h.ejectedUntil = now.Add(h.coolDown)
 }
 
-// Answered records a complete response and how long it took.
+// Answered records a complete response of the runner and how long it took.
 func (s *State) Answered(took time.Duration) { s.answered(took, time.Now()) }
 
 func (s *State) answered(took time.Duration, now time.Time) {
