--- a/pkg/boottime/boottime.go
+++ b/pkg/boottime/boottime.go
@@ -1,9 +1,10 @@
 // Package boottime provides a monotonic clock that keeps running while the machine is suspended.
 //
-// The monotonic clock of time.Now stands still then: a lease that expired, or keys that were revoked,
-// look as fresh after some seconds of suspension as before. Whatever must not be relied on for longer
-// than it is valid is timed by this clock. Its times can be compared with each other. They are later
-// than those of time.Now by the time that the machine was suspended since the process started.
+// During a suspension the monotonic clock of time.Now stands still: a lease that expired, or API
+// keys that were revoked, look as fresh after some seconds of suspension as before. Whatever must
+// not be relied on for longer than it is valid is timed by this clock. Its times can be compared
+// with each other. They are later than those of time.Now by the time that the machine was suspended
+// since the process started.
 package boottime
 
 import (
@@ -14,13 +15,13 @@
 )
 
 const (
-	// driftThreshold is by how much the wall clock must move against the monotonic clock for the time
-	// since boot to be read, which takes system calls. The wall clock moves with each suspension, and
-	// otherwise by adjustments of about 0.5 ms a second at most.
+	// The time since boot is read, which takes system calls, only after the wall clock moved by
+	// driftThreshold against the monotonic clock. It moves with each suspension. Otherwise it moves
+	// by adjustments of about 0.5 ms a second at most, and by steps, which only cost a read.
 	driftThreshold = time.Millisecond
-	// maxReadTime is how far the monotonic clock may advance while the clocks are read: the process may
-	// lose its CPU in between. maxReadings is how often they are read until it advances no further than
-	// that.
+	// maxReadTime is how far the monotonic clock may advance while the clocks are read: the process
+	// may lose its CPU in between. maxReadings is the maximum number of attempts to read the clocks
+	// within maxReadTime.
 	maxReadTime = time.Millisecond
 	maxReadings = 5
 )
@@ -109,8 +110,8 @@
 	return c.suspendedTotal
 }
 
-// suspendedSinceBoot returns the time since boot minus the monotonic clock. The result is at least that:
-// the time between the two reads adds to it.
+// suspendedSinceBoot returns the time since boot minus the monotonic clock. The result is too large
+// by the time between the first two reads.
 func (c *clock) suspendedSinceBoot() (time.Duration, error) {
 	var offset time.Duration
 	for range maxReadings {
--- a/pkg/boottime/boottime_test.go
+++ b/pkg/boottime/boottime_test.go
@@ -36,8 +36,9 @@
 	return m.monotonic, m.broken
 }
 
-// at returns the time of a clock after the wall clock has moved against the monotonic clock. A time of
-// time.Now holds both, and a test can't move one of them alone.
+// at returns the time of a clock after the wall clock has moved against the monotonic clock. It
+// simulates the drift by lowering lastDrift, since a test can't move only one of the two readings
+// in a time.Time.
 func (m *machine) at(c *clock, drift time.Duration) time.Time {
 	c.mu.Lock()
 	c.lastDrift -= drift
--- a/pkg/peers/assured.go
+++ b/pkg/peers/assured.go
@@ -11,8 +11,9 @@
 // A gateway must know how old a relay's report of the store is, although the datagram, the relay or
 // the gateway itself may have been delayed or suspended on the way. Each subscription therefore
 // carries a stamp of the subscriber's own clock, and each update of the relay returns the newest
-// stamp with the time since its arrival. The store was in the reported state at the time of the
-// stamp, plus the time since its arrival, less the age that the relay states, or later than that.
+// stamp with the time since its arrival. The store was confirmed to be in the reported state at
+// stamp + HeldUs - AssuredUs, or later: HeldUs is how long the relay has held the stamp, AssuredUs
+// the age of the relay's own confirmation.
 
 // stampClock issues stamps of boottime, in microseconds. They start at a random number, so that
 // stamps of an earlier process of the same name are not mistaken for its own.
@@ -37,8 +38,8 @@
 
 // stampUpdate adds to an update the subscriber's newest stamp and the two durations from which the
 // subscriber derives the age of the update. The caller holds the lock.
-func (x *Exchange) stampUpdate(u *wirepb.StoreUpdate, subscriber string, assured time.Time) {
-	if assured.IsZero() {
+func (x *Exchange) stampUpdate(u *wirepb.StoreUpdate, subscriber string, confirmed time.Time) {
+	if confirmed.IsZero() {
 		return
 	}
 	// The clock is read once, so that both spans end at the same moment.
@@ -48,7 +49,8 @@
 		return
 	}
 	u.Stamp, u.HeldUs = stamp, uint64(max(0, held.Microseconds()))
-	u.AssuredUs = uint64(max(0, now.Sub(assured).Microseconds()) + 1)
+	// The age is rounded up, so that the confirmed time is not too recent.
+	u.AssuredUs = uint64(max(0, now.Sub(confirmed).Microseconds()) + 1)
 }
 
 // confirmedAt returns the time, by this gateway's clock, at which the store is confirmed to have been in
--- a/pkg/peers/notices.go
+++ b/pkg/peers/notices.go
@@ -8,8 +8,8 @@
 
 const (
 	// leavingFor is how long an incarnation of a runner is reported as leaving. Each gateway that
-	// receives the report forwards it, so that it reaches all gateways within a few rounds, including
-	// those that received no response of the runner and can't reach the store.
+	// receives the report forwards it, so that it reaches all gateways within a few send intervals,
+	// including those that received no response of the runner and can't reach the store.
 	leavingFor = 30 * time.Second
 	// maxLeaving bounds the leaving runners in one datagram, some 25 bytes each.
 	maxLeaving = 32
--- a/pkg/peers/peers.go
+++ b/pkg/peers/peers.go
@@ -1,8 +1,10 @@
-// Package peers exchanges engine reservations between gateways, so that each gateway chooses
-// engines with the reservations of all gateways in view. It sends small datagrams: changes
-// at once to the gateways that use the same engines, the full state to a gateway that lacks
-// data, and heartbeats. A gateway reads the addresses of the others from the store once and
-// from datagrams after that. No consensus is needed.
+// Package peers exchanges engine reservations between gateways, so that each gateway takes the
+// reservations of all gateways into account when it chooses engines. It also exchanges stage
+// changes, changes of the store, the spending of workspaces, runners' rate limits, outcomes and
+// notices, and reports of requests that crash runners. It sends small datagrams: changes at once to
+// the gateways that use the same engines, the full state to a gateway that lacks data, and
+// heartbeats. A gateway receives the addresses of the others from the store and from datagrams. No
+// consensus is needed.
 package peers
 
 import (
@@ -24,8 +26,8 @@
 )
 
 const (
-	// batchDelay is the time for which changes are batched before they are sent. A
-	// reservation and the prefill that follows it are some 5 ms apart.
+	// batchDelay is the time for which changes of reservations and rate limits are batched before
+	// they are sent. A reservation and the prefill that follows it are some 5 ms apart.
 	batchDelay = 10 * time.Millisecond
 	// sendInterval is the time between two checks for gateways that are due a datagram.
 	sendInterval = 60 * time.Millisecond
@@ -34,9 +36,9 @@
 	// that a gateway sends at most 33 heartbeats a second, some 1.5 KB.
 	minHeartbeat        = 300 * time.Millisecond
 	heartbeatPerGateway = 30 * time.Millisecond
-	// limitedHeartbeatPerGateway replaces heartbeatPerGateway when workspaces have limits:
-	// the share of a gateway is not spent by others while no datagrams arrive from it, so
-	// that datagrams of most gateways must arrive at short intervals.
+	// limitedHeartbeatPerGateway replaces heartbeatPerGateway when workspaces have limits: the
+	// unused share of a quota may be spent by others only while datagrams arrive from its gateway,
+	// so that datagrams of most gateways must arrive at short intervals.
 	limitedHeartbeatPerGateway = 10 * time.Millisecond
 	// A gateway counts as alive for aliveHeartbeats heartbeat intervals after its last
 	// datagram, and for minAliveTime at least, because some datagrams are lost.
@@ -98,8 +100,8 @@
 	Pace  relay.Pace
 	// Quota counts what workspaces spend at all gateways; nil if there are no quotas.
 	Quota *quota.Ledger
-	// Limits are the rate limits that runners name for all gateways together; nil if they
-	// are not exchanged.
+	// Limits are the rate limits that runners announce for all gateways together; nil if they are
+	// not exchanged.
 	Limits *runnerlimit.Table
 	// Notices are the notices of runners; nil if they are not exchanged.
 	Notices *notice.Table
@@ -127,7 +129,8 @@
 // Unwrap returns the cause.
 func (e *ErrAddress) Unwrap() error { return e.Err }
 
-// ErrDatagram reports that a datagram can't be sent, received or decoded.
+// ErrDatagram reports that a datagram can't be sent, received or decoded. Err is nil if it is
+// larger than maxDatagram.
 type ErrDatagram struct {
 	Gateway string
 	Bytes   int
@@ -136,7 +139,7 @@
 
 // Error implements error.
 func (e *ErrDatagram) Error() string {
-	return fmt.Sprintf("datagram could not be sent or read: gateway=%s bytes=%d cause=%v", e.Gateway, e.Bytes, e.Err)
+	return fmt.Sprintf("datagram could not be sent, received or decoded: gateway=%s bytes=%d cause=%v", e.Gateway, e.Bytes, e.Err)
 }
 
 // Unwrap returns the cause.
@@ -161,12 +164,11 @@
 	// limitMemberships is the value of memberships when the table of runners' rate limits was
 	// last passed the members.
 	limitMemberships uint64
-	// byName is the members sorted by name when memberships was byNameAt. aliveNames is the
-	// names of the live gateways including this one, nil if it must be rebuilt. defaultRelay
-	// says that this gateway is among the first of them, which watch the store even without
-	// subscribers. relaysChosenAt is when this gateway last chose its relays. All are cached
-	// since each send interval would otherwise sort all gateways several times: 4 ms at 300
-	// of them.
+	// byName is the members sorted by name when memberships was byNameAt. aliveNames is the names
+	// of the live gateways including this one, nil if it must be rebuilt. defaultRelay says that
+	// this gateway is among the first of them, which watch the store even without subscribers.
+	// relaysChosenAt is when this gateway last chose its relays. All are cached since each send
+	// interval would otherwise sort all gateways several times: 4 ms with 300 gateways.
 	byName         []*member
 	byNameAt       uint64
 	aliveNames     []string
--- a/pkg/peers/peers_bench_test.go
+++ b/pkg/peers/peers_bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/hopwell/hopwell/pkg/enginepool"
 )
 
-// BenchmarkDatagram measures the time to encode one datagram and its size, for a change at one
-// engine and for the full state.
+// BenchmarkDatagram measures the time to encode one datagram and its size, for states of several
+// sizes.
 func BenchmarkDatagram(b *testing.B) {
 	for _, size := range []struct{ runners, streams int }{{1, 2}, {12, 20}, {18, 30}, {64, 140}} {
 		b.Run(fmt.Sprintf("runners=%d,streams=%d", size.runners, size.streams), func(b *testing.B) {
--- a/pkg/peers/peers_test.go
+++ b/pkg/peers/peers_test.go
@@ -40,8 +40,8 @@
 	return p, ok
 }
 
-// newGateway returns an exchange with one reservation of the given size, in tokens, at a runner of its
-// own.
+// newGateway returns an exchange with one reservation of the given size, in tokens, at a runner of
+// its own. The size is also its configuration version.
 func newGateway(t *testing.T, name string, load int) *gateway {
 	conn, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	if err != nil {
@@ -217,7 +217,7 @@
 	g.Expect(float64(len(a.members)) / a.heartbeat().Seconds()).To(BeNumerically("<", 34))
 }
 
-// No datagram may crash a gateway.
+// No datagram may crash the decoding of snapshots.
 func FuzzDatagram(f *testing.F) {
 	f.Add([]byte("\n\x01z"))
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -229,8 +229,8 @@
 	})
 }
 
-// Outcomes that a gateway reports of a failing runner must reach the others, with the gateway's
-// failure domain.
+// Outcomes that a gateway reports of a failing runner must reach the others, with whether the
+// gateway is in the same failure domain.
 func TestOutcomesReachOtherGateways(t *testing.T) {
 	g := NewWithT(t)
 	reported := []runners.Outcome{{Runner: "r", Failed: 1.5, Total: 4}}
--- a/pkg/peers/receive.go
+++ b/pkg/peers/receive.go
@@ -68,7 +68,7 @@
 	}
 	if s.StoreUpdate != nil {
 		update := decodeStoreUpdate(s.StoreUpdate)
-		update.Assured = x.confirmedAt(s.StoreUpdate)
+		update.Confirmed = x.confirmedAt(s.StoreUpdate)
 		x.receiveUpdate(s.Name, update, now)
 	}
 	for service, snapshot := range decodeSnapshots(s) {
--- a/pkg/peers/relay.go
+++ b/pkg/peers/relay.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// relayRate bounds what a relay sends, in bytes a second, and relayBurst what it may
-	// send at once, in bytes: some 100 runners that change together, to 40 gateways. When a
-	// whole system starts, thousands of runners register. No request waits for these updates,
-	// so the relay leaves out what exceeds the bounds, and each gateway's own watch of the
-	// store reads the rest.
+	// relayRate bounds what a relay sends, in bytes a second, and relayBurst what it may send at
+	// once, in bytes: enough to send the changed entries of 100 runners to 40 gateways. When a
+	// whole system starts, thousands of runners register. No request waits for these updates, so
+	// the relay leaves out what exceeds the bounds, and each gateway's own watch of the store reads
+	// the rest.
 	relayRate  = 128 << 10
 	relayBurst = 1 << 20
 	// datagramOverhead is the size of a datagram without the values of its update, in bytes.
@@ -26,7 +26,7 @@
 	// Reached returns the revision up to which the copy has all changes, 0 for none.
 	Reached() store.Revision
 	// Since returns the updates that bring a gateway from a revision to the one reached.
-	Since(at store.Revision, reads relay.Reads, now time.Time) []relay.Update
+	Since(at store.Revision, encodings relay.Encodings, now time.Time) []relay.Update
 	// Receive applies an update of a relay, and reports whether the copy now has all changes
 	// up to the end of the update.
 	Receive(u relay.Update) bool
@@ -79,8 +79,9 @@
 	return x.defaultRelay
 }
 
-// choicesPerBeat is the number of times that relays are chosen in a beat while the same gateways are
-// alive. It need not be higher, because a silent relay is replaced only after some beats.
+// choicesPerBeat is the number of times that relays are chosen in one heartbeat interval of the
+// relays (Pace.Beat) while the same gateways are alive. It need not be higher, because a silent
+// relay is replaced only after some intervals.
 const choicesPerBeat = 3
 
 // chooseRelays chooses relays again when a choice is due. The caller holds the lock.
@@ -123,8 +124,8 @@
 	x.sources.StoreAnswers(now)
 }
 
-// SendStoreUpdates sends subscribers the changes that they lack, and an update without changes to those
-// that were sent nothing for a beat.
+// SendStoreUpdates sends subscribers the changes that they lack, and an update without changes to
+// those that were sent nothing for the relays' heartbeat interval (Pace.Beat).
 func (x *Exchange) SendStoreUpdates(now time.Time) {
 	reached := x.options.Store.Reached()
 	x.mu.Lock()
@@ -142,13 +143,13 @@
 		if m == nil {
 			continue
 		}
-		for _, u := range x.options.Store.Since(at, x.subscribers.Reads(name), now) {
+		for _, u := range x.options.Store.Since(at, x.subscribers.Encodings(name), now) {
 			if !x.relayAllowance.take(datagramOverhead+u.Bytes(), now) {
 				break
 			}
 			x.subscribers.Sent(name, u.To, now)
 			message := encodeStoreUpdate(u)
-			x.stampUpdate(message, name, u.Assured)
+			x.stampUpdate(message, name, u.Confirmed)
 			out = append(out, x.newDatagram(m, &wirepb.GatewayState{StoreUpdate: message}, now))
 		}
 	}
@@ -176,7 +177,7 @@
 	at := store.Revision(s.At)
 	x.mu.Lock()
 	firstSubscriber := !x.subscribers.Any(now)
-	x.subscribers.Subscribe(from, at, relay.Reads{Deltas: s.Deltas, Eras: s.Eras}, now)
+	x.subscribers.Subscribe(from, at, relay.Encodings{Deltas: s.Deltas, Eras: s.Eras}, now)
 	x.subscribers.Stamp(from, s.Stamp, boottime.Now())
 	var out []datagram
 	if x.options.Store.Reached() > 0 {
@@ -193,7 +194,7 @@
 // once. An update of an earlier store era does not confirm that the copy is up to date.
 func (x *Exchange) receiveUpdate(from string, u relay.Update, now time.Time) {
 	if u.To.Era() < x.options.Store.Reached().Era() {
-		u.Age, u.Assured = relay.Unconfirmed, time.Time{}
+		u.Age, u.Confirmed = relay.Unconfirmed, time.Time{}
 	}
 	applied := x.options.Store.Receive(u)
 	x.mu.Lock()
--- a/pkg/peers/relay_test.go
+++ b/pkg/peers/relay_test.go
@@ -56,7 +56,7 @@
 }
 
 // allEncodings is the encodings that a gateway of this build decodes.
-var allEncodings = relay.Reads{Deltas: true, Eras: true}
+var allEncodings = relay.Encodings{Deltas: true, Eras: true}
 
 func storeChange(key string, revision store.Revision, size int) store.Event {
 	return store.Event{Item: store.Item{Key: key, Revision: revision, Value: make([]byte, size)}}
--- a/pkg/peers/send.go
+++ b/pkg/peers/send.go
@@ -119,8 +119,8 @@
 	return outcomes[:maxOutcomes]
 }
 
-// outcomeReceivers returns the gateways that are sent outcomes now: all of them if they are few,
-// otherwise the next ones in turn. The caller holds the lock.
+// outcomeReceivers returns the gateways that are sent reports of outcomes and leaving runners now:
+// all of them if they are few, otherwise the next ones in turn. The caller holds the lock.
 func (x *Exchange) outcomeReceivers(hasReports bool) map[string]bool {
 	out := map[string]bool{}
 	if !hasReports {
--- a/pkg/peers/spending.go
+++ b/pkg/peers/spending.go
@@ -13,8 +13,8 @@
 	spendingInterval = 300 * time.Millisecond
 	// maxSpenders bounds the workspaces in one datagram, 12 bytes each.
 	maxSpenders = 1000
-	// graceFactor is the number of heartbeat intervals after the last datagram of a gateway for
-	// which others may still spend its share of the limits: a datagram may be late, or one lost.
+	// Others may spend a gateway's share of the limits for graceFactor heartbeat intervals after
+	// its last datagram: a datagram may be late, or one lost.
 	graceFactor = 1.25
 )
 
--- a/pkg/peers/suspicion.go
+++ b/pkg/peers/suspicion.go
@@ -8,10 +8,11 @@
 	"github.com/hopwell/hopwell/pkg/wire/wirepb"
 )
 
-// SendSuspicion informs other gateways at once of a request whose calls to runners broke off: all of
-// them if the request is quarantined, otherwise those that its digest selects. So calls that broke
-// off at different gateways are counted in one place whatever the number of gateways. Each report
-// repeats all that this gateway recorded of the request, which makes up for a lost datagram.
+// SendSuspicion informs other gateways at once of a request whose calls to runners broke off: all
+// of them if the request is quarantined, otherwise those that its digest selects. So calls that
+// broke off at different gateways are counted by the same gateways whatever the number of gateways.
+// Each report repeats all that this gateway recorded of the request, which makes up for a lost
+// datagram.
 func (x *Exchange) SendSuspicion(r quarantine.Report, now time.Time) {
 	encoded := []*wirepb.Suspicion{encodeSuspicion(r, now)}
 	chosen := x.subset.Load().Chosen(r.Digest.String())
--- a/pkg/process/announce.go
+++ b/pkg/process/announce.go
@@ -13,16 +13,17 @@
 const (
 	// gatewayPrefix is the prefix of the keys under which gateways publish their addresses.
 	gatewayPrefix = "hopwell/gateways/"
-	// announceTTL is the lease of such a key. It is as long as other gateways remember a gateway that has
-	// stopped. A process that starts before the lease expires sends some datagrams in vain to the stopped
-	// gateway.
+	// announceTTL is the lease of such a key. It equals the time for which other gateways keep
+	// sending datagrams to a silent gateway. A process that starts before the lease expires also
+	// sends datagrams to the stopped gateway, in vain.
 	announceTTL = peers.RememberFor
 	// announceInterval is the interval between renewals of the lease: two renewals may fail before
-	// the lease expires. At a third of this interval, the renewals of 356 gateways were 60 calls a second.
+	// the lease expires. At a third of this interval, 356 gateways sent 60 renewals a second in
+	// total.
 	announceInterval = 18 * time.Second
 	// announceRetryDelay is the delay after the first failed attempt. It doubles with each further
-	// failure, up to announceInterval: gateways that have each other's addresses need none from the
-	// store.
+	// failure, up to announceInterval. A longer delay does no harm, since running gateways already
+	// have each other's addresses.
 	announceRetryDelay = time.Second
 	// deregisterTimeout bounds the call that removes the address when the process stops.
 	deregisterTimeout = 100 * time.Millisecond
@@ -34,8 +35,9 @@
 // their addresses again after a restore of the store, with two calls each.
 const reannouncePerGateway = 10 * time.Millisecond
 
-// announce keeps this gateway's address in the store until the context ends, for gateways that start
-// later. It writes the address again after a restore of the store.
+// announce keeps this gateway's address in the store until the context ends. Gateways that start
+// later read it there, and running gateways receive it as a change of the store. It writes the
+// address again after a restore of the store.
 func (p *Ingress) announce(ctx context.Context) {
 	var lease store.LeaseID
 	retry := announceRetryDelay
@@ -84,8 +86,8 @@
 	}
 }
 
-// register writes this gateway's address to the store. Running gateways read it there, and this process
-// reads theirs with the rest of the store.
+// register writes this gateway's address to the store. Running gateways receive it as a change of
+// the store, and this process reads their addresses with the rest of the store.
 func (p *Ingress) register(ctx context.Context) (store.LeaseID, error) {
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
--- a/pkg/process/copy.go
+++ b/pkg/process/copy.go
@@ -15,11 +15,11 @@
 	"github.com/hopwell/hopwell/platform"
 )
 
-// ErrDelta reports that a delta from a relay could not be applied to the snapshot.
+// ErrDelta reports that a delta from a relay could not be applied to the copy of the store.
 type ErrDelta struct {
 	Key string
-	// Revision is the revision of the change, Base that of the value that the delta applies to, Have
-	// that of the value in the snapshot.
+	// Revision is the revision of the change, Base that of the value that the delta applies to,
+	// Have that of the value in the copy.
 	Revision, Base, Have store.Revision
 	Err                  error
 }
@@ -32,8 +32,8 @@
 // Unwrap returns the cause.
 func (e *ErrDelta) Unwrap() error { return e.Err }
 
-// storeSnapshot holds the items of the store that gateways need.
-type storeSnapshot struct {
+// storeCopy is a gateway's copy of the items of the store that gateways need.
+type storeCopy struct {
 	mu    sync.Mutex
 	items map[string]store.Item
 	at    store.Revision
@@ -49,8 +49,8 @@
 		strings.HasPrefix(key, gatewayPrefix) || strings.HasPrefix(key, changePrefix) || strings.HasPrefix(key, quarantinePrefix)
 }
 
-// replace replaces the snapshot by a full read of the store.
-func (c *storeSnapshot) replace(items []store.Item, at store.Revision) {
+// replace replaces the copy by a full read of the store.
+func (c *storeCopy) replace(items []store.Item, at store.Revision) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.items, c.at = map[string]store.Item{}, at
@@ -61,9 +61,9 @@
 	}
 }
 
-// resolve applies the deltas of an update to the values in the snapshot. If a delta can't be applied, it
-// is removed from the update with all later changes, which are left to a watch.
-func (c *storeSnapshot) resolve(u *relay.Update) error {
+// resolve applies the deltas of an update to the values in the copy. If a delta can't be applied,
+// it is removed from the update with all later changes, which are left to a watch.
+func (c *storeCopy) resolve(u *relay.Update) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, d := range u.Deltas {
@@ -83,9 +83,9 @@
 	return nil
 }
 
-// changes returns the differences between the snapshot at revision from and a full read at revision to.
+// changes returns the differences between the copy at revision from and a full read at revision to.
 // The read is not atomic: items with later revisions are left to the watch that follows.
-func (c *storeSnapshot) changes(items []store.Item, from, to store.Revision) []store.Event {
+func (c *storeCopy) changes(items []store.Item, from, to store.Revision) []store.Event {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []store.Event
@@ -105,10 +105,10 @@
 	return out
 }
 
-// changesAfterRestore returns the difference between the snapshot and a full read in a later era. It
-// compares values, since the store reuses revision numbers. Removed keys come first, at the start of the
-// era: no watch reports them.
-func (c *storeSnapshot) changesAfterRestore(items []store.Item, to store.Revision) ([]store.Event, error) {
+// changesAfterRestore returns the difference between the copy and a full read in a later era. It
+// compares values, since the store reuses revision numbers. Removals come first, with revision
+// number 0 of the new era, since no watch of that era reports a revision for them.
+func (c *storeCopy) changesAfterRestore(items []store.Item, to store.Revision) ([]store.Event, error) {
 	start, err := store.RevisionOf(to.Era(), 0)
 	if err != nil {
 		return nil, err
@@ -147,7 +147,7 @@
 	return errWas == nil && errIs == nil && was.Runner == is.Runner && was.ColdFor == is.ColdFor
 }
 
-func (c *storeSnapshot) get(key string) (store.Item, bool) {
+func (c *storeCopy) get(key string) (store.Item, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	i, ok := c.items[key]
@@ -155,7 +155,7 @@
 }
 
 // apply applies changes up to a revision.
-func (c *storeSnapshot) apply(events []store.Event, at store.Revision) {
+func (c *storeCopy) apply(events []store.Event, at store.Revision) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.at = at
@@ -169,7 +169,7 @@
 }
 
 // setReachable records whether the store responds.
-func (c *storeSnapshot) setReachable(reachable bool) {
+func (c *storeCopy) setReachable(reachable bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lostAt = time.Time{}
@@ -179,28 +179,28 @@
 }
 
 // unreachable reports whether the store does not respond.
-func (c *storeSnapshot) unreachable() bool {
+func (c *storeCopy) unreachable() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.lostAt.IsZero()
 }
 
-// emptyAndUnreachable reports whether the snapshot is empty and the store does not respond.
-func (c *storeSnapshot) emptyAndUnreachable() bool {
+// emptyAndUnreachable reports whether the copy is empty and the store does not respond.
+func (c *storeCopy) emptyAndUnreachable() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.items) == 0 && !c.lostAt.IsZero()
 }
 
-// loaded reports whether the snapshot holds any items.
-func (c *storeSnapshot) loaded() bool {
+// loaded reports whether the copy holds any items.
+func (c *storeCopy) loaded() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.items) > 0
 }
 
-// export returns the snapshot for another gateway, and false if it is empty.
-func (c *storeSnapshot) export(now time.Time) (sharedState, bool) {
+// export returns the copy for another gateway, and false if it is empty.
+func (c *storeCopy) export(now time.Time) (sharedState, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := sharedState{At: c.at}
--- a/pkg/process/feed.go
+++ b/pkg/process/feed.go
@@ -19,11 +19,12 @@
 )
 
 const (
-	// relayBatchWindow is how long a relay waits for further changes of the store, so that one call
-	// returns several. gatewayBatchWindow is the same for other gateways, which receive the changes
-	// from a relay meanwhile. At the shortest bound, gatewayBatchWindow keeps a change within the 2 s
-	// in which a configuration must be in force, even if the relay's datagram is lost. Both windows
-	// grow with the bound.
+	// relayBatchWindow is how long a relay that serves requests waits for further changes of the
+	// store, so that one call returns several. gatewayBatchWindow is the same for idle relays, and
+	// for other gateways, which receive the changes from a relay meanwhile. At relay.ShortestBound,
+	// gatewayBatchWindow keeps a change within the 2 s in which a configuration must be in force,
+	// even if the relay's datagram is lost. Both windows grow with the bound of the pace, see
+	// relay.Pace.
 	relayBatchWindow   = 200 * time.Millisecond
 	gatewayBatchWindow = time.Second
 	// idleThreshold is the time without requests after which changes are not urgent.
@@ -34,12 +35,13 @@
 type feed struct {
 	ingress *ingress.Ingress
 	log     *decisionlog.Log
-	// snapshot is the last state read from the store, history its latest changes.
-	snapshot storeSnapshot
-	history  relay.History
-	// relays are the other gateways, which relay the changes of the store; pace sets their timing.
-	relays relays
-	pace   relay.Pace
+	// storeCopy is the copy of the store, history its latest changes.
+	storeCopy storeCopy
+	history   relay.History
+	// exchange receives changes of the store from relays and sends them to subscribers; pace sets
+	// the timing.
+	exchange storeExchange
+	pace     relay.Pace
 
 	// applyMu serializes changes from the store and from relays.
 	applyMu sync.Mutex
@@ -126,26 +128,26 @@
 // batchWindow returns how long to wait now for further changes of the store.
 func (f *feed) batchWindow() time.Duration {
 	now := time.Now()
-	if !f.relays.Relay(now) || f.ingress.Idle(now, idleThreshold) {
+	if !f.exchange.Relay(now) || f.ingress.Idle(now, idleThreshold) {
 		return f.pace.Scale(gatewayBatchWindow)
 	}
 	return f.pace.Scale(relayBatchWindow)
 }
 
-// follower returns a follower of the whole store: one watch costs half of two, and the few keys besides
-// the configuration and the runners rarely change.
+// follower returns a follower of the whole store. A single watch replaces one for the configuration
+// and one for the runners, which halves the calls. The few other keys rarely change.
 func (f *feed) follower(s store.Store) *store.Follower {
 	return &store.Follower{
-		Store: s, Gather: f.batchWindow, Relayed: f.relayed, Forgotten: f.forgotten, Reset: f.reset, Apply: f.apply, Assured: f.history.Assure,
-		Refused: func(err *store.ErrOld) {
+		Store: s, Gather: f.batchWindow, Relayed: f.relayed, Forgotten: f.forgotten, Reset: f.reset, Apply: f.apply, Confirmed: f.history.Confirm,
+		Rejected: func(err *store.ErrOld) {
 			f.log.Write(decisionlog.KindFailed, "store_reading_refused", decisionlog.F("have", err.Have), decisionlog.F("got", err.Got))
 		},
 		Lost: func(err error) {
-			f.snapshot.setReachable(false)
+			f.storeCopy.setReachable(false)
 			f.log.Write(decisionlog.KindProcess, "store_lost", decisionlog.F("error", err))
 		},
 		Regained: func(after time.Duration) {
-			f.snapshot.setReachable(true)
+			f.storeCopy.setReachable(true)
 			f.log.Write(decisionlog.KindProcess, "store_regained", decisionlog.F("after", after))
 		},
 	}
@@ -168,40 +170,41 @@
 	case at.Era() > have.Era() || len(f.deferred) > 0:
 		return f.applyDifference(items, at, now)
 	default:
-		// Forward the changes since then like those of a watch. Otherwise each gateway that subscribes
-		// to this one would also read the store when the store drops its history.
-		f.history.Advance(at, f.snapshot.changes(items, have, at), now)
-		defer f.relays.SendStoreUpdates(now)
+		// Forward the changes since the revision reached like those of a watch. Otherwise each
+		// gateway that subscribes to this one would also read the store when the store drops its
+		// history.
+		f.history.Advance(at, f.storeCopy.changes(items, have, at), now)
+		defer f.exchange.SendStoreUpdates(now)
 	}
 	f.applyAll(items, at)
 	return nil
 }
 
-// applyDifference applies a full read as changes to the snapshot. Right after a restore of the store,
-// and while changes are deferred, the read alone does not show what is current. The caller holds
-// applyMu.
+// applyDifference applies a full read as changes to the copy of the store. Right after a restore of
+// the store, and while changes are deferred, the read alone does not show what is current. The
+// caller holds applyMu.
 func (f *feed) applyDifference(items []store.Item, at store.Revision, now time.Time) error {
 	u := relay.Update{From: f.Reached(), To: at}
 	if at.Era() == u.From.Era() {
-		u.Changes = f.snapshot.changes(items, u.From, at)
+		u.Changes = f.storeCopy.changes(items, u.From, at)
 	} else {
-		changes, err := f.snapshot.changesAfterRestore(items, at)
+		changes, err := f.storeCopy.changesAfterRestore(items, at)
 		if err != nil {
 			return err
 		}
 		u.Changes, u.Restored = changes, at
 	}
 	f.applyUpdate(u, now)
-	f.snapshot.replace(items, at)
-	f.history.Known(items)
+	f.storeCopy.replace(items, at)
+	f.history.RecordItems(items)
 	f.log.Write(decisionlog.KindState, "runners_read", decisionlog.F("runners", f.ingress.Directory.Len()), decisionlog.F("at", at))
 	return nil
 }
 
 // applyAll applies all items of the store. The caller holds applyMu.
 func (f *feed) applyAll(items []store.Item, at store.Revision) {
-	f.snapshot.replace(items, at)
-	f.history.Known(items)
+	f.storeCopy.replace(items, at)
+	f.history.RecordItems(items)
 	names, evacuated := map[string]bool{}, map[string]bool{}
 	free := true
 	for _, i := range items {
@@ -225,8 +228,8 @@
 	f.log.Write(decisionlog.KindState, "runners_read", decisionlog.F("runners", len(names)), decisionlog.F("at", at))
 }
 
-// loadPeerState applies the snapshot of another gateway in place of a read of the store. Relays send the
-// later changes, or the store once it responds.
+// loadPeerState applies another gateway's copy of the store in place of a read of the store. Later
+// changes come from relays, or from a watch once the store responds.
 func (f *feed) loadPeerState(s sharedState) {
 	f.applyMu.Lock()
 	defer f.applyMu.Unlock()
@@ -235,8 +238,8 @@
 	if s.Config != nil {
 		f.applyConfig(*s.Config, s.At)
 	}
-	f.history.Assure(s.assured)
-	f.snapshot.setReachable(false)
+	f.history.Confirm(s.confirmed)
+	f.storeCopy.setReachable(false)
 }
 
 // loadPeerConfig applies another gateway's configuration and reports whether it was newer.
--- a/pkg/process/feedlog.go
+++ b/pkg/process/feedlog.go
@@ -11,8 +11,8 @@
 	"github.com/hopwell/hopwell/platform"
 )
 
-// openStore returns a client of the store at an address that logs the store's notices in response
-// headers.
+// openStore returns a client of the store at an address. The client logs changes of the store's
+// era, and unknown headers in its responses.
 func openStore(address string, l *decisionlog.Log) *platform.Store {
 	s := platform.NewStore(address)
 	s.EraChanged = func(before, now uint64) {
@@ -33,7 +33,8 @@
 	l.Write(decisionlog.KindState, "limit_"+c.What, fields...)
 }
 
-// logNotice logs what a runner reported in response headers.
+// logNotice logs what a runner reported in response headers, to this gateway or to another one. The
+// value of the key answers is the number of responses that asked for the pause.
 func logNotice(l *decisionlog.Log, c notice.Change) {
 	runner := decisionlog.F("runner", c.Runner)
 	switch c.What {
--- a/pkg/process/ingress.go
+++ b/pkg/process/ingress.go
@@ -33,9 +33,9 @@
 const (
 	// connectTimeout bounds the opening of a connection to a runner.
 	connectTimeout = 500 * time.Millisecond
-	// idleConnTimeout is how long an idle connection is kept to a runner that names no keep-alive time.
-	// It is the time that other runners name. A connection that the runner closed meanwhile is detected
-	// before it is used.
+	// idleConnTimeout is how long an idle connection is kept to a runner whose responses have no
+	// Keep-Alive timeout. Other runners announce this time. A connection that the runner closed
+	// meanwhile is detected before it is used.
 	idleConnTimeout = 10 * time.Second
 	// maxIdleConns bounds the idle connections to one runner.
 	maxIdleConns = 24
@@ -50,8 +50,8 @@
 	// stopMargin is the time between the end of a drain and the time at which the platform ends the
 	// process.
 	stopMargin = 400 * time.Millisecond
-	// refusalTime is how long requests on kept-alive connections are refused before a process without
-	// work ends.
+	// refusalTime is how long no stream must have been running before a drain ends. During this
+	// time, late requests on kept-alive connections are still refused with a response.
 	refusalTime = 800 * time.Millisecond
 	// drainPollInterval is the interval between checks for running requests during a drain.
 	drainPollInterval = 20 * time.Millisecond
@@ -60,8 +60,7 @@
 	// that are held.
 	memoryLimitFraction = 0.7
 	heldMemoryFraction  = 0.3
-	// initialGateways is the number of gateways that share the retry budget before any others are
-	// discovered.
+	// initialGateways is the number of gateways that share the retry budget until the first sweep.
 	initialGateways = 8
 	// minGateways is the minimum number of gateways that the retry budget is divided among: some may
 	// not be discovered yet.
@@ -86,7 +85,7 @@
 	ports    IngressPorts
 	cancel   context.CancelFunc
 	done     sync.WaitGroup
-	// stateTransfers counts the gateways that are receiving this gateway's snapshot of the store.
+	// stateTransfers counts the gateways that are receiving this gateway's copy of the store.
 	stateTransfers atomic.Int32
 	// reannounce holds a value when the store may have lost this gateway's address.
 	reannounce chan struct{}
@@ -123,20 +122,20 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	p.cancel = cancel
-	orders := p.newStager(calls)
-	p.feed.onOrderLock = orders.lockFree.Store
+	stager := p.newStager(calls)
+	p.feed.onOrderLock = stager.lockFree.Store
 	p.feed.onRestore = func() {
 		p.rewriteStoreEntries()
-		orders.restored.Store(true)
+		stager.restored.Store(true)
 	}
-	p.feed.relays, p.feed.onGateway, p.feed.onRunnerRestart = p.peers, p.addPeer, client.Forget
+	p.feed.exchange, p.feed.onGateway, p.feed.onRunnerRestart = p.peers, p.addPeer, client.Forget
 	p.done.Go(func() { p.feed.run(ctx) })
 	p.done.Go(func() { p.Ingress.Run(ctx) })
 	p.done.Go(func() { p.peers.Run(ctx) })
 	p.done.Go(func() { p.announce(ctx) })
-	p.done.Go(func() { p.learnFromPeers(ctx) })
+	p.done.Go(func() { p.fetchFromPeers(ctx) })
 	p.done.Go(func() { p.publishQuarantines(ctx) })
-	p.done.Go(func() { orders.run(ctx) })
+	p.done.Go(func() { stager.run(ctx) })
 	p.done.Go(func() { p.sweep(ctx) })
 	log.Write(decisionlog.KindProcess, "start", decisionlog.F("pid", os.Getpid()), decisionlog.F("callers", p.ports.Callers),
 		decisionlog.F("store", c.Store), decisionlog.F("domain", c.Instance.Domain))
@@ -161,13 +160,14 @@
 	return o
 }
 
-// confirmedFraction is the fraction of the time limit for refusing a revoked key that may pass without a
+// confirmedFraction is the fraction of RevokeWithin for which API keys are accepted without a newer
 // confirmation of the configuration. The rest allows for clocks that run at different rates.
 const confirmedFraction = 0.95
 
-// revocation returns how long keys are accepted without a confirmed configuration.
+// revocation returns how long API keys are accepted without a newer confirmation of the
+// configuration. The time of a confirmation is that of the request, see relay.History.Confirm.
 func (p *Ingress) revocation(c *config.Ingress) ingress.Revocation {
-	r := ingress.Revocation{Confirmed: func() time.Time { return p.feed.history.Assured() }}
+	r := ingress.Revocation{Confirmed: func() time.Time { return p.feed.history.Confirmed() }}
 	if c.Workspaces.FailClosed {
 		r.After = time.Duration(confirmedFraction * float64(c.Workspaces.RevokeWithin.D()))
 	}
@@ -256,8 +256,9 @@
 	return max(share, minIdleConns)
 }
 
-// Reload applies new settings: the store's address, the retry budget and the drain. The other settings
-// can't change while the process runs and are kept. Invalid settings are rejected, and the last valid
+// Reload applies new settings: the store's address, the retry budget, the drain, the limits for
+// cold runners, the seeds, and the instance name in what the process writes from then on. The other
+// settings are read only when the process starts. Invalid settings are rejected, and the last valid
 // ones stay.
 func (p *Ingress) Reload(file string) error {
 	c, err := config.LoadIngress(file)
--- a/pkg/process/order.go
+++ b/pkg/process/order.go
@@ -16,8 +16,8 @@
 )
 
 // record writes the changes to the store before their orders are sent, so that gateways which start
-// before the changes are done read them, even if this process ends between two orders. The lease of the
-// keys is the longest time that a change may take.
+// before the changes are done read them, even if this process ends between two orders. The lease of
+// the keys lasts as long as the slowest of the changes may take.
 func (s *stager) record(ctx context.Context, changes []staging.Change) {
 	ctx, cancel := context.WithTimeout(ctx, orderCallTimeout)
 	defer cancel()
@@ -95,8 +95,8 @@
 	return err
 }
 
-// order orders one engine to change its stage. The engine gets no new work from before the order is
-// sent. orderAll has already reported the change to the other gateways.
+// order orders one engine to change its stage. The engine gets no new work from shortly before the
+// order is sent. orderAll has already reported the change to the other gateways.
 func (s *stager) order(ctx context.Context, c staging.Change, fence store.Revision) {
 	call, cancel := context.WithTimeout(ctx, orderCallTimeout)
 	defer cancel()
--- a/pkg/process/ports.go
+++ b/pkg/process/ports.go
@@ -52,7 +52,8 @@
 	return nil
 }
 
-// openPeers opens the port for the other gateways: UDP for datagrams, TCP for the snapshot of the store.
+// openPeers opens the port for the other gateways: UDP for datagrams, TCP for the copy of the
+// store.
 func (p *Ingress) openPeers() error {
 	conn, err := p.openPeerPort()
 	if err != nil {
@@ -80,8 +81,8 @@
 	return nil
 }
 
-// peerPortAttempts is how often a free port is tried if the settings name no port: one that is free for
-// UDP may be in use for TCP.
+// peerPortAttempts is how often a free port is tried if the settings name no port: a port that the
+// system chose for UDP may be in use for TCP.
 const peerPortAttempts = 20
 
 // openPeerPort opens the same port for UDP and TCP.
--- a/pkg/process/process.go
+++ b/pkg/process/process.go
@@ -46,7 +46,8 @@
 	stopped chan struct{}
 }
 
-// Ports are the addresses that a process listens on.
+// Ports are the addresses that a process listens on. Inner is for RPCs between gateways and
+// sidecars.
 type Ports struct {
 	Callers, Inner, Admin string
 }
@@ -73,8 +74,9 @@
 	}
 }
 
-// newNode creates the node that both roles use. Its epoch is the start time, since the processes of one
-// instance run one after another.
+// newNode creates the node that both roles use. The epoch must be greater than that of every
+// earlier process of the instance. The processes of one instance run one after another, so their
+// start times serve as epochs; a sidecar uses sidecar.NextEpoch.
 func newNode(me platform.Instance, s Services, epoch uint64) *node.Node {
 	return node.New(node.Options{
 		Self: me, Epoch: epoch, KV: s.KV, List: s.List, Dial: wire.TCP,
@@ -128,7 +130,7 @@
 	return p, p.run(p.Sidecar.Run, p.Sidecar, c.Listen.Admin)
 }
 
-// listen opens the inner port.
+// listen opens the inner port, for RPCs between gateways and sidecars.
 func listen(l config.Listen, d config.Drain) (*Process, error) {
 	inner, err := net.Listen("tcp", l.Inner)
 	if err != nil {
@@ -172,7 +174,7 @@
 
 // Stop carries out the planned stop, which interrupts no requests: the process refuses new work,
 // finishes or moves running work, and only then closes the ports. A non-zero deadline is when the
-// instance ends.
+// platform ends the instance.
 func (p *Process) Stop(deadline time.Time) {
 	p.stop.Do(func() {
 		p.drainRole(deadline)
--- a/pkg/process/quarantine.go
+++ b/pkg/process/quarantine.go
@@ -24,8 +24,8 @@
 // quarantineKey returns the store key of a quarantined request.
 func quarantineKey(d quarantine.Digest) string { return quarantinePrefix + d.String() }
 
-// parseQuarantineKey returns the request that a store key names, and false if it is not the key of a
-// quarantine.
+// parseQuarantineKey returns the digest of the request in a store key, and false if it is not the
+// key of a quarantine.
 func parseQuarantineKey(key string) (quarantine.Digest, bool) {
 	var d quarantine.Digest
 	text, ok := strings.CutPrefix(key, quarantinePrefix)
--- a/pkg/process/relay.go
+++ b/pkg/process/relay.go
@@ -13,24 +13,26 @@
 )
 
 const (
-	// confirmInterval is the shortest interval at which a gateway reads the store although relays send
-	// its changes. Relays send them without gaps; the interval bounds how long a fault of theirs could
-	// last. confirmPerGateway is the time between two such reads of all gateways together: they cost
-	// one call a second, however many gateways there are.
+	// confirmInterval is the shortest mean interval at which a gateway checks the store with a
+	// short watch although relays send its changes. Relays send them without gaps; the interval
+	// bounds how long a faulty relay goes undetected. confirmPerGateway is the mean time between
+	// two such checks by any gateways: together the checks cost one call a second, however many
+	// gateways there are.
 	confirmInterval   = 30 * time.Second
 	confirmPerGateway = time.Second
-	// delayAfterFirstRead is how long, at the shortest bound, a process that has just read the store does not
-	// read it again. By then it has discovered the other gateways, and relays have sent what it missed.
-	// Without this time each start costs two more watches.
+	// delayAfterFirstRead is how long a process does not watch the store after it first read it.
+	// The time is given for relay.ShortestBound. By then the process has discovered the other
+	// gateways, and relays have sent what it missed. Without this time each start costs two more
+	// watches.
 	delayAfterFirstRead = 1200 * time.Millisecond
 	// outageRetryDelay is the delay between two calls to a store that does not respond, if relays exist
 	// that will report when it responds again.
 	outageRetryDelay = 4 * time.Second
 )
 
-// relays are the gateways that keep each other up to date with the store.
-type relays interface {
-	// Relay reports whether this gateway is a relay, which watches the store closely.
+// storeExchange exchanges changes of the store with the other gateways.
+type storeExchange interface {
+	// Relay reports whether this gateway is a relay, which watches the store continuously.
 	Relay(now time.Time) bool
 	// Coverage returns how well relays keep this gateway up to date.
 	Coverage(now time.Time) peers.Coverage
@@ -72,10 +74,10 @@
 	if left := f.firstRead.Add(f.pace.Scale(delayAfterFirstRead)).Sub(now); left > 0 {
 		return left, 0
 	}
-	if f.relays.Relay(now) {
+	if f.exchange.Relay(now) {
 		return 0, f.relayWait(now)
 	}
-	coverage := f.relays.Coverage(now)
+	coverage := f.exchange.Coverage(now)
 	until := coverage.FreshUntil
 	if f.confirmAt.Before(until) {
 		until = f.confirmAt
@@ -85,7 +87,7 @@
 		return until.Sub(now), 0
 	case now.Before(coverage.FreshUntil):
 		f.confirmAt, wait = now.Add(f.confirmDelay()), confirmWatchWait
-	case f.snapshot.unreachable() && coverage.Answering && now.Before(f.retryAt):
+	case f.storeCopy.unreachable() && coverage.Answering && now.Before(f.retryAt):
 		return f.retryAt.Sub(now), 0
 	}
 	f.retryAt = now.Add(jitter(outageRetryDelay))
@@ -107,7 +109,7 @@
 		if at := f.Reached(); at > after {
 			return at
 		}
-		if f.relays.Relay(now) || !f.relays.Coverage(now).Answering {
+		if f.exchange.Relay(now) || !f.exchange.Coverage(now).Answering {
 			return 0
 		}
 		select {
@@ -120,12 +122,14 @@
 }
 
 // relayWait returns how long the watch of a relay may wait for a change. A relay confirms its state
-// every WatchWait of the pace, even if it has waited for further changes since the last confirmation.
+// every WatchWait of the pace. The time since its last confirmation, which it may have spent on
+// batching, is deducted.
 func (f *feed) relayWait(now time.Time) time.Duration {
-	_, confirmed := f.history.Reached()
-	wait := f.pace.WatchWait - max(0, now.Sub(confirmed))
-	if pending, left := f.history.AssurePending(boottime.Now()); pending {
-		// The first watch after a restore that can assure the keys must not wait.
+	_, freshAt := f.history.Reached()
+	wait := f.pace.WatchWait - max(0, now.Sub(freshAt))
+	if pending, left := f.history.ConfirmationPending(boottime.Now()); pending {
+		// The first watch after a restore that can confirm that no API key was revoked must not
+		// wait.
 		wait = min(wait, left)
 	}
 	return max(confirmWatchWait, wait)
@@ -134,9 +138,10 @@
 // confirmWatchWait is the wait of a watch that only checks for changes.
 const confirmWatchWait = time.Millisecond
 
-// confirmDelay returns how long this gateway relies on relays before it reads the store nevertheless.
+// confirmDelay returns how long this gateway relies on relays before it checks the store
+// nevertheless.
 func (f *feed) confirmDelay() time.Duration {
-	return jitter(max(confirmInterval, time.Duration(f.relays.Known())*confirmPerGateway))
+	return jitter(max(confirmInterval, time.Duration(f.exchange.Known())*confirmPerGateway))
 }
 
 // jitter returns a random time from d/2 to 3d/2, so that gateways which started together do not stay
@@ -149,7 +154,7 @@
 	f.mu.Lock()
 	f.confirmAt = now.Add(delay)
 	f.mu.Unlock()
-	f.relays.StoreAnswers(now)
+	f.exchange.StoreAnswers(now)
 }
 
 // noteFirstRead records the time of the first read of the store.
@@ -180,8 +185,8 @@
 }
 
 // Since implements peers.StoreFeed.
-func (f *feed) Since(at store.Revision, reads relay.Reads, now time.Time) []relay.Update {
-	return f.history.Since(at, reads, now)
+func (f *feed) Since(at store.Revision, encodings relay.Encodings, now time.Time) []relay.Update {
+	return f.history.Since(at, encodings, now)
 }
 
 // Receive implements peers.StoreFeed. It rejects updates before the first read of the store, and updates
@@ -193,28 +198,28 @@
 	if at == 0 || u.From > at || u.To.Era() > at.Era() && u.From != at {
 		return false
 	}
-	if err := f.snapshot.resolve(&u); err != nil {
+	if err := f.storeCopy.resolve(&u); err != nil {
 		f.log.Write(decisionlog.KindFailed, "store_change_not_read", decisionlog.F("error", err))
 	}
-	var confirmed time.Time
+	var freshAt time.Time
 	if !u.More {
-		confirmed = time.Now().Add(-u.Age)
+		freshAt = time.Now().Add(-u.Age)
 	}
-	if count := f.applyUpdate(u, confirmed); count > 0 {
+	if count := f.applyUpdate(u, freshAt); count > 0 {
 		f.log.Write(decisionlog.KindState, "store_changes_relayed", decisionlog.F("changes", count), decisionlog.F("at", u.To))
 	}
 	if u.More {
 		f.wake()
 	} else {
-		f.history.Assure(u.Assured)
+		f.history.Confirm(u.Confirmed)
 	}
 	return true
 }
 
-// applyUpdate applies the changes of an update after the revision reached, and skips changes already
-// applied. confirmed is when the store had no later change, zero if it may have had one. The result is
-// the number of changes applied or deferred. The caller holds applyMu.
-func (f *feed) applyUpdate(u relay.Update, confirmed time.Time) int {
+// applyUpdate applies the changes of an update after the revision reached, and skips changes
+// already applied. freshAt is a time at which the store had no later change, zero if none is known.
+// The result is the number of changes applied or deferred. The caller holds applyMu.
+func (f *feed) applyUpdate(u relay.Update, freshAt time.Time) int {
 	at := f.Reached()
 	u.To = max(u.To, at)
 	eraChanged := u.To.Era() > at.Era()
@@ -227,11 +232,11 @@
 	u.Changes = fresh
 	current := f.deferStale(u)
 	if eraChanged {
-		f.history.Restore(u, confirmed, boottime.Now().Add(assureTime))
+		f.history.Restore(u, freshAt, boottime.Now().Add(confirmTime))
 	} else {
-		f.history.Advance(u.To, fresh, confirmed)
+		f.history.Advance(u.To, fresh, freshAt)
 	}
-	f.snapshot.apply(fresh, u.To)
+	f.storeCopy.apply(fresh, u.To)
 	for _, e := range current {
 		f.applyEvent(e, u.To)
 	}
@@ -239,7 +244,7 @@
 		f.storeRestored(at, u, len(fresh)-len(current))
 	}
 	if len(fresh) > 0 {
-		f.relays.SendStoreUpdates(time.Now())
+		f.exchange.SendStoreUpdates(time.Now())
 	}
 	return len(fresh)
 }
--- a/pkg/process/relay_test.go
+++ b/pkg/process/relay_test.go
@@ -21,8 +21,8 @@
 	"github.com/hopwell/hopwell/platform/standin"
 )
 
-// allReads are the features that a gateway of this build decodes.
-var allReads = relay.Reads{Deltas: true, Eras: true}
+// allEncodings are the features that a gateway of this build decodes.
+var allEncodings = relay.Encodings{Deltas: true, Eras: true}
 
 var pace = relay.PaceFor(relay.ShortestBound)
 
@@ -49,7 +49,7 @@
 	f := &fixture{feed: newFeed(ingress.New(ingress.Options{Log: log}), log, nil, "", pace)}
 	f.onOrderLock = func(bool) {}
 	f.onGateway = func(name, _ string) { f.gatewaysSeen = append(f.gatewaysSeen, name) }
-	f.relays, f.onRunnerRestart, f.onRestore = f, func(string) {}, func() { f.restores++ }
+	f.exchange, f.onRunnerRestart, f.onRestore = f, func(string) {}, func() { f.restores++ }
 	if err := f.reset(items, at); err != nil {
 		panic(err)
 	}
@@ -148,7 +148,7 @@
 		{Item: store.Item{Key: orderKey, Value: []byte("g"), Revision: 14}},
 	}, 15)
 	var keys []string
-	for _, c := range f.Since(10, allReads, time.Now())[0].Changes {
+	for _, c := range f.Since(10, allEncodings, time.Now())[0].Changes {
 		keys = append(keys, c.Key)
 	}
 	g.Expect(keys).To(Equal([]string{standin.RunnerKey("e1"), gatewayPrefix + "g", orderKey}))
@@ -213,7 +213,7 @@
 		g.Expect(f.timeToNextWatch(t)).To(Equal(pace.StaleAfter), "both relays have stopped, are paused or unreachable")
 		f.coverage.FreshUntil = time.Now().Add(time.Hour)
 		f.timeToNextWatch(t)
-		g.Expect(f.timeToNextWatch(t)).To(And(BeNumerically(">=", confirmInterval/2), BeNumerically("<=", 2*confirmInterval)), "also if the previous call failed")
+		g.Expect(f.timeToNextWatch(t)).To(And(BeNumerically(">=", confirmInterval/2), BeNumerically("<=", 2*confirmInterval)), "although no call succeeded meanwhile")
 		f.isRelay = true
 		g.Expect(f.timeToNextWatch(t)).To(BeZero(), "a relay watches the store")
 	})
@@ -247,7 +247,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newFixture(t, 10)
-		f.snapshot.setReachable(false)
+		f.storeCopy.setReachable(false)
 		time.Sleep(delayAfterFirstRead)
 		f.coverage = peers.Coverage{FreshUntil: time.Now().Add(-time.Second), Answering: true}
 		g.Expect(f.timeToNextWatch(t)).To(BeZero())
@@ -265,7 +265,7 @@
 	forwardedBefore := f.forwarded
 	g.Expect(f.reset([]store.Item{entry("e1", "decode", 15), entry("e2", "decode", 6), entry("e4", "prefill", 14), entry("e5", "decode", 21)}, 20)).To(Succeed())
 	g.Expect(f.forwarded).To(Equal(forwardedBefore + 1))
-	updates := f.Since(11, allReads, time.Now())
+	updates := f.Since(11, allEncodings, time.Now())
 	g.Expect(updates).To(HaveLen(1))
 	g.Expect(updates[0].More).To(BeFalse(), "a subscriber need not read the store")
 	g.Expect(updates[0].To).To(Equal(store.Revision(20)))
@@ -318,7 +318,7 @@
 	first := largeConfig(1, 5)
 	relay, f, mismatched := newFixture(t, 10, first), newFixture(t, 10, first), newFixture(t, 10, largeConfig(1, 6))
 	relay.apply([]store.Event{{Item: largeConfig(2, 12)}, {Item: entry("e1", "decode", 13)}}, 13)
-	updates := relay.Since(10, allReads, time.Now())
+	updates := relay.Since(10, allEncodings, time.Now())
 	g.Expect(updates).To(HaveLen(1))
 	g.Expect(updates[0].Bytes()).To(BeNumerically("<", 2000))
 	g.Expect(f.Receive(updates[0])).To(BeTrue())
@@ -326,14 +326,14 @@
 	g.Expect(f.stage("e1")).To(Equal(runners.Decode))
 	g.Expect(f.Receive(updates[0])).To(BeTrue(), "the other relay sends the same update")
 	g.Expect(f.ingress.Version()).To(Equal(uint64(2)))
-	state, _ := f.snapshot.export(time.Now())
+	state, _ := f.storeCopy.export(time.Now())
 	for _, i := range state.Items {
 		if i.Key == platform.ConfigKey {
 			g.Expect(i.Value).To(Equal(largeConfig(2, 12).Value))
 		}
 	}
 
-	other := relay.Since(10, allReads, time.Now())
+	other := relay.Since(10, allEncodings, time.Now())
 	other[0].Deltas[0].Bytes = append([]byte{2}, other[0].Deltas[0].Bytes...)
 	mismatched.Receive(other[0])
 	g.Expect(mismatched.ingress.Version()).To(Equal(uint64(1)), "a delta that can't be applied is left out")
--- a/pkg/process/restored.go
+++ b/pkg/process/restored.go
@@ -15,14 +15,15 @@
 )
 
 const (
-	// rewriteTime bounds how long operators and runners take to rewrite what the store lost in a restore.
-	// Until then the previous state is used.
+	// rewriteTime bounds how long runners and the operators' controllers take to rewrite what the
+	// store lost in a restore. Until then the previous state is used.
 	rewriteTime = 2 * time.Second
-	// assureTime bounds how long operators take to rewrite a lost configuration. Keys are not assured before.
-	assureTime = time.Second
+	// confirmTime bounds how long the operators' controllers take to rewrite a lost configuration.
+	// Until then API keys are not confirmed as unrevoked.
+	confirmTime = time.Second
 	// lapseTime bounds how long the store lists a runner that has ended: three heartbeats and a margin.
 	lapseTime = 4 * time.Second
-	// maxLoss bounds the age of the copy that the store is restored from.
+	// maxLoss bounds the age of the backup that the store is restored from.
 	maxLoss = time.Minute
 	// deferredCheckInterval is the interval at which deferred changes are checked.
 	deferredCheckInterval = 100 * time.Millisecond
@@ -66,7 +67,7 @@
 		return dropped // The store lost the quarantine before it ended; the gateways write it again.
 	}
 	if strings.HasPrefix(e.Key, changePrefix) {
-		return dropped // Gateways report stage changes to each other; the engine's entry ends them.
+		return dropped // Gateways report stage changes to each other; a change ends when the engine's entry has the new stage.
 	}
 	if domain, ok := platform.EvacuatedDomain(e.Key); ok {
 		if e.Gone || f.ingress.Directory.RestoredSince(domain, time.Now().Add(-maxLoss)) {
@@ -95,7 +96,7 @@
 	if shown.Born < current.Born || shown.Born == current.Born && current.Gone() {
 		return lapseTime
 	}
-	have, known := f.snapshot.get(e.Key)
+	have, known := f.storeCopy.get(e.Key)
 	if !known {
 		return 0
 	}
@@ -105,16 +106,17 @@
 	return 0
 }
 
-// storeRestored records that the store was restored from an older copy. It restarts the delay of changes
-// that were deferred by an earlier restore. The caller holds applyMu.
-func (f *feed) storeRestored(before store.Revision, u relay.Update, deferred int) {
+// storeRestored records that the store was restored from an older backup. withheld is the number of
+// changes that were deferred or dropped. storeRestored restarts the delay of changes that were
+// deferred by an earlier restore. The caller holds applyMu.
+func (f *feed) storeRestored(before store.Revision, u relay.Update, withheld int) {
 	storeRestores.Inc()
 	now := time.Now()
 	for key, d := range f.deferred {
 		f.deferred[key] = deferredChange{change: d.change, read: now, due: now.Add(d.due.Sub(d.read))}
 	}
 	f.log.Write(decisionlog.KindState, "store_restored", decisionlog.F("before", before), decisionlog.F("at", u.To),
-		decisionlog.F("changes", len(u.Changes)), decisionlog.F("deferred", deferred))
+		decisionlog.F("changes", len(u.Changes)), decisionlog.F("deferred", withheld))
 	f.onRestore()
 }
 
@@ -150,18 +152,18 @@
 	}
 }
 
-// newerConfig returns the configuration in force if the snapshot holds an older one, as after a restore, and
-// nil otherwise.
+// newerConfig returns the configuration in force if the copy of the store does not hold it, as
+// after a restore, and nil otherwise.
 func (f *feed) newerConfig() *store.Item {
 	used := f.inForce.Load()
-	if have, known := f.snapshot.get(platform.ConfigKey); used == nil || known && bytes.Equal(have.Value, used.Value) {
+	if have, known := f.storeCopy.get(platform.ConfigKey); used == nil || known && bytes.Equal(have.Value, used.Value) {
 		return nil
 	}
 	return used
 }
 
-// mayBeStale reports whether the first read of this process may have shown an older copy, because the
-// store was restored shortly before.
+// mayBeStale reports whether the first read of this process may have shown older state, because the
+// store was restored shortly before, or whether there was no read yet.
 func (f *feed) mayBeStale(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/pkg/process/restored_test.go
+++ b/pkg/process/restored_test.go
@@ -43,15 +43,15 @@
 	return i
 }
 
-// Guards against a gateway that never receives what the restored store holds under reused revisions, as four
-// of five did in the incident: a relay read at revision 40 and sent only the changes after its previous 39.
+// Guards against a gateway that never receives what the restored store holds under reused
+// revisions: a relay read at revision 40 and sent only the changes after its previous 39.
 func TestWritesUnderReusedRevisionsAreForwarded(t *testing.T) {
 	g := NewWithT(t)
 	first := []store.Item{written("e1", "decode", "ready", 0, 1, 20), written("e2", "prefill", "ready", 0, 1, 21), {Key: orderKey, Value: []byte("g"), Revision: 38}}
 	relay, f := newFixture(t, 39, first...), newFixture(t, 39, first...)
 	items := []store.Item{written("e1", "decode", "draining", 0, 9, inEra(1, 39)), written("e2", "decode", "ready", 0, 9, inEra(1, 38))}
 	g.Expect(relay.reset(items, inEra(1, 40))).To(Succeed())
-	for _, u := range relay.Since(39, allReads, time.Now()) {
+	for _, u := range relay.Since(39, allEncodings, time.Now()) {
 		g.Expect(f.Receive(u)).To(BeTrue())
 	}
 	for name, got := range map[string]*fixture{"the relay": relay, "a gateway": f} {
@@ -69,11 +69,11 @@
 	g := NewWithT(t)
 	relay, f := newFixture(t, 36, entry("e1", "decode", 20)), newFixture(t, 39, entry("e1", "decode", 20), entry("e2", "decode", 38))
 	g.Expect(relay.reset([]store.Item{entry("e1", "decode", inEra(1, 20))}, inEra(1, 36))).To(Succeed())
-	for _, u := range relay.Since(36, allReads, time.Now()) {
+	for _, u := range relay.Since(36, allEncodings, time.Now()) {
 		g.Expect(f.Receive(u)).To(BeFalse())
 	}
 	g.Expect(f.Reached()).To(Equal(store.Revision(39)))
-	g.Expect(relay.Since(39, allReads, time.Now())[0].More).To(BeTrue())
+	g.Expect(relay.Since(39, allEncodings, time.Now())[0].More).To(BeTrue())
 }
 
 // Guards against a relay that still follows an earlier era and confirms state of the current one.
@@ -144,7 +144,7 @@
 		g.Expect(f.present("e2")).To(BeTrue())
 		time.Sleep(rewriteTime)
 		f.applyDeferred(time.Now())
-		g.Expect(len(f.ingress.Directory.Usable("llm", runners.Decode, time.Now()))).To(Equal(1), "without another grace period")
+		g.Expect(len(f.ingress.Directory.Usable("llm", runners.Decode, time.Now()))).To(Equal(1), "e2 is not kept for a further grace period")
 		g.Expect(f.ingress.Directory.Evacuated()).To(BeEmpty())
 	})
 }
--- a/pkg/process/stager.go
+++ b/pkg/process/stager.go
@@ -28,13 +28,15 @@
 	stagerInterval = 300 * time.Millisecond
 	// orderCallTimeout bounds one call of the stager.
 	orderCallTimeout = time.Second
-	// settleTime is how long the set of engines must have been unchanged before their stages are
-	// planned for the first time.
+	// settleTime is how long the number of engines must have been unchanged before their stages are
+	// planned.
 	settleTime = 500 * time.Millisecond
-	// discoveryTime is how long a process waits to discover other gateways before it may rank first.
+	// discoveryTime is how long a process waits to discover other gateways before it may acquire
+	// the lock.
 	discoveryTime = 600 * time.Millisecond
-	// rankDelay is how much later the process of each further rank (by name) tries: by then the process
-	// before has acquired the lock, and all gateways have learned of that.
+	// rankDelay is the extra delay per rank (by name) before a process tries to acquire the lock.
+	// By then the process of the rank before has acquired it, and all gateways have received that
+	// change.
 	rankDelay = 2 * stagerInterval
 	// renewalsPerLease is how often the order lock is renewed within its lease.
 	renewalsPerLease = 3
@@ -54,9 +56,9 @@
 	lockRetryDelay = 4 * time.Second
 )
 
-// stager assigns the engines' stages. Only the process that holds the order lock in the store sends
-// orders, and only after the lease of an earlier holder would have expired, so that a paused holder
-// can't send orders at the same time.
+// stager assigns the engines' stages; an engine is a runner with a stage, prefill or decode. Only
+// the process that holds the order lock in the store sends orders, and only after the lease of an
+// earlier holder would have expired, so that a paused holder can't send orders at the same time.
 type stager struct {
 	ingress *ingress.Ingress
 	calls   *platform.Runners
@@ -77,6 +79,9 @@
 	// recorded are the changes that this process recorded, including finished ones.
 	recorded []staging.Change
 
+	// engineCount has been the number of engines since stableSince. mismatchSince is since when planned
+	// changes exist, zero if there are none. orderedAt is when the last orders were sent, retryAt the
+	// time before which the lock is not tried again.
 	startedAt     time.Time
 	renewedAt     time.Time
 	engineCount   int
@@ -183,7 +188,7 @@
 	return !s.mismatchSince.IsZero() && now.Sub(s.mismatchSince) > s.restageTime()+s.wait+turn
 }
 
-// urgent reports whether a stage has no engine.
+// urgent reports whether any of the changes is for a stage without engines.
 func urgent(changes []staging.Change) bool {
 	return slices.ContainsFunc(changes, func(c staging.Change) bool { return c.Urgent })
 }
@@ -224,8 +229,8 @@
 	return run + s.restageTime()
 }
 
-// plan returns the stage changes of all services with engines: exact ones while the engines are idle,
-// otherwise those beyond small differences.
+// plan returns the stage changes of all services with engines. While the engines are idle it plans
+// a change for every difference, otherwise only for large differences.
 func (s *stager) plan(now time.Time) []staging.Change {
 	table := s.ingress.Table()
 	if table == nil || !s.settled(table.Config.Services, now) {
@@ -288,7 +293,7 @@
 	return status.Reserved == 0 && status.Reading == 0 && status.Waiting == 0
 }
 
-// settled reports whether the set of engines has been unchanged for settleTime.
+// settled reports whether the number of engines has been unchanged for settleTime.
 func (s *stager) settled(services map[string]routetable.Service, now time.Time) bool {
 	n := 0
 	for name, service := range services {
@@ -302,7 +307,7 @@
 	return n > 0 && now.Sub(s.stableSince) >= settleTime
 }
 
-// acquire tries to acquire the order lock.
+// acquire tries to acquire the order lock, which the log names order_right.
 func (s *stager) acquire(ctx context.Context, now time.Time) {
 	call, cancel := context.WithTimeout(ctx, orderCallTimeout)
 	defer cancel()
--- a/pkg/process/state.go
+++ b/pkg/process/state.go
@@ -20,17 +20,18 @@
 )
 
 const (
-	// statePath is where a gateway serves its snapshot of the store. The query contains paramEras if
-	// the client decodes revisions with an era. Older builds don't; with such a revision they could
-	// never read the store again.
+	// statePath is where a gateway serves its copy of the store. The query contains paramEras if
+	// the client decodes revisions with an era. Older builds don't decode the era. If they loaded
+	// such a revision, they would reject every later read of the store.
 	statePath = "/state"
 	paramEras = "eras"
 	// stateReadTimeout bounds the time without data while a state is received, stateRetryInterval is
 	// the time between two rounds of requests.
 	stateReadTimeout   = 300 * time.Millisecond
 	stateRetryInterval = 200 * time.Millisecond
-	// maxPeersAsked is how many gateways are asked per round, besides the seeds: if all gateways start
-	// at once, none has a state, and each would ask all others.
+	// maxPeersAsked is how many gateways are asked per round, besides the gateways that the
+	// settings name (seeds): if all gateways start at once, none has a state, and each would ask
+	// all others.
 	maxPeersAsked = 4
 	// maxStateTransfers is how many gateways may receive the state at a time: more would share this
 	// gateway's link with its clients.
@@ -40,28 +41,30 @@
 	stateWriteTimeout = 3 * time.Second
 	// maxStateBytes bounds a state: some thousand runners and routes.
 	maxStateBytes = 8 << 20
-	// maxStateAge is the maximum age of a state: about the longest outage after which a gateway's
-	// runners are more likely removed than not, if 100 of 730 are replaced a day.
+	// maxStateAge is the maximum age of a state. If 100 of 730 runners are replaced a day, some 0.7
+	// of them are replaced in this time: it is then about as likely as not that a runner of the
+	// state was removed.
 	maxStateAge = 10 * time.Minute
 )
 
-// sharedState is a gateway's snapshot of the store, for gateways that start while the store does not
+// sharedState is a gateway's copy of the store, for gateways that start while the store does not
 // respond.
 type sharedState struct {
-	// At is the store revision of the items, AgeMs how many milliseconds ago the store last responded.
+	// At is the store revision of the items, AgeMs how long the store has not responded, in
+	// milliseconds, 0 while it does.
 	At    store.Revision `json:"at"`
 	AgeMs int64          `json:"age_ms"`
 	Items []store.Item   `json:"items"`
-	// Config is the configuration in force if the items hold an older one, as after a restore of the
+	// Config is the configuration in force if the items do not hold it, as after a restore of the
 	// store, and nil otherwise.
 	Config *store.Item `json:"config,omitempty"`
 	// Leaving are the incarnations of runners that announced their departure in responses.
 	Leaving []string `json:"leaving,omitempty"`
-	// AssuredUs is the time since the last moment at which the store certainly held nothing else, in
-	// microseconds when this was sent; 0 if that moment is unknown.
+	// AssuredUs is how many microseconds before the time of sending the store certainly had no
+	// change after At; 0 if unknown.
 	AssuredUs int64 `json:"assured_us,omitempty"`
-	// assured is the same moment on the receiver's clock.
-	assured time.Time
+	// confirmed is that time by the receiver's clock.
+	confirmed time.Time
 }
 
 // ErrState reports that a gateway's state can't be used.
@@ -79,22 +82,22 @@
 // Unwrap returns the cause.
 func (e *ErrState) Unwrap() error { return e.Err }
 
-// serveState serves this gateway's snapshot of the store, to maxStateTransfers gateways at a time.
+// serveState serves this gateway's copy of the store, to maxStateTransfers gateways at a time.
 func (p *Ingress) serveState(w http.ResponseWriter, r *http.Request) {
 	defer p.stateTransfers.Add(-1)
-	if p.stateTransfers.Add(1) > maxStateTransfers || !p.feed.snapshot.loaded() {
+	if p.stateTransfers.Add(1) > maxStateTransfers || !p.feed.storeCopy.loaded() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	s, _ := p.feed.snapshot.export(time.Now())
+	s, _ := p.feed.storeCopy.export(time.Now())
 	if s.At.Era() > 0 && !r.URL.Query().Has(paramEras) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	s.Config = p.feed.newerConfig()
 	s.Leaving = p.Ingress.Directory.Notices.Leaving(maxStateAge, time.Now())
-	if assured := p.feed.history.Assured(); !assured.IsZero() {
-		s.AssuredUs = boottime.Since(assured).Microseconds() + 1
+	if confirmed := p.feed.history.Confirmed(); !confirmed.IsZero() {
+		s.AssuredUs = boottime.Since(confirmed).Microseconds() + 1
 	}
 	if err := writeState(httpd.NewStallWriter(w, stateWriteTimeout), r, s); err != nil {
 		p.log.Write(decisionlog.KindProcess, "state_not_sent", decisionlog.F("error", err))
@@ -119,10 +122,10 @@
 	return z.Close()
 }
 
-// learnFromPeers fetches the state of other gateways while the store does not respond and the snapshot
-// is empty. A later read of the store replaces it. If the store may have been restored shortly before,
-// it fetches the configuration from gateways that have a newer one.
-func (p *Ingress) learnFromPeers(ctx context.Context) {
+// fetchFromPeers fetches the state of other gateways while the store does not respond and the copy
+// is empty. A later read of the store replaces it. If the store may have been restored shortly
+// before, it fetches the configuration from gateways that have a newer one.
+func (p *Ingress) fetchFromPeers(ctx context.Context) {
 	client := stateClient()
 	tick := time.NewTicker(stateRetryInterval)
 	defer tick.Stop()
@@ -133,7 +136,7 @@
 		case now := <-tick.C:
 			switch {
 			case p.Ingress.Table() == nil:
-				if p.feed.snapshot.emptyAndUnreachable() {
+				if p.feed.storeCopy.emptyAndUnreachable() {
 					p.fetchStateFromPeers(ctx, client)
 				}
 			case !p.feed.mayBeStale(now):
@@ -162,7 +165,7 @@
 // stateClient returns the HTTP client for requests to other gateways.
 func stateClient() *http.Client { return &http.Client{} }
 
-// fetchStateFromPeers loads the state of the first gateway that has one. It asks those with the
+// fetchStateFromPeers fetches the state of the first gateway that has one. It asks those with the
 // newest configuration, some others, and the seeds.
 func (p *Ingress) fetchStateFromPeers(ctx context.Context, client *http.Client) {
 	for _, address := range append(sample(p.peers.Addresses(), maxPeersAsked), p.seeds()...) {
@@ -221,7 +224,7 @@
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		return s, &ErrState{Address: address, Why: "it has no state: " + res.Status}
+		return s, &ErrState{Address: address, Why: "it sent no state:  " + res.Status}
 	}
 	if err := json.NewDecoder(io.LimitReader(progress.Reader(ctx, res.Body), maxStateBytes)).Decode(&s); err != nil {
 		return s, &ErrState{Address: address, Why: "not readable", Err: err}
@@ -230,7 +233,7 @@
 		return s, &ErrState{Address: address, Why: "too old: " + age.String()}
 	}
 	if s.AssuredUs > 0 {
-		s.assured = sentAt.Add(-time.Duration(s.AssuredUs) * time.Microsecond)
+		s.confirmed = sentAt.Add(-time.Duration(s.AssuredUs) * time.Microsecond)
 	}
 	return s, nil
 }
--- a/pkg/process/state_test.go
+++ b/pkg/process/state_test.go
@@ -98,8 +98,8 @@
 		p.serveState(w, httptest.NewRequest(http.MethodGet, statePath, nil))
 		return w.Code
 	}
-	g.Expect(ask()).To(Equal(http.StatusServiceUnavailable), "the snapshot is empty")
-	p.feed.snapshot.replace([]store.Item{{Key: platform.ConfigKey, Revision: 1}}, 1)
+	g.Expect(ask()).To(Equal(http.StatusServiceUnavailable), "the copy of the store is empty")
+	p.feed.storeCopy.replace([]store.Item{{Key: platform.ConfigKey, Revision: 1}}, 1)
 	p.stateTransfers.Store(maxStateTransfers - 1)
 	g.Expect(ask()).To(Equal(http.StatusOK))
 	p.stateTransfers.Store(maxStateTransfers)
@@ -112,7 +112,7 @@
 func TestStateListsLeavingRunners(t *testing.T) {
 	g := NewWithT(t)
 	p := &Ingress{feed: &feed{}, log: decisionlog.New("a", io.Discard), Ingress: ingress.New(ingress.Options{Name: "a"})}
-	p.feed.snapshot.replace([]store.Item{{Key: platform.ConfigKey, Revision: 1}}, 1)
+	p.feed.storeCopy.replace([]store.Item{{Key: platform.ConfigKey, Revision: 1}}, 1)
 	p.Ingress.Directory.Notices.Observe("r@1", notice.Notice{Leaving: true}, time.Now())
 	server := httptest.NewServer(http.HandlerFunc(p.serveState))
 	defer server.Close()
--- a/pkg/process/stop.go
+++ b/pkg/process/stop.go
@@ -24,7 +24,7 @@
 	longest := settings.Longest.D() - stopMargin
 	p.Ingress.StartDrain(wait, longest)
 	end := began.Add(longest)
-	// Requests on kept-alive connections are refused for a while after the last request was accepted.
+	// Requests on kept-alive connections are refused for refusalTime after the last stream ended.
 	refusedSince := began.Add(wait)
 	for now := began; now.Before(end); now = time.Now() {
 		if p.Ingress.Streams() > 0 && now.After(refusedSince) {
--- a/pkg/relay/history.go
+++ b/pkg/relay/history.go
@@ -26,46 +26,48 @@
 	// base and reached bound the history: changes holds the last change of each key after base up to
 	// reached, ordered by revision.
 	base, reached store.Revision
-	// confirmed is the latest time at which the store reported no change after reached.
-	confirmed time.Time
-	// assured is a time at which the store certainly had no change after reached, see Assure. Times
-	// before assureFrom are rejected: a restored store may lack acknowledged changes.
-	assured, assureFrom time.Time
+	// freshAt is the latest time at which the store reported no change after reached. It is a time
+	// of time.Now: the arrival of a response of the store, or that of an update minus its Age.
+	freshAt time.Time
+	// confirmed is a time at which the store certainly had no change after reached, see Assure. Times
+	// before confirmFrom are rejected: a restored store may lack acknowledged changes.
+	confirmed, confirmFrom time.Time
 	// restored is the value of Update.Restored.
 	restored store.Revision
 	changes  []store.Event
 	bytes    int
 	// newest maps each key to the revision of its retained change, so that changes need not be
-	// scanned: thousands of runners write their entries, most for the first time in a while.
+	// scanned for an earlier change of the key. Thousands of runners write their entries, and most
+	// changes are of keys without a retained change.
 	newest map[string]store.Revision
 	// large holds the newest large values by key.
 	large map[string]*largeItem
 }
 
-// Restart discards the history and starts at a revision, after a full reading of the store.
-func (h *History) Restart(at store.Revision, confirmed time.Time) {
+// Restart discards the history and starts at a revision, after a full read of the store.
+func (h *History) Restart(at store.Revision, freshAt time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.base, h.reached, h.restored, h.confirmed, h.changes, h.bytes = at, at, 0, confirmed, nil, 0
+	h.base, h.reached, h.restored, h.freshAt, h.changes, h.bytes = at, at, 0, freshAt, nil, 0
 	h.newest, h.large = map[string]store.Revision{}, map[string]*largeItem{}
 }
 
-// Advance adds the changes after the revision reached, in their order, up to the revision to.
-// confirmed is when the store had no change after to, zero if it may have had one.
-func (h *History) Advance(to store.Revision, changes []store.Event, confirmed time.Time) {
+// Advance adds the changes after the revision reached, in their order, up to the given revision.
+// freshAt is a time at which the store had no change after that revision, zero if none is known.
+func (h *History) Advance(to store.Revision, changes []store.Event, freshAt time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.advance(to, changes, confirmed)
+	h.advance(to, changes, freshAt)
 }
 
 // advance implements Advance. The caller holds the lock.
-func (h *History) advance(to store.Revision, changes []store.Event, confirmed time.Time) {
+func (h *History) advance(to store.Revision, changes []store.Event, freshAt time.Time) {
 	if to < h.reached {
 		return
 	}
 	h.reached = to
-	if confirmed.After(h.confirmed) {
-		h.confirmed = confirmed
+	if freshAt.After(h.freshAt) {
+		h.freshAt = freshAt
 	}
 	for _, c := range changes {
 		h.replace(c)
@@ -74,40 +76,40 @@
 }
 
 // Restore adds an update that leads to a later era. Subscribers at the revision reached before it
-// can resume from here, all others need a full reading of the store. Times before assureFrom are no longer
-// accepted by Assure.
-func (h *History) Restore(u Update, confirmed, assureFrom time.Time) {
+// can resume from here, all others need a full read of the store. Times before confirmFrom are no
+// longer accepted by Confirm.
+func (h *History) Restore(u Update, freshAt, confirmFrom time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.base, h.changes, h.bytes, h.newest = h.reached, nil, 0, map[string]store.Revision{}
-	h.restored, h.assureFrom = u.Restored, assureFrom
-	h.advance(u.To, u.Changes, confirmed)
+	h.restored, h.confirmFrom = u.Restored, confirmFrom
+	h.advance(u.To, u.Changes, freshAt)
 }
 
-// Assure records that all changes that the store had at the time asked are known. That is when the
-// request was sent to the store or a relay, not when the response arrived, so it holds however long
-// the response or this process was delayed.
-func (h *History) Assure(asked time.Time) {
+// Confirm records that the history has all changes that the store had at the time `asked`. This is
+// when the request was sent to the store or a relay, not when the response arrived, so it holds
+// however long the response or this process was delayed.
+func (h *History) Confirm(asked time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !asked.Before(h.assureFrom) {
-		h.assured = later(h.assured, asked)
+	if !asked.Before(h.confirmFrom) {
+		h.confirmed = later(h.confirmed, asked)
 	}
 }
 
-// AssurePending reports whether no time has been assured since a restore, and how long it takes until
-// one can be.
-func (h *History) AssurePending(now time.Time) (pending bool, left time.Duration) {
+// ConfirmationPending reports whether no time has been confirmed since a restore, and how long it
+// takes until one can be.
+func (h *History) ConfirmationPending(now time.Time) (pending bool, left time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.assured.Before(h.assureFrom), max(0, h.assureFrom.Sub(now))
+	return h.confirmed.Before(h.confirmFrom), max(0, h.confirmFrom.Sub(now))
 }
 
-// Assured returns the latest assured time, zero for none.
-func (h *History) Assured() time.Time {
+// Confirmed returns the latest confirmed time, zero for none.
+func (h *History) Confirmed() time.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.assured
+	return h.confirmed
 }
 
 // replace adds a change and removes an earlier change of the same key.
@@ -147,23 +149,24 @@
 func (h *History) Reached() (store.Revision, time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.reached, h.confirmed
+	return h.reached, h.freshAt
 }
 
 // Since returns the updates, at least one, that bring a gateway from a revision to the one reached.
-// Each fits a datagram. Large values are sent as deltas if reads.Deltas is set.
-func (h *History) Since(at store.Revision, reads Reads, now time.Time) []Update {
+// Each fits a datagram; a change that is too large is left out with all later ones, and More is
+// set. Large values are sent as deltas if encodings.Deltas is set.
+func (h *History) Since(at store.Revision, encodings Encodings, now time.Time) []Update {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	age := max(0, now.Sub(h.confirmed))
-	if !h.canResume(at, reads) {
+	age := max(0, now.Sub(h.freshAt))
+	if !h.canResume(at, encodings) {
 		return []Update{{From: at, To: at, Age: age, More: true}}
 	}
 	out := []Update{{From: min(at, h.reached), Age: age, Restored: h.restoredAfter(at)}}
 	bytes := 0
 	for i := h.firstAfter(at); i < len(h.changes); {
 		next := h.revisionEnd(i)
-		part := h.encodeFor(h.changes[i:next], at, reads.Deltas)
+		part := h.encodeFor(h.changes[i:next], at, encodings.Deltas)
 		n := part.Bytes()
 		if n > maxUpdateBytes {
 			last := &out[len(out)-1]
@@ -180,15 +183,15 @@
 		last.Changes, last.Deltas = append(last.Changes, part.Changes...), append(last.Deltas, part.Deltas...)
 		i = next
 	}
-	out[len(out)-1].To, out[len(out)-1].Assured = h.reached, h.assured
+	out[len(out)-1].To, out[len(out)-1].Confirmed = h.reached, h.confirmed
 	return out
 }
 
 // canResume reports whether the history holds all changes after a revision. A revision of an
 // earlier era qualifies only if it is the last one reached before the restore. The caller holds the
 // lock.
-func (h *History) canResume(at store.Revision, reads Reads) bool {
-	if h.reached.Era() > 0 && !reads.Eras {
+func (h *History) canResume(at store.Revision, encodings Encodings) bool {
+	if h.reached.Era() > 0 && !encodings.Eras {
 		return false
 	}
 	return at == h.base || at > h.base && at.Era() >= h.reached.Era()
--- a/pkg/relay/history_test.go
+++ b/pkg/relay/history_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"fmt"
-
 	"maps"
 	"testing"
 	"time"
@@ -17,7 +16,7 @@
 )
 
 // allEncodings are those that a gateway of this build decodes.
-var allEncodings = Reads{Deltas: true, Eras: true}
+var allEncodings = Encodings{Deltas: true, Eras: true}
 
 func change(key string, revision store.Revision, size int) store.Event {
 	return store.Event{Item: store.Item{Key: key, Revision: revision, Value: make([]byte, size)}}
@@ -33,7 +32,7 @@
 	g.Expect(h.Since(12, allEncodings, now)).To(Equal([]Update{{From: 12, To: 14, Age: 300 * time.Millisecond, Changes: h.changes[1:]}}))
 	g.Expect(h.Since(14, allEncodings, now)).To(Equal([]Update{{From: 14, To: 14, Age: 300 * time.Millisecond}}))
 	g.Expect(h.Since(20, allEncodings, now)).To(Equal([]Update{{From: 14, To: 14, Age: 300 * time.Millisecond}}), "a gateway ahead of the history")
-	g.Expect(h.Since(9, allEncodings, now)[0].More).To(BeTrue(), "changes before the full reading are not known")
+	g.Expect(h.Since(9, allEncodings, now)[0].More).To(BeTrue(), "changes before the full read are not known")
 }
 
 func TestSinceOmitsChangesLargerThanDatagram(t *testing.T) {
@@ -50,8 +49,7 @@
 }
 
 // Guards against lost, repeated or reordered updates that leave a gateway without the last change
-// of a key, although it was not told to read the store. Only the last update may confirm a
-// revision.
+// of a key, although no update had More set. Only the last update may confirm a revision.
 func TestLossyUpdatesConverge(t *testing.T) {
 	spectest.Check(t, func(t *rapid.T) {
 		now := time.Now()
@@ -99,7 +97,7 @@
 }
 
 // Guards against sending each of many rapid large configurations to a gateway that lags, and
-// against confirming a revision before the gateway has the newest one.
+// against confirming a revision before the gateway has the newest configuration.
 func TestSinceSendsOnlyLatestChangeOfKey(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
@@ -147,7 +145,7 @@
 	now := time.Now()
 	var h History
 	h.Restart(10, now)
-	h.Known([]store.Item{{Key: "op/config", Value: document(1), Revision: 8}})
+	h.RecordItems([]store.Item{{Key: "op/config", Value: document(1), Revision: 8}})
 	put := func(version int, revision store.Revision) {
 		h.Advance(revision, []store.Event{{Item: store.Item{Key: "op/config", Value: document(version), Revision: revision}}}, now)
 	}
@@ -163,7 +161,7 @@
 	g.Expect(got[0].Bytes()).To(BeNumerically("<", 1000))
 	g.Expect(delta.Apply(document(1), got[0].Deltas[0].Bytes)).To(Equal(document(2)))
 
-	g.Expect(h.Since(10, Reads{}, now)[0].More).To(BeTrue(), "a gateway that decodes no deltas reads the store")
+	g.Expect(h.Since(10, Encodings{}, now)[0].More).To(BeTrue(), "a gateway that decodes no deltas reads the store")
 	put(3, 15)
 	g.Expect(h.Since(12, allEncodings, now)[0].Deltas[0].Base).To(Equal(store.Revision(12)))
 	g.Expect(h.Since(10, allEncodings, now)[0].More).To(BeTrue(), "a gateway that lacks the previous value reads the store")
@@ -200,21 +198,21 @@
 	for _, other := range []store.Revision{34, 35, 37, 39} {
 		g.Expect(h.Since(other, allEncodings, now)).To(Equal([]Update{{From: other, To: other, Age: 0, More: true}}), "at %s", other)
 	}
-	g.Expect(h.Since(36, Reads{Deltas: true}, now)[0].More).To(BeTrue(), "a build that decodes no eras")
+	g.Expect(h.Since(36, Encodings{Deltas: true}, now)[0].More).To(BeTrue(), "a build that decodes no eras")
 	g.Expect(h.Since(inEra(1, 31), allEncodings, now)[0].Changes).To(BeEmpty(), "a gateway that has read the restored store itself")
 
 	h.Advance(inEra(1, 34), []store.Event{change("b", inEra(1, 34), 1)}, now)
 	g.Expect(h.Since(36, allEncodings, now)[0].Changes).To(HaveLen(3))
 	later := h.Since(inEra(1, 32), allEncodings, now)[0]
 	g.Expect(later.Changes).To(HaveLen(1))
-	g.Expect(later.Restored).To(BeZero(), "the change is not part of the restored reading")
+	g.Expect(later.Restored).To(BeZero(), "the change is not part of the full read after the restore")
 
 	h.Restore(Update{To: inEra(2, 33), Restored: inEra(2, 33)}, now, now)
 	g.Expect(h.Since(36, allEncodings, now)[0].More).To(BeTrue(), "two eras before")
 	g.Expect(h.Since(inEra(1, 34), allEncodings, now)[0].To).To(Equal(inEra(2, 33)))
 }
 
-// Guards against an update that ends before the first revision of an era.
+// Guards against an update whose end is the last revision number of the era before.
 func TestOversizedRestoreIsReadFromStore(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
@@ -228,16 +226,16 @@
 	g.Expect(h.Since(30, allEncodings, now)).To(Equal([]Update{{From: 30, To: 30, More: true, Restored: inEra(1, 9)}}))
 }
 
-// Guards against relying on keys whose removal the restored store may have lost.
-func TestRestoreDelaysAssurance(t *testing.T) {
+// Guards against accepting API keys whose revocation the restored store may have lost.
+func TestRestoreDelaysConfirmation(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	var h History
 	h.Restart(30, now)
-	h.Assure(now)
+	h.Confirm(now)
 	h.Restore(Update{To: inEra(1, 9)}, now, now.Add(2*time.Second))
-	h.Assure(now.Add(time.Second))
-	g.Expect(h.Assured()).To(Equal(now))
-	h.Assure(now.Add(2 * time.Second))
-	g.Expect(h.Assured()).To(Equal(now.Add(2 * time.Second)))
+	h.Confirm(now.Add(time.Second))
+	g.Expect(h.Confirmed()).To(Equal(now))
+	h.Confirm(now.Add(2 * time.Second))
+	g.Expect(h.Confirmed()).To(Equal(now.Add(2 * time.Second)))
 }
--- a/pkg/relay/large.go
+++ b/pkg/relay/large.go
@@ -25,9 +25,9 @@
 	delta             []byte
 }
 
-// Known records the items of a reading of the store, so that the next change of a large value can
-// be sent as a delta.
-func (h *History) Known(items []store.Item) {
+// RecordItems records the items of a full read of the store, so that the next change of a large
+// value can be sent as a delta.
+func (h *History) RecordItems(items []store.Item) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, i := range items {
--- a/pkg/relay/relay.go
+++ b/pkg/relay/relay.go
@@ -1,8 +1,8 @@
 // Package relay distributes changes of the platform's store to all gateways while only a few of
 // them watch it. Those few, the relays, retain the latest changes (History) and send them to the
 // gateways that subscribed to them (Subscribers). Every other gateway chooses two relays and tracks
-// the age of what it has from them (Sources). Gateways run no agreement protocol: a gateway with a
-// subscriber is a relay.
+// the age of what it has from them (Sources). Gateways run no agreement protocol: a gateway is a
+// relay if it has a subscriber or is among the first alive ones, see Pace.First.
 //
 // The package does no I/O; callers pass in the time. Callers must serialize access to Sources and
 // to Subscribers.
@@ -19,11 +19,12 @@
 	// the first alive ones in an order that all gateways share. Each costs one call per WatchWait
 	// and one per change.
 	minRelays = 4
-	// gatewaysPerRelay is the number of gateways per relay at the shortest bound. A relay then sends
-	// to 48 subscribers, some 10 KB a second without changes.
+	// gatewaysPerRelay is the number of gateways per relay at the shortest bound. A relay then
+	// sends to gatewaysPerRelay x relaysPerGateway = 48 subscribers, some 10 KB a second without
+	// changes.
 	gatewaysPerRelay = 24
 	// relaysPerGateway is the number of relays that a gateway subscribes to. With two, no change is
-	// delayed when one is lost or cut off from the store.
+	// delayed when one relay fails or can't reach the store.
 	relaysPerGateway = 2
 	// rerequestAfter is the time after which a gateway that lacks a change requests it from a relay
 	// again: some round trips.
@@ -31,9 +32,9 @@
 	// startupWait is how long a process learns of other gateways before it chooses relays. When all
 	// start together, each sees few at first, and most would become relays.
 	startupWait = time.Second
-	// suspicionTime is how long a relay is not chosen after it fell silent, or after it lost the
-	// store while others can reach it.
-	suspicionTime = 10 * time.Second
+	// exclusionTime is how long a relay is not chosen after it fell silent, or after it could not
+	// reach the store while others can.
+	exclusionTime = 10 * time.Second
 	// maxMissed is the number of heartbeat intervals without an update after which a relay is
 	// replaced: three updates in a row are hardly ever lost. It is also the number of renewal
 	// intervals that a subscription lasts: two renewals may be lost.
@@ -63,16 +64,16 @@
 	Beat time.Duration
 	// RenewEvery is the time between two subscriptions at the same relay.
 	RenewEvery time.Duration
-	// WatchWait is how long a relay's watch waits for a change. The end of the watch confirms what
-	// the relay knows.
+	// WatchWait is how long a relay's watch waits for a change. The end of the watch confirms that
+	// the relay has all changes.
 	WatchWait time.Duration
 	// StaleAfter is the age from which on a gateway does not rely on its relays and calls the store
 	// itself: the sum of a watch, a heartbeat interval, and the time that datagrams and calls take.
-	// With the call that follows, a change is known within the bound.
+	// With the call that follows, a change is in force within the bound.
 	StaleAfter time.Duration
 }
 
-// PaceFor returns the pace at which a change is known on all gateways within a bound.
+// PaceFor returns the pace at which a change is in force on all gateways within a bound.
 func PaceFor(bound time.Duration) Pace {
 	p := Pace{factor: max(1, float64(bound)/float64(ShortestBound))}
 	p.Beat, p.RenewEvery, p.WatchWait, p.StaleAfter = p.Scale(baseBeat), p.Scale(baseRenewEvery), p.Scale(baseWatchWait), p.Scale(baseStaleAfter)
@@ -102,24 +103,24 @@
 // that changed several times only the last change is sent, possibly in a later update.
 type Update struct {
 	From, To store.Revision
-	// Age is the time since the store had no change after To, Unconfirmed if that is not known.
+	// Age is how long ago the store last had no change after To, Unconfirmed if that is not known.
 	Age time.Duration
-	// Assured is a time by the local clock at which the store certainly had no change after To; zero
-	// if none is known.
-	Assured time.Time
+	// Confirmed is a time, by the receiver's boottime, at which the store certainly had no change
+	// after To; zero if none is known.
+	Confirmed time.Time
 	// More is set when the store holds later changes that are not sent.
 	More    bool
 	Changes []store.Event
 	// Deltas are the changes of large values, each encoded as the difference from the previous
 	// value.
 	Deltas []Delta
-	// Restored is the last revision of a reading of a restored store, 0 for none. Changes up to it may be
-	// stale: their writers may not have rewritten them yet.
+	// Restored is the last revision of a full read of a restored store, 0 for none. Changes up to
+	// it may be stale: their writers may not have rewritten them yet.
 	Restored store.Revision
 }
 
-// Reads are the optional encodings that a subscriber decodes.
-type Reads struct {
+// Encodings are the optional encodings that a subscriber decodes.
+type Encodings struct {
 	// Deltas are changes encoded as differences, Eras revisions that hold an era.
 	Deltas, Eras bool
 }
--- a/pkg/relay/sources.go
+++ b/pkg/relay/sources.go
@@ -15,29 +15,29 @@
 	// started is when Choose was first called.
 	started time.Time
 	relays  map[string]*source
-	// suspects maps relays that are not chosen to the end of their suspicion.
-	suspects map[string]time.Time
-	// confirmed is the time up to which all changes of the store are known from relays.
-	confirmed time.Time
+	// excluded holds, by relay, until when it must not be chosen.
+	excluded map[string]time.Time
+	// freshAt is the time up to which all changes of the store were received from relays.
+	freshAt time.Time
 }
 
 type source struct {
 	// chosenAt is when the relay was chosen, subscribedAt when the last subscription was sent to it,
 	// updatedAt when its last update arrived.
 	chosenAt, subscribedAt, updatedAt time.Time
-	// confirmed is the time up to which the relay knew all changes of the store.
-	confirmed time.Time
+	// freshAt is the time up to which the relay had all changes of the store.
+	freshAt time.Time
 	// resubscribe is set when the relay should be asked again for changes that were lost.
 	resubscribe bool
 }
 
 // NewSources returns the sources of a gateway, without relays.
 func NewSources(self string, p Pace) *Sources {
-	return &Sources{self: self, pace: p, relays: map[string]*source{}, suspects: map[string]time.Time{}}
+	return &Sources{self: self, pace: p, relays: map[string]*source{}, excluded: map[string]time.Time{}}
 }
 
 // Choose chooses relays among the alive gateways and drops those that fell silent. All gateways
-// that see the same ones alive, and suspect none, choose among the same few.
+// that see the same ones alive, and exclude none, choose among the same few.
 func (s *Sources) Choose(alive []string, now time.Time) {
 	if s.started.IsZero() {
 		s.started = now
@@ -45,7 +45,7 @@
 	if now.Sub(s.started) < startupWait {
 		return
 	}
-	s.suspectSilent(now)
+	s.excludeSilent(now)
 	candidates := s.candidates(alive, now)
 	slices.SortFunc(candidates, func(a, b string) int { return cmp.Compare(pairHash(s.self, a), pairHash(s.self, b)) })
 	chosen := candidates[:min(relaysPerGateway, len(candidates))]
@@ -64,25 +64,25 @@
 // Any reports whether any relay is chosen.
 func (s *Sources) Any() bool { return len(s.relays) > 0 }
 
-// suspectSilent suspects the relays that sent no update within the silence timeout, and removes
-// expired suspicions.
-func (s *Sources) suspectSilent(now time.Time) {
+// excludeSilent excludes the relays that sent no update within the silence timeout, and removes
+// expired exclusions.
+func (s *Sources) excludeSilent(now time.Time) {
 	for name, r := range s.relays {
 		if now.Sub(later(r.chosenAt, r.updatedAt)) > s.pace.silenceTimeout() {
-			s.suspects[name] = now.Add(suspicionTime)
+			s.excluded[name] = now.Add(exclusionTime)
 		}
 	}
-	for name, until := range s.suspects {
+	for name, until := range s.excluded {
 		if now.After(until) {
-			delete(s.suspects, name)
+			delete(s.excluded, name)
 		}
 	}
 }
 
-// candidates returns the first alive gateways that are not suspected. It leaves out this gateway:
+// candidates returns the first alive gateways that are not excluded. It leaves out this gateway:
 // relays choose each other.
 func (s *Sources) candidates(alive []string, now time.Time) []string {
-	ordered := slices.DeleteFunc(slices.Clone(alive), func(name string) bool { return now.Before(s.suspects[name]) })
+	ordered := slices.DeleteFunc(slices.Clone(alive), func(name string) bool { return now.Before(s.excluded[name]) })
 	slices.SortFunc(ordered, compareGateways)
 	first := ordered[:min(s.pace.Relays(len(alive)), len(ordered))]
 	return slices.DeleteFunc(first, func(name string) bool { return name == s.self })
@@ -100,7 +100,7 @@
 }
 
 // compareGateways orders gateways by the hashes of their names. This spreads the first ones over
-// the failure domains, which the names tell apart.
+// the failure domains, assuming that names contain the failure domain.
 func compareGateways(a, b string) int {
 	return cmp.Or(cmp.Compare(xxhash.Sum64String(a), xxhash.Sum64String(b)), cmp.Compare(a, b))
 }
@@ -120,22 +120,22 @@
 	return out
 }
 
-// Heard records an update of a relay. applied reports whether all changes up to its end are known
-// now; if not, the relay is asked again for the lost ones.
+// Heard records an update of a relay. applied reports whether this gateway now has all changes up
+// to its end; if not, the relay is asked again for the lost ones.
 func (s *Sources) Heard(name string, u *Update, applied bool, now time.Time) {
-	confirmed := now.Add(-u.Age)
+	freshAt := now.Add(-u.Age)
 	if applied && !u.More {
-		s.confirmed = later(s.confirmed, confirmed)
+		s.freshAt = later(s.freshAt, freshAt)
 	}
 	if r := s.relays[name]; r != nil {
-		r.updatedAt, r.confirmed, r.resubscribe = now, later(r.confirmed, confirmed), !applied
+		r.updatedAt, r.freshAt, r.resubscribe = now, later(r.freshAt, freshAt), !applied
 	}
 }
 
 // FreshUntil returns the time until which the data from relays can be relied on.
-func (s *Sources) FreshUntil() time.Time { return s.confirmed.Add(s.pace.StaleAfter) }
+func (s *Sources) FreshUntil() time.Time { return s.freshAt.Add(s.pace.StaleAfter) }
 
-// Answering reports whether any relay sends updates, including one that has lost the store.
+// Answering reports whether any relay sends updates, including one that can't reach the store.
 func (s *Sources) Answering(now time.Time) bool {
 	for _, r := range s.relays {
 		if now.Sub(r.updatedAt) <= s.pace.silenceTimeout() {
@@ -145,12 +145,12 @@
 	return false
 }
 
-// StoreAnswers records that the store responds to this gateway. Relays that have lost the store are
-// suspected and thus replaced.
+// StoreAnswers records that the store responds to this gateway. Relays that can't reach the store
+// are excluded and thus replaced.
 func (s *Sources) StoreAnswers(now time.Time) {
 	for name, r := range s.relays {
-		if !r.updatedAt.IsZero() && now.Sub(r.confirmed) > 2*s.pace.StaleAfter {
-			s.suspects[name] = now.Add(suspicionTime)
+		if !r.updatedAt.IsZero() && now.Sub(r.freshAt) > 2*s.pace.StaleAfter {
+			s.excluded[name] = now.Add(exclusionTime)
 		}
 	}
 }
--- a/pkg/relay/sources_test.go
+++ b/pkg/relay/sources_test.go
@@ -50,7 +50,7 @@
 		for name := range s.relays {
 			subscribed[name]++
 			g.Expect(name).NotTo(Equal(self))
-			g.Expect(pace.First(name, all)).To(BeTrue(), "relays choose among the first gateways, too")
+			g.Expect(pace.First(name, all)).To(BeTrue(), "only the first gateways are chosen")
 		}
 	}
 	g.Expect(subscribed).To(HaveLen(pace.Relays(len(all))))
@@ -73,12 +73,12 @@
 		g.Expect(chosenRelays(s)).NotTo(ContainElement(name))
 	}
 	g.Expect(s.relays).To(HaveLen(relaysPerGateway))
-	later := now.Add(pace.silenceTimeout() + suspicionTime + 10*time.Millisecond)
+	later := now.Add(pace.silenceTimeout() + exclusionTime + 10*time.Millisecond)
 	for _, r := range s.relays {
 		r.updatedAt = later
 	}
 	s.Choose(all, later)
-	g.Expect(chosenRelays(s)).To(ConsistOf(lost), "suspected relays are tried again later")
+	g.Expect(chosenRelays(s)).To(ConsistOf(lost), "excluded relays are tried again later")
 }
 
 func TestFreshUntilFollowsConfirmedUpdates(t *testing.T) {
@@ -125,7 +125,7 @@
 		s.Heard(name, &Update{Age: Unconfirmed}, true, now)
 	}
 	s.Choose(all, now)
-	g.Expect(chosenRelays(s)).To(ConsistOf(lost), "the store may be lost to all gateways")
+	g.Expect(chosenRelays(s)).To(ConsistOf(lost), "perhaps no gateway can reach the store")
 	s.StoreAnswers(now)
 	s.Choose(all, now)
 	for _, name := range lost {
--- a/pkg/relay/subscribers.go
+++ b/pkg/relay/subscribers.go
@@ -18,9 +18,9 @@
 type subscriber struct {
 	expires time.Time
 	// sent is the revision up to which changes were sent, sentAt when the last update was.
-	sent   store.Revision
-	sentAt time.Time
-	reads  Reads
+	sent      store.Revision
+	sentAt    time.Time
+	encodings Encodings
 	// stamp is that of the newest subscription, stampedAt the time of the subscription's arrival.
 	stamp     uint64
 	stampedAt time.Time
@@ -28,12 +28,12 @@
 
 // Subscribe records that a gateway has all changes up to a revision and requests the later ones,
 // and which encodings it decodes.
-func (s *Subscribers) Subscribe(name string, at store.Revision, reads Reads, now time.Time) {
+func (s *Subscribers) Subscribe(name string, at store.Revision, encodings Encodings, now time.Time) {
 	if s.all[name] == nil {
 		s.all[name] = &subscriber{}
 	}
 	g := s.all[name]
-	g.expires, g.sent, g.reads = now.Add(s.pace.subscriptionTTL()), at, reads
+	g.expires, g.sent, g.encodings = now.Add(s.pace.subscriptionTTL()), at, encodings
 }
 
 // Stamp records the stamp of a gateway's newest subscription.
@@ -75,12 +75,12 @@
 	return out
 }
 
-// Reads returns the encodings that a gateway decodes.
-func (s *Subscribers) Reads(name string) Reads {
+// Encodings returns the encodings that a gateway decodes.
+func (s *Subscribers) Encodings(name string) Encodings {
 	if g := s.all[name]; g != nil {
-		return g.reads
+		return g.encodings
 	}
-	return Reads{}
+	return Encodings{}
 }
 
 // Sent records that changes up to a revision were sent to a gateway. If they are lost, its next
--- a/pkg/store/follow.go
+++ b/pkg/store/follow.go
@@ -17,13 +17,13 @@
 	watchWait = 3 * time.Second
 	// callMargin is the time that a call may take beyond the wait that it requests.
 	callMargin = 700 * time.Millisecond
-	// probeTimeout bounds the first call, and the first after a failed one. Each failure raises the
-	// bound of the next call, up to maxProbeTimeout. It is short, since a call to a silent store
-	// never gets a response, even when the store is back. In a full reading it bounds the silence
-	// between two parts.
+	// probeTimeout bounds the first call. After each failed call the bound of the next one is
+	// raised, up to maxProbeTimeout; a success resets it. probeTimeout is short, since a call to a
+	// silent store never gets a response, even when the store is back. In a full read the bound is
+	// for the time without data while the response is received.
 	probeTimeout    = 400 * time.Millisecond
 	maxProbeTimeout = 2500 * time.Millisecond
-	// maxRangeTime bounds a full reading: the state that it returns is as old as the reading took.
+	// maxRangeTime bounds a full read: the state that it returns is as old as the read took.
 	maxRangeTime = 30 * time.Second
 	// probeWait is how long a watch waits that only checks whether the store responds.
 	probeWait = time.Millisecond
@@ -45,21 +45,23 @@
 	// default.
 	Relayed func(ctx context.Context) (at Revision, wait time.Duration)
 	// Forgotten, if set, waits for relays to deliver the changes after a revision that are missing
-	// from the store's history. It returns the revision that they reached, 0 if a full reading is
+	// from the store's history. It returns the revision that they reached, 0 if a full read is
 	// needed.
 	Forgotten func(ctx context.Context, after Revision) Revision
-	// Reset receives a full reading. Apply receives the result of each watch, also an empty one.
-	// Each call gets a state of the store that is as new as the call before or newer. Reset rejects
-	// a reading that is older than what relays have delivered.
+	// Reset receives a full read. Apply receives the result of each watch, also an empty one.
+	// Revisions never decrease from call to call. Reset rejects a read that is older than what
+	// relays have delivered.
 	Reset func(items []Item, at Revision) error
 	Apply func(events []Event, at Revision)
-	// Assured, if set, is called after each reading or watch with the time, by boottime, at which it
-	// was requested. All changes up to that time are known, however late the response was read.
-	Assured func(asked time.Time)
-	// Refused, if set, is called with the error of a reading that is rejected because it is older
-	// than the known state.
-	Refused func(err *ErrOld)
-	// Lost is called when the store stops responding, Regained when it responds again.
+	// Confirmed, if set, is called after each full read or watch with the time, by boottime, at
+	// which it was requested. All changes up to that time were received, however late the response
+	// was read.
+	Confirmed func(asked time.Time)
+	// Rejected, if set, is called with the error of a full read that is rejected because it is
+	// older than the state reached.
+	Rejected func(err *ErrOld)
+	// Lost is called when the store stops responding, Regained when it responds again; after is the
+	// length of the outage.
 	Lost     func(err error)
 	Regained func(after time.Duration)
 }
@@ -68,7 +70,7 @@
 type position struct {
 	at    Revision
 	known bool
-	// compacted is set when the history after at is gone, so that a full reading is needed.
+	// compacted is set when the history after at is gone, so that a full read is needed.
 	compacted bool
 	// lostAt is when the store stopped responding; zero while it responds.
 	lostAt time.Time
@@ -155,7 +157,7 @@
 		return 0, false, err
 	}
 	f.Apply(events, next)
-	f.assure(asked)
+	f.confirm(asked)
 	return max(p.at, next), len(events) > 0, nil
 }
 
@@ -177,22 +179,22 @@
 	}
 	if err != nil {
 		var old *ErrOld
-		if f.Refused != nil && errors.As(err, &old) {
-			f.Refused(old)
+		if f.Rejected != nil && errors.As(err, &old) {
+			f.Rejected(old)
 		}
 		return 0, &ErrUnavailable{Call: "range", Err: err}
 	}
-	f.assure(asked)
+	f.confirm(asked)
 	return next, nil
 }
 
-func (f *Follower) assure(asked time.Time) {
-	if f.Assured != nil {
-		f.Assured(asked)
+func (f *Follower) confirm(asked time.Time) {
+	if f.Confirmed != nil {
+		f.Confirmed(asked)
 	}
 }
 
-// ErrOld reports that a reading is older than the known state.
+// ErrOld reports that a full read is older than the state reached.
 type ErrOld struct {
 	Have, Got Revision
 }
--- a/pkg/store/herd_test.go
+++ b/pkg/store/herd_test.go
@@ -15,20 +15,20 @@
 )
 
 const (
-	// readingBytes is the size of a full reading: some thousand runners and routes.
-	// linkBytesPerSecond is the rate of the store's link, which all readings share.
+	// readingBytes is the size of a full read: some thousand runners and routes. linkBytesPerSecond
+	// is the rate of the store's link, which all full reads share.
 	readingBytes       = 1_500_000
 	linkBytesPerSecond = 125_000_000
 	// transferSlice is the time step of the simulated transfers.
 	transferSlice = 10 * time.Millisecond
 )
 
-// sharedLinkStore is a store whose readings share one link.
+// sharedLinkStore is a store whose full reads share one link.
 type sharedLinkStore struct {
 	fakeStore
 	mu      sync.Mutex
 	readers int
-	// cancelled counts the cancelled readings, cancelledBytes what they had received by then.
+	// cancelled counts the cancelled full reads, cancelledBytes what they had received by then.
 	cancelled      int
 	cancelledBytes float64
 }
@@ -62,15 +62,15 @@
 	s.cancelledBytes += got
 }
 
-// sliceBytes returns what one reading receives in a time step.
+// sliceBytes returns what one full read receives in a time step.
 func (s *sharedLinkStore) sliceBytes() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return linkBytesPerSecond * transferSlice.Seconds() / float64(s.readers)
 }
 
-// Guards against a time limit for a full reading that cancels readings in progress, which then
-// start anew.
+// Guards against a time limit for a full read that cancels reads in progress, which then start
+// anew.
 func TestConcurrentReadingsFinishInLinkTime(t *testing.T) {
 	for _, n := range []int{30, 300, 712} {
 		t.Run(fmt.Sprintf("%d gateways", n), func(t *testing.T) {
--- a/pkg/store/lease.go
+++ b/pkg/store/lease.go
@@ -26,9 +26,10 @@
 	Revision Revision
 }
 
-// PutLeased commits a change whose keys are bound to a new lease. If the commit fails, the lease is ended, since
-// the store may have applied the change. If the store was restored between the two calls, it may have bound
-// the keys to another process's lease; they are removed and *ErrNoLease is returned.
+// PutLeased commits a change whose keys are bound to a new lease. If the commit fails, the lease is
+// ended, since the store may have applied the change. If the store was restored between the two
+// calls, it may have bound the keys to another process's lease; they are removed and *ErrNoLease is
+// returned.
 func PutLeased(ctx context.Context, s Store, ttl time.Duration, c Change) (Leased, error) {
 	lease, ttl, err := s.Grant(ctx, ttl)
 	if err != nil {
@@ -43,13 +44,14 @@
 		return Leased{}, err
 	}
 	if revision.Era() != lease.Era {
-		return Leased{}, removeUnleased(ctx, s, c.Put, revision, lease)
+		return Leased{}, removeMisbound(ctx, s, c.Put, revision, lease)
 	}
 	return Leased{Lease: lease, TTL: ttl, Revision: revision}, nil
 }
 
-// removeUnleased removes keys that were written at a revision, unless they have changed since.
-func removeUnleased(ctx context.Context, s Store, puts []Put, at Revision, lease LeaseID) error {
+// removeMisbound removes keys that were written at a revision, unless they have changed since, and
+// returns *ErrNoLease.
+func removeMisbound(ctx context.Context, s Store, puts []Put, at Revision, lease LeaseID) error {
 	var undo Change
 	for _, p := range puts {
 		undo.If = append(undo.If, Condition{Key: p.Key, Revision: at})
--- a/pkg/store/lock.go
+++ b/pkg/store/lock.go
@@ -23,8 +23,8 @@
 	mu    sync.Mutex
 	lease LeaseID
 	fence Revision
-	// since is when the lock was acquired, until is up to when it is certainly held. Both count
-	// from before the call that acquired or renewed the lock.
+	// since is when the lock was acquired, until is the time before which it is certainly held.
+	// Both count from before the call that acquired or renewed the lock.
 	since, until time.Time
 }
 
--- a/pkg/store/store.go
+++ b/pkg/store/store.go
@@ -54,7 +54,8 @@
 // Calls fail with *ErrUnavailable, after which a change may or may not have been made, or may still
 // be made; with *ErrConflict when a condition does not hold; with *ErrCompacted when a watch
 // requests history that is gone, also because the store was restored from an older copy; and with
-// *ErrNoLease when a lease is over. All leases end with the era in which they were granted.
+// *ErrNoLease when a lease has expired or was ended. All leases end with the era in which they were
+// granted.
 type Store interface {
 	// Range returns all items below a prefix and a revision after which a watch misses no change.
 	Range(ctx context.Context, prefix string) ([]Item, Revision, error)
@@ -63,7 +64,8 @@
 	Watch(ctx context.Context, prefix string, after Revision, wait time.Duration) ([]Event, Revision, error)
 	// Commit applies a change and returns its revision.
 	Commit(ctx context.Context, c Change) (Revision, error)
-	// Grant creates a lease that lasts ttl from when the store received the call.
+	// Grant creates a lease that lasts ttl from when the store received the call. It returns the
+	// lease with its time to live, which may differ from ttl.
 	Grant(ctx context.Context, ttl time.Duration) (LeaseID, time.Duration, error)
 	// Renew restarts the time to live of a lease.
 	Renew(ctx context.Context, id LeaseID) error
@@ -103,7 +105,7 @@
 // Error implements error.
 func (e *ErrCompacted) Error() string { return fmt.Sprintf("history compacted: after=%s", e.After) }
 
-// ErrNoLease reports that a lease is over.
+// ErrNoLease reports that a lease has expired or was ended.
 type ErrNoLease struct {
 	ID LeaseID
 }
--- a/pkg/store/store_test.go
+++ b/pkg/store/store_test.go
@@ -156,8 +156,8 @@
 	})
 }
 
-// Guards against a full reading by a follower that got all changes from relays. It needs one only
-// when the history after its revision is gone.
+// Guards against a full read by a follower that got all changes from relays. It needs one only when
+// the history after its revision is gone.
 func TestFollowerStartsFromRelayedRevision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -178,8 +178,8 @@
 	})
 }
 
-// Guards against accepting a reading that is older than what relays delivered meanwhile. It must be
-// repeated.
+// Guards against accepting a full read that is older than what relays delivered meanwhile. It must
+// be repeated.
 func TestFollowerRetriesOvertakenReading(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -203,8 +203,8 @@
 	})
 }
 
-// Guards against detecting only after a full watch that a silent store is back. One probe must be
-// enough.
+// A follower must detect with one probe that a silent store responds again, not only after a full
+// watch.
 func TestFollowerProbesSilentStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -260,7 +260,7 @@
 	})
 }
 
-// Guards against relying on a lease after a suspension, in which the steady clock stood still.
+// Guards against relying on a lease after a suspension, in which the monotonic clock stood still.
 func TestLockExpiresDuringSuspension(t *testing.T) {
 	g := NewWithT(t)
 	l := newLock(&fakeStore{commit: func(Change) (Revision, error) { return 9, nil }})
