--- a/pkg/process/stager.go
+++ b/pkg/process/stager.go
@@ -79,9 +79,9 @@
 	// recorded are the changes that this process recorded, including finished ones.
 	recorded []staging.Change
 
-	// engineCount has been the number of engines since stableSince. mismatchSince is since when planned
-	// changes exist, zero if there are none. orderedAt is when the last orders were sent, retryAt the
-	// time before which the lock is not tried again.
+	// engineCount has been the number of engines since stableSince. mismatchSince is since when
+	// planned changes exist, zero if there are none. orderedAt is when the last orders were sent,
+	// retryAt the time before which the lock is not tried again.
 	startedAt     time.Time
 	renewedAt     time.Time
 	engineCount   int
--- a/pkg/process/state.go
+++ b/pkg/process/state.go
@@ -224,7 +224,7 @@
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		return s, &ErrState{Address: address, Why: "it sent no state:  " + res.Status}
+		return s, &ErrState{Address: address, Why: "it sent no state: " + res.Status}
 	}
 	if err := json.NewDecoder(io.LimitReader(progress.Reader(ctx, res.Body), maxStateBytes)).Decode(&s); err != nil {
 		return s, &ErrState{Address: address, Why: "not readable", Err: err}
--- a/pkg/relay/history.go
+++ b/pkg/relay/history.go
@@ -29,8 +29,9 @@
 	// freshAt is the latest time at which the store reported no change after reached. It is a time
 	// of time.Now: the arrival of a response of the store, or that of an update minus its Age.
 	freshAt time.Time
-	// confirmed is a time at which the store certainly had no change after reached, see Assure. Times
-	// before confirmFrom are rejected: a restored store may lack acknowledged changes.
+	// confirmed is a time by boottime at which the store certainly had no change after reached: the
+	// time of a request, see Confirm. Times before confirmFrom are rejected: a restored store may
+	// lack acknowledged changes.
 	confirmed, confirmFrom time.Time
 	// restored is the value of Update.Restored.
 	restored store.Revision
--- a/pkg/relay/relay.go
+++ b/pkg/relay/relay.go
@@ -105,8 +105,8 @@
 	From, To store.Revision
 	// Age is how long ago the store last had no change after To, Unconfirmed if that is not known.
 	Age time.Duration
-	// Confirmed is a time, by the receiver's boottime, at which the store certainly had no change
-	// after To; zero if none is known.
+	// Confirmed is a time, by boottime on the gateway that holds the update, at which the store
+	// certainly had no change after To; zero if none is known.
 	Confirmed time.Time
 	// More is set when the store holds later changes that are not sent.
 	More    bool
--- a/pkg/store/follow.go
+++ b/pkg/store/follow.go
@@ -201,7 +201,7 @@
 
 // Error implements error.
 func (e *ErrOld) Error() string {
-	return fmt.Sprintf("reading is older than the known state: have=%s got=%s", e.Have, e.Got)
+	return fmt.Sprintf("full read is older than the state reached: have=%s got=%s", e.Have, e.Got)
 }
 
 // sleep waits for d, or less if the context ends.
--- a/pkg/store/revision.go
+++ b/pkg/store/revision.go
@@ -6,7 +6,7 @@
 )
 
 // Revision is a position in the history of a store: the era of the store in the upper bits, the
-// number that the store assigned in the lower ones. A store that is restored from an older copy
+// number that the store assigned in the lower ones. A store that is restored from an older backup
 // reuses numbers in the next era. Revisions of a later era are greater than all earlier ones, so
 // they compare as integers. The zero value precedes all changes.
 type Revision uint64
--- a/pkg/store/store.go
+++ b/pkg/store/store.go
@@ -53,7 +53,7 @@
 //
 // Calls fail with *ErrUnavailable, after which a change may or may not have been made, or may still
 // be made; with *ErrConflict when a condition does not hold; with *ErrCompacted when a watch
-// requests history that is gone, also because the store was restored from an older copy; and with
+// requests history that is gone, also because the store was restored from an older backup; and with
 // *ErrNoLease when a lease has expired or was ended. All leases end with the era in which they were
 // granted.
 type Store interface {
