--- a/pkg/boottime/boottime.go
+++ b/pkg/boottime/boottime.go
@@ -16,12 +16,13 @@
 
 const (
 	// The time since boot is read, which takes system calls, only after the wall clock moved by
-	// driftThreshold against the monotonic clock. It moves with each suspension. Otherwise it moves
-	// by adjustments of about 0.5 ms a second at most, and by steps, which only cost a read.
+	// driftThreshold against the monotonic clock. The wall clock moves with each suspension.
+	// Otherwise it moves by adjustments of about 0.5 ms a second at most, and by steps, which only
+	// cost a read.
 	driftThreshold = time.Millisecond
 	// maxReadTime is how far the monotonic clock may advance while the clocks are read: the process
-	// may lose its CPU in between. maxReadings is the maximum number of attempts to read the clocks
-	// within maxReadTime.
+	// may lose its CPU in between. maxReadings is the maximum number of attempts until one takes at
+	// most maxReadTime.
 	maxReadTime = time.Millisecond
 	maxReadings = 5
 )
--- a/pkg/process/stager.go
+++ b/pkg/process/stager.go
@@ -311,7 +311,7 @@
 func (s *stager) acquire(ctx context.Context, now time.Time) {
 	call, cancel := context.WithTimeout(ctx, orderCallTimeout)
 	defer cancel()
-	err := s.lock.Win(call)
+	err := s.lock.Acquire(call)
 	var held *store.ErrHeld
 	if errors.As(err, &held) {
 		s.retryAt = now.Add(lockRetryDelay)
--- a/pkg/store/lock.go
+++ b/pkg/store/lock.go
@@ -47,8 +47,8 @@
 	return l.fence, l.since, !l.lease.None() && now.Before(l.until)
 }
 
-// Win tries to acquire the lock. It fails with *ErrHeld if another process holds it.
-func (l *Lock) Win(ctx context.Context) error {
+// Acquire tries to acquire the lock. It fails with *ErrHeld if another process holds it.
+func (l *Lock) Acquire(ctx context.Context) error {
 	began := boottime.Now()
 	leased, err := PutLeased(ctx, l.Store, l.TTL, Change{If: []Condition{{Key: l.Key}}, Put: []Put{{Key: l.Key, Value: []byte(l.Holder)}}})
 	if err != nil {
--- a/pkg/store/revision_test.go
+++ b/pkg/store/revision_test.go
@@ -65,7 +65,7 @@
 	s := &restoringStore{fakeStore: &fakeStore{}}
 	l := newLock(s)
 	var over *ErrNoLease
-	g.Expect(errors.As(l.Win(t.Context()), &over)).To(BeTrue())
+	g.Expect(errors.As(l.Acquire(t.Context()), &over)).To(BeTrue())
 	_, _, held := l.Held(time.Now())
 	g.Expect(held).To(BeFalse())
 	written, err := RevisionOf(1, 1)
--- a/pkg/store/store_test.go
+++ b/pkg/store/store_test.go
@@ -250,7 +250,7 @@
 		g := NewWithT(t)
 		s := &fakeStore{commit: func(Change) (Revision, error) { time.Sleep(time.Second); return 9, nil }}
 		l := newLock(s)
-		g.Expect(l.Win(t.Context())).To(Succeed())
+		g.Expect(l.Acquire(t.Context())).To(Succeed())
 		fence, _, held := l.Held(time.Now())
 		g.Expect(held).To(BeTrue())
 		g.Expect(fence).To(Equal(Revision(9)))
@@ -264,7 +264,7 @@
 func TestLockExpiresDuringSuspension(t *testing.T) {
 	g := NewWithT(t)
 	l := newLock(&fakeStore{commit: func(Change) (Revision, error) { return 9, nil }})
-	g.Expect(l.Win(t.Context())).To(Succeed())
+	g.Expect(l.Acquire(t.Context())).To(Succeed())
 	_, _, held := l.Held(boottime.Now())
 	g.Expect(held).To(BeTrue())
 	t.Cleanup(boottime.Suspend(5 * time.Second))
@@ -272,14 +272,14 @@
 	g.Expect(held).To(BeFalse())
 }
 
-func TestWinFailsWhenLockIsHeld(t *testing.T) {
+func TestAcquireFailsWhenLockIsHeld(t *testing.T) {
 	g := NewWithT(t)
 	s := &fakeStore{commit: func(c Change) (Revision, error) {
 		g.Expect(c.If).To(Equal([]Condition{{Key: "k"}}))
 		return 0, &ErrConflict{Items: []Item{{Key: "k", Value: []byte("other")}}}
 	}}
 	l := newLock(s)
-	err := l.Win(t.Context())
+	err := l.Acquire(t.Context())
 	var held *ErrHeld
 	g.Expect(errors.As(err, &held)).To(BeTrue())
 	g.Expect(held.Holder).To(Equal("other"))
@@ -290,11 +290,11 @@
 
 // Guards against a key that stays after a commit without a response, which may have been applied.
 // The lease is ended, and the lock does not count as held.
-func TestWinEndsLeaseAfterLostResponse(t *testing.T) {
+func TestAcquireEndsLeaseAfterLostResponse(t *testing.T) {
 	g := NewWithT(t)
 	s := &fakeStore{commit: func(Change) (Revision, error) { return 0, &ErrUnavailable{Call: "commit"} }}
 	l := newLock(s)
-	g.Expect(l.Win(t.Context())).NotTo(Succeed())
+	g.Expect(l.Acquire(t.Context())).NotTo(Succeed())
 	g.Expect(s.ended).To(Equal([]LeaseID{{Number: 1}}))
 	_, _, held := l.Held(time.Now())
 	g.Expect(held).To(BeFalse())
@@ -305,7 +305,7 @@
 		g := NewWithT(t)
 		s := &fakeStore{commit: func(Change) (Revision, error) { return 9, nil }, renew: func() error { return nil }}
 		l := newLock(s)
-		g.Expect(l.Win(t.Context())).To(Succeed())
+		g.Expect(l.Acquire(t.Context())).To(Succeed())
 		time.Sleep(2 * time.Second)
 		g.Expect(l.Renew(t.Context())).To(Succeed())
 		time.Sleep(2 * time.Second)
