--- a/pkg/store/lock.go
+++ b/pkg/store/lock.go
@@ -23,8 +23,8 @@
 	mu    sync.Mutex
 	lease LeaseID
 	fence Revision
-	// since is when the lock was acquired, until is up to when it is certainly held. Both count
-	// from before the call that acquired or renewed the lock.
+	// since is when the lock was acquired, until is the time before which it is certainly held.
+	// Both count from before the call that acquired or renewed the lock.
 	since, until time.Time
 }
 
@@ -47,8 +47,8 @@
 	return l.fence, l.since, !l.lease.None() && now.Before(l.until)
 }
 
-// Win tries to acquire the lock. It fails with *ErrHeld if another process holds it.
-func (l *Lock) Win(ctx context.Context) error {
+// Acquire tries to acquire the lock. It fails with *ErrHeld if another process holds it.
+func (l *Lock) Acquire(ctx context.Context) error {
 	began := boottime.Now()
 	leased, err := PutLeased(ctx, l.Store, l.TTL, Change{If: []Condition{{Key: l.Key}}, Put: []Put{{Key: l.Key, Value: []byte(l.Holder)}}})
 	if err != nil {
