--- a/pkg/admission/errors.go
+++ b/pkg/admission/errors.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// ErrLate reports that a prefill could not be ready in time.
+// ErrLate reports that a prefill would miss its deadline.
 type ErrLate struct {
 	ID string
-	// RetryAfter is by how much it would be late.
+	// RetryAfter is the time by which the prefill would miss its deadline.
 	RetryAfter time.Duration
 }
 
@@ -17,12 +17,12 @@
 	return fmt.Sprintf("prefill would be late: id=%s retry_after=%s", e.ID, e.RetryAfter)
 }
 
-// ErrFull reports that a stream finds no room.
+// ErrFull reports that an engine has no room for a stream.
 type ErrFull struct {
 	ID string
-	// RetryAfter is when the next stream ends.
+	// RetryAfter is the estimated time until the first running stream ends.
 	RetryAfter time.Duration
-	// Never is set for a stream that is larger than the engine.
+	// Never is set for a stream that needs more memory than the engine has.
 	Never bool
 }
 
--- a/pkg/admission/ledger.go
+++ b/pkg/admission/ledger.go
@@ -5,52 +5,54 @@
 	"time"
 )
 
-// Stream is one decode that holds or will hold memory.
+// Stream is one decode that holds memory or has reserved it.
 type Stream struct {
-	// ID is the attempt's.
+	// ID identifies the attempt.
 	ID string
-	// Bytes is the KV cache of the whole answer.
+	// Bytes is the size of the KV cache of the prompt and the longest possible
+	// response.
 	Bytes int64
-	// Tokens is how many tokens are still to come at most.
+	// Tokens is the maximum number of tokens still to be generated.
 	Tokens int
-	// PerToken is its target for the time between tokens.
+	// PerToken is the target for the time between tokens, 0 for none.
 	PerToken time.Duration
 
-	need    time.Time
-	started bool
+	plannedStart time.Time
+	started      bool
 }
 
-// Ledger records the memory and the batch of one decode engine. A reservation is
-// for the moment when its KV cache will have been computed, so that a slot
-// which frees until then need not stand empty.
+// Ledger records the memory and the batch slots of one decode engine. A
+// reservation counts from the time at which the stream's KV cache will have
+// been computed, so a slot that becomes free before then need not stay unused.
 type Ledger struct {
-	// Bytes and Batch are the engine's limits.
+	// Bytes and Batch are the engine's limits: KV cache memory, and streams in
+	// a batch.
 	Bytes int64
 	Batch int
-	// StepBase and StepSlope give the step time: base + slope × batch.
+	// StepBase and StepSlope give the time of a decode step: base + slope × batch.
 	StepBase, StepSlope time.Duration
 
 	streams map[string]*Stream
 }
 
-// NewLedger records for an engine with these limits.
+// NewLedger returns an empty ledger for an engine with these limits.
 func NewLedger(bytes int64, batch int) *Ledger {
 	return &Ledger{Bytes: bytes, Batch: batch, streams: map[string]*Stream{}}
 }
 
-// Reserve records a stream whose KV cache will be there after need and whose start
-// may wait for slack beyond that. It returns how long it will wait, or *ErrFull
-// when the engine will have no room in time.
+// Reserve records a stream whose KV cache will be ready after need and whose
+// start may be delayed by slack beyond that. It returns the expected delay, or
+// *ErrFull when the engine will have no room in time.
 func (l *Ledger) Reserve(now time.Time, need, slack time.Duration, s Stream) (time.Duration, error) {
 	if s.Bytes > l.Bytes {
 		return 0, &ErrFull{ID: s.ID, Never: true}
 	}
-	s.need = now.Add(need)
-	latest := s.need.Add(max(slack, 0))
-	for _, at := range l.starts(now, s.need, latest) {
+	s.plannedStart = now.Add(need)
+	latest := s.plannedStart.Add(max(slack, 0))
+	for _, at := range l.startTimes(now, s.plannedStart, latest) {
 		if l.fits(now, at, &s) {
-			wait := at.Sub(s.need)
-			s.need = at
+			wait := at.Sub(s.plannedStart)
+			s.plannedStart = at
 			l.streams[s.ID] = &s
 			return wait, nil
 		}
@@ -58,9 +60,9 @@
 	return 0, &ErrFull{ID: s.ID, RetryAfter: l.nextFree(now)}
 }
 
-// starts returns the times at which a stream could begin: when it is ready, and
-// whenever another one ends after that.
-func (l *Ledger) starts(now, ready, latest time.Time) []time.Time {
+// startTimes returns the candidate start times of a stream: when its KV cache
+// is ready, and whenever another stream ends between then and latest.
+func (l *Ledger) startTimes(now, ready, latest time.Time) []time.Time {
 	out := []time.Time{ready}
 	for _, x := range l.streams {
 		if end := l.end(now, x); end.After(ready) && !end.After(latest) {
@@ -71,58 +73,60 @@
 	return out
 }
 
-// Add records a stream without asking whether it fits; it waits for its room
-// when it starts.
+// Add records a stream without checking whether it fits. Start refuses the
+// stream until it does.
 func (l *Ledger) Add(s Stream) { l.streams[s.ID] = &s }
 
-// fits reports whether a stream that begins at a time finds room until its end.
-// The room is tightest at its begin or at the begin of a stream reserved for
-// later, so only those times are looked at.
+// fits reports whether a stream that starts at a given time has room until its
+// end. Room is smallest at its start or at the start of a stream reserved for
+// later, so only those times are checked.
 func (l *Ledger) fits(now, at time.Time, s *Stream) bool {
 	end := at.Add(l.duration(s))
 	if !l.roomAt(now, at, s) {
 		return false
 	}
 	for _, x := range l.streams {
-		if !x.started && x.need.After(at) && x.need.Before(end) && !l.roomAt(now, x.need, s) {
+		if !x.started && x.plannedStart.After(at) && x.plannedStart.Before(end) && !l.roomAt(now, x.plannedStart, s) {
 			return false
 		}
 	}
 	return true
 }
 
-// roomAt reports whether a stream fits beside those that are there at a time. An
-// empty engine takes any stream: if it is too slow, only that one suffers.
+// roomAt reports whether a stream fits beside the streams that will be running
+// at a given time. An empty engine takes any stream: if the engine is too slow,
+// only that stream suffers.
 func (l *Ledger) roomAt(now, at time.Time, s *Stream) bool {
 	batch, bytes, target := 1, s.Bytes, s.PerToken
 	for _, x := range l.streams {
-		if !x.started && x.need.After(at) || !l.end(now, x).After(at) {
+		if !x.started && x.plannedStart.After(at) || !l.end(now, x).After(at) {
 			continue
 		}
 		batch++
 		bytes += x.Bytes
-		target = tighter(target, x.PerToken)
+		target = minTarget(target, x.PerToken)
 	}
-	slow := batch > 1 && target > 0 && l.step(batch) > target
+	slow := batch > 1 && target > 0 && l.stepTime(batch) > target
 	return batch <= l.Batch && bytes <= l.Bytes && !slow
 }
 
-// end is when a stream will have ended at the latest.
+// end returns the latest time at which a stream will have ended.
 func (l *Ledger) end(now time.Time, s *Stream) time.Time {
-	if s.started || s.need.Before(now) {
+	if s.started || s.plannedStart.Before(now) {
 		return now.Add(l.duration(s))
 	}
-	return s.need.Add(l.duration(s))
+	return s.plannedStart.Add(l.duration(s))
 }
 
-func tighter(a, b time.Duration) time.Duration {
+func minTarget(a, b time.Duration) time.Duration {
 	if a == 0 || (b > 0 && b < a) {
 		return b
 	}
 	return a
 }
 
-// Left returns the time that a stream still takes at most; 0 for an unknown one.
+// Left returns the maximum time until a running stream ends, 0 if the stream is
+// unknown or has not started.
 func (l *Ledger) Left(id string) time.Duration {
 	s, ok := l.streams[id]
 	if !ok || !s.started {
@@ -131,8 +135,8 @@
 	return l.duration(s)
 }
 
-// Duration returns the time that a stream takes at most once it runs; 0 for an
-// unknown one.
+// Duration returns the maximum time that a stream takes once it runs, 0 if the
+// stream is unknown.
 func (l *Ledger) Duration(id string) time.Duration {
 	s, ok := l.streams[id]
 	if !ok {
@@ -141,16 +145,16 @@
 	return l.duration(s)
 }
 
-// duration is the time that a stream's remaining tokens take at most.
+// duration returns the maximum time that a stream's remaining tokens take.
 func (l *Ledger) duration(s *Stream) time.Duration {
-	return time.Duration(s.Tokens) * l.step(min(len(l.streams), l.Batch))
+	return time.Duration(s.Tokens) * l.stepTime(min(len(l.streams), l.Batch))
 }
 
-func (l *Ledger) step(batch int) time.Duration {
+func (l *Ledger) stepTime(batch int) time.Duration {
 	return l.StepBase + time.Duration(batch)*l.StepSlope
 }
 
-// nextFree returns when the first running stream ends.
+// nextFree returns the estimated time until the first running stream ends.
 func (l *Ledger) nextFree(now time.Time) time.Duration {
 	best := time.Duration(0)
 	for _, s := range l.streams {
@@ -161,8 +165,9 @@
 	return best
 }
 
-// Start reports whether a reserved stream has room now and, if so, records it as
-// running. Streams that were due earlier go first.
+// Start reports whether a reserved stream has room now and, if so, records it
+// as running. The caller tries streams in the order in which their KV caches
+// became ready.
 func (l *Ledger) Start(id string) bool {
 	s, ok := l.streams[id]
 	if !ok || s.started {
@@ -189,14 +194,15 @@
 	}
 }
 
-// Drop frees a stream's reservation and reports whether there was one.
+// Drop removes a stream and reports whether it was recorded.
 func (l *Ledger) Drop(id string) bool {
 	_, ok := l.streams[id]
 	delete(l.streams, id)
 	return ok
 }
 
-// Usage returns what is recorded: running and reserved streams and their bytes.
+// Usage returns the number of running streams, the number of reserved streams,
+// and the KV cache bytes of both.
 func (l *Ledger) Usage() (running, reserved int, bytes int64) {
 	for _, s := range l.streams {
 		bytes += s.Bytes
@@ -209,7 +215,7 @@
 	return running, reserved, bytes
 }
 
-// SlotTime estimates the time until a slot is free: 0 while there is one.
+// SlotTime estimates the time until a slot is free, 0 while one is free.
 func (l *Ledger) SlotTime(now time.Time) time.Duration {
 	if len(l.streams) < l.Batch {
 		return 0
--- a/pkg/admission/queue_test.go
+++ b/pkg/admission/queue_test.go
@@ -25,7 +25,7 @@
 	var q *Queue
 	BeforeEach(func() { q = &Queue{Rate: 1000, Slots: 2, Margin: 1} })
 
-	It("refuses at once what would be late", func() {
+	It("refuses a job that would miss its deadline", func() {
 		_, _, err := q.Admit(start, job("a", 900, time.Second))
 		Expect(err).NotTo(HaveOccurred())
 		_, _, err = q.Admit(start, job("b", 900, time.Second))
@@ -33,70 +33,70 @@
 		Expect(errors.As(err, &late)).To(BeTrue())
 		Expect(late.RetryAfter).To(Equal(800 * time.Millisecond))
 	})
-	It("lets a long job that has not begun give way to a check", func() {
+	It("displaces a long job that has not started for a short one", func() {
 		_, _, _ = q.Admit(start, job("running", 500, 600*time.Millisecond))
 		q.Next(start)
 		_, _, err := q.Admit(start, job("long", 1400, 2100*time.Millisecond))
 		Expect(err).NotTo(HaveOccurred())
-		_, gaveWay, err := q.Admit(start, job("check", 250, 1900*time.Millisecond))
+		_, displaced, err := q.Admit(start, job("check", 250, 1900*time.Millisecond))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(gaveWay).To(Equal([]string{"long"}))
+		Expect(displaced).To(Equal([]string{"long"}))
 	})
-	It("lets a job of a crowding workspace give way to an equal one of another", func() {
-		of := func(id, workspace string, tokens int) Job {
+	It("displaces a job of a workspace above its fair share for an equal job of another", func() {
+		workspaceJob := func(id, workspace string, tokens int) Job {
 			j := job(id, tokens, 2*time.Second)
 			j.Workspace = workspace
 			return j
 		}
 		for _, id := range []string{"a1", "a2", "a3", "a4"} {
-			_, _, err := q.Admit(start, of(id, "a", 400))
+			_, _, err := q.Admit(start, workspaceJob(id, "a", 400))
 			Expect(err).NotTo(HaveOccurred())
 		}
-		_, _, err := q.Admit(start, of("c1", "c", 10))
+		_, _, err := q.Admit(start, workspaceJob("c1", "c", 10))
 		Expect(err).NotTo(HaveOccurred())
 		q.Next(start)
-		_, _, err = q.Admit(start, of("a5", "a", 400))
+		_, _, err = q.Admit(start, workspaceJob("a5", "a", 400))
 		Expect(err).To(HaveOccurred())
-		_, gaveWay, err := q.Admit(start, of("b1", "b", 400))
+		_, displaced, err := q.Admit(start, workspaceJob("b1", "b", 400))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(gaveWay).To(HaveLen(1))
-		Expect(gaveWay[0]).To(HavePrefix("a"))
+		Expect(displaced).To(HaveLen(1))
+		Expect(displaced[0]).To(HavePrefix("a"))
 	})
-	It("never lets a job give way that has begun or was paid for", func() {
+	It("never displaces a running job", func() {
 		_, _, _ = q.Admit(start, job("running", 1000, time.Second))
 		q.Next(start)
 		_, _, err := q.Admit(start, job("check", 50, 500*time.Millisecond))
 		Expect(err).To(HaveOccurred())
 	})
-	It("sends a more urgent job past a running one", func() {
+	It("dispatches a more urgent job while another one runs", func() {
 		_, _, _ = q.Admit(start, job("long", 2000, 8*time.Second))
 		Expect(q.Next(start).ID).To(Equal("long"))
 		_, _, _ = q.Admit(start, job("check", 50, 500*time.Millisecond))
 		Expect(q.Next(start).ID).To(Equal("check"))
 	})
-	It("is held up by no job that the engine has no memory for", func() {
+	It("is not blocked by a job that the engine has no memory for", func() {
 		_, _, _ = q.Admit(start, job("long", 2000, 2500*time.Millisecond))
 		q.Next(start)
 		q.Stuck(start, "long", true)
 		_, _, _ = q.Admit(start, job("later", 50, 4*time.Second))
 		Expect(q.Next(start).ID).To(Equal("later"))
 	})
-	It("takes a job that could never meet its target, when it hurts no other", func() {
+	It("admits a job that could never meet its target if it makes no other late", func() {
 		_, _, err := q.Admit(start, job("huge", 5000, time.Second))
 		Expect(err).NotTo(HaveOccurred())
 	})
 })
 
-// queueMachine feeds a queue at random and works on it as an engine that is
-// exactly as fast as the queue thinks.
+// queueMachine feeds random jobs to a queue and processes them like an engine
+// whose speed is exactly the queue's estimate.
 type queueMachine struct {
 	q    *Queue
 	now  time.Time
 	left map[string]time.Duration
 	due  map[string]time.Time
 	next int
-	// began holds the jobs that went to the engine.
-	began map[string]bool
+	// started holds the jobs that were dispatched to the engine.
+	started map[string]bool
 }
 
 func (m *queueMachine) admit(t *rapid.T) {
@@ -105,7 +105,7 @@
 	target := time.Duration(rapid.IntRange(100, 8000).Draw(t, "target_ms")) * time.Millisecond
 	j := Job{ID: fmt.Sprint(m.next), Tokens: tokens, Deadline: m.now.Add(target), Target: target}
 	alone := time.Duration(tokens) * time.Second / 1000
-	_, gaveWay, err := m.q.Admit(m.now, j)
+	_, displaced, err := m.q.Admit(m.now, j)
 	if err != nil {
 		return
 	}
@@ -113,16 +113,16 @@
 	if alone <= target {
 		m.due[j.ID] = j.Deadline
 	}
-	for _, id := range gaveWay {
-		if m.began[id] {
-			t.Fatalf("%s gave way after it had begun", id)
+	for _, id := range displaced {
+		if m.started[id] {
+			t.Fatalf("%s was displaced after it had started", id)
 		}
 		delete(m.left, id)
 		delete(m.due, id)
 	}
 }
 
-// admitPaid adds work that was lost and is repeated: it is never refused.
+// admitPaid adds a repetition of lost work, which must never be refused.
 func (m *queueMachine) admitPaid(t *rapid.T) {
 	m.next++
 	tokens := rapid.IntRange(1, 4000).Draw(t, "tokens")
@@ -131,45 +131,45 @@
 		t.Fatalf("paid work was refused: %v", err)
 	}
 	m.left[j.ID] = time.Duration(tokens) * time.Second / 1000
-	clear(m.due) // It may make others late.
+	clear(m.due) // Paid work may make other jobs late.
 }
 
-// work lets time pass: the engine works on its most urgent job.
+// work advances the time while the engine processes its most urgent job.
 func (m *queueMachine) work(t *rapid.T) {
 	d := time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms")) * time.Millisecond
 	for d > 0 {
 		for j := m.q.Next(m.now); j != nil; j = m.q.Next(m.now) {
-			m.began[j.ID] = true
+			m.started[j.ID] = true
 		}
-		var on *Job
+		var current *Job
 		for _, j := range m.q.jobs {
 			if j.running {
-				on = j
+				current = j
 				break
 			}
 		}
-		if on == nil {
+		if current == nil {
 			m.now = m.now.Add(d)
 			return
 		}
-		step := min(d, m.left[on.ID])
+		step := min(d, m.left[current.ID])
 		m.now, d = m.now.Add(step), d-step
-		if m.left[on.ID] -= step; m.left[on.ID] > 0 {
+		if m.left[current.ID] -= step; m.left[current.ID] > 0 {
 			return
 		}
-		if due, ok := m.due[on.ID]; ok && m.now.After(due) {
-			t.Fatalf("%s was admitted and is %s late", on.ID, m.now.Sub(due))
+		if due, ok := m.due[current.ID]; ok && m.now.After(due) {
+			t.Fatalf("%s was admitted and is %s late", current.ID, m.now.Sub(due))
 		}
-		delete(m.left, on.ID)
-		m.q.Remove(m.now, on.ID)
+		delete(m.left, current.ID)
+		m.q.Remove(m.now, current.ID)
 	}
 }
 
-func TestWhatTheQueueAdmitsIsInTime(t *testing.T) {
+func TestAdmittedPrefillsMeetTheirDeadlines(t *testing.T) {
 	spectest.Check(t, func(t *rapid.T) {
 		m := &queueMachine{
 			q: &Queue{Rate: 1000, Slots: 100, Margin: 1}, now: start,
-			left: map[string]time.Duration{}, due: map[string]time.Time{}, began: map[string]bool{},
+			left: map[string]time.Duration{}, due: map[string]time.Time{}, started: map[string]bool{},
 		}
 		t.Repeat(map[string]func(*rapid.T){"admit": m.admit, "admit paid": m.admitPaid, "work": m.work})
 	})
