--- a/pkg/sidecar/assign.go
+++ b/pkg/sidecar/assign.go
@@ -11,12 +11,12 @@
 	"github.com/hopwell/hopwell/pkg/trace"
 )
 
-// assignRetry is the wait before a failed assignment is tried again.
+// assignRetry is the minimum delay before a failed assignment is retried.
 const assignRetry = time.Second
 
-// assign keeps the engine's role, model, version and adapter as the
-// configuration has them. What they should be is computed by each sidecar from
-// the document alone, so that no controller is needed.
+// assign keeps the engine's role, model, version and adapter in line with the
+// configuration. Each sidecar computes them from the configuration document
+// alone, so no controller is needed.
 func (s *Sidecar) assign(ctx context.Context) {
 	var last engine.Assignment
 	for ctx.Err() == nil {
@@ -40,29 +40,31 @@
 	}
 }
 
-// assignWait is when to try again: when the weight store says, with jitter so
-// that a pool does not come back as one.
+// assignWait returns the delay before the next try: at least the Retry-After of
+// the weight store if it throttled the fetch, with jitter so that the engines
+// of a pool do not retry at the same time.
 func (s *Sidecar) assignWait(err error) time.Duration {
-	var slow *platform.ErrThrottled
+	var throttled *platform.ErrThrottled
 	wait := assignRetry
-	if errors.As(err, &slow) {
-		wait = max(wait, slow.RetryAfter)
+	if errors.As(err, &throttled) {
+		wait = max(wait, throttled.RetryAfter)
 	}
 	return wait + time.Duration(s.Jitter()*float64(wait))
 }
 
-// tryAssign fetches the weights and gives the order. Its fence is the sidecar's
-// epoch and the document's revision: an order of a replaced or paused sidecar,
-// or of an older document, is refused by engines that check.
+// tryAssign fetches the weights and sends the assignment to the engine. The
+// fencing token is the sidecar's epoch and the document's revision: engines
+// that check it refuse an assignment from a sidecar that was replaced or
+// suspended, or from an older document.
 func (s *Sidecar) tryAssign(ctx context.Context, doc *fleet.Document, want engine.Assignment) error {
-	ctx, cancel := context.WithTimeout(ctx, engineTime)
+	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
 	defer cancel()
 	if s.opt.Weights != nil {
 		if err := s.opt.Weights.Fetch(ctx, want.Model, want.Version, want.Adapter); err != nil {
 			return err
 		}
 	}
-	if err := s.mayOrder(ctx, doc); err != nil {
+	if err := s.checkOrderAllowed(ctx, doc); err != nil {
 		return err
 	}
 	if err := s.opt.Engine.Assign(ctx, engine.Fence{Epoch: s.Epoch, Revision: doc.Revision}, want); err != nil {
@@ -72,14 +74,16 @@
 	return nil
 }
 
-// staleAfter is how old the last confirmation of the configuration may be for
-// an order to the engine; peers are asked about every second.
+// staleAfter is the age of the last confirmation of the configuration above
+// which no assignment is sent to the engine. Peers are asked about every
+// second.
 const staleAfter = 4 * time.Second
 
-// mayOrder checks what an engine that does not look at fences would let through:
-// an order from an old document, from a process that was paused and has not
-// compared its configuration since, or from one that was replaced meanwhile.
-func (s *Sidecar) mayOrder(ctx context.Context, doc *fleet.Document) error {
+// checkOrderAllowed rejects outdated assignments, in case the engine ignores
+// fencing tokens: those from an old document, from a process that was suspended
+// and has not compared its configuration since, or from a process that has been
+// replaced.
+func (s *Sidecar) checkOrderAllowed(ctx context.Context, doc *fleet.Document) error {
 	if s.Keeper.Document().Revision != doc.Revision || s.Keeper.Stale(time.Now(), staleAfter) {
 		return &ErrOrder{Want: "a confirmed newest revision"}
 	}
@@ -93,9 +97,9 @@
 	return nil
 }
 
-// Assignment computes what the engine should run on the one member of a view:
-// what the first selector in name order that matches it says. It returns false
-// when none does.
+// Assignment computes what the engine of the view's only member should run: the
+// assignment of the first selector, in name order, that matches the member.
+// Selectors with role serve are skipped. It returns false when none matches.
 func Assignment(rules *fleet.View) (engine.Assignment, bool) {
 	for _, sel := range rules.Work(rules.Members[0]) {
 		if sel.Role == fleet.RoleServe {
--- a/pkg/sidecar/attempt.go
+++ b/pkg/sidecar/attempt.go
@@ -13,7 +13,7 @@
 	"github.com/hopwell/hopwell/pkg/wire/wirepb"
 )
 
-// Codes of a Failed report besides those of the engine.
+// Codes of a Failed report in addition to those of the engine.
 const (
 	CodeLapsed    = "lapsed"
 	CodeCancelled = "cancelled"
@@ -27,12 +27,13 @@
 	Recv() (*wirepb.Order, error)
 }
 
-// attempt is one stream with a gateway: its lease and what it holds here.
+// attempt is one stream with a gateway, its lease, and the channels that pass
+// on the gateway's orders.
 type attempt struct {
-	s    *Sidecar
-	open *wirepb.Open
-	key  string
-	at   time.Time
+	s        *Sidecar
+	open     *wirepb.Open
+	key      string
+	openedAt time.Time
 
 	ctx   context.Context
 	lease *lease
@@ -45,7 +46,7 @@
 	st stream
 }
 
-// minLease and maxLease bound the lease that a gateway may ask for.
+// minLease and maxLease clamp the lease that a gateway requests.
 const (
 	minLease = 200 * time.Millisecond
 	maxLease = 30 * time.Second
@@ -67,8 +68,8 @@
 	if open == nil {
 		return &ErrOrder{Want: "open"}
 	}
-	s.open.Add(1)
-	defer s.open.Add(-1)
+	s.openAttempts.Add(1)
+	defer s.openAttempts.Add(-1)
 	a := s.newAttempt(st, open)
 	defer a.lease.end(&errCancelled{})
 	s.Log.Add(trace.Event{Type: trace.Opened, Request: open.RequestId, Attempt: int(open.Attempt), Instance: s.Self.Name, Detail: "role=" + open.Role})
@@ -92,7 +93,7 @@
 func (s *Sidecar) newAttempt(st stream, open *wirepb.Open) *attempt {
 	length := min(max(time.Duration(open.LeaseUs)*time.Microsecond, minLease), maxLease)
 	a := &attempt{
-		s: s, open: open, st: st, at: time.Now(),
+		s: s, open: open, st: st, openedAt: time.Now(),
 		key:      attemptKey(open.RequestId, open.Attempt, open.Role),
 		start:    make(chan *wirepb.Start, 1),
 		release:  make(chan struct{}, 1),
@@ -102,34 +103,34 @@
 	return a
 }
 
-// refusal says why the attempt can't be taken at all, nil if it can.
+// refusal returns why the attempt can't be admitted at all, nil if it can.
 func (s *Sidecar) refusal(open *wirepb.Open) *wirepb.Refused {
 	rules := s.rules()
-	no := func(reason string) *wirepb.Refused {
+	refuseWith := func(reason string) *wirepb.Refused {
 		return &wirepb.Refused{Reason: reason, Revision: rules.Doc.Revision}
 	}
 	if !s.ready.Load() || !s.Ready() {
-		return no(wire.ReasonStarting)
+		return refuseWith(wire.ReasonStarting)
 	}
 	if s.leaving.Load() {
-		return no(wire.ReasonLeaving)
+		return refuseWith(wire.ReasonLeaving)
 	}
 	if open.Revision > rules.Doc.Revision {
-		return no(wire.ReasonBehind)
+		return refuseWith(wire.ReasonBehind)
 	}
-	if !s.granted(rules, open) {
-		return no(wire.ReasonSelector)
+	if !s.permitted(rules, open) {
+		return refuseWith(wire.ReasonSelector)
 	}
 	return nil
 }
 
-// granted checks the work against the sidecar's own configuration.
-func (s *Sidecar) granted(rules *fleet.View, open *wirepb.Open) bool {
+// permitted checks the attempt against the sidecar's own configuration.
+func (s *Sidecar) permitted(rules *fleet.View, open *wirepb.Open) bool {
 	labels := rules.Members[0].Labels
 	return !labels.Leaving() && rules.Select(open.Kind, open.Model, fleet.Role(open.Role), labels) != nil
 }
 
-// receive takes the gateway's orders until the stream ends.
+// receive handles the gateway's orders until the stream ends.
 func (a *attempt) receive() {
 	for {
 		o, err := a.st.Recv()
@@ -138,36 +139,37 @@
 			return
 		}
 		a.s.Log.Clock.Meet(o.Clock)
-		a.take(o)
+		a.handleOrder(o)
 	}
 }
 
-func (a *attempt) take(o *wirepb.Order) {
+func (a *attempt) handleOrder(o *wirepb.Order) {
 	switch b := o.Body.(type) {
 	case *wirepb.Order_Renew:
 		a.lease.renew()
 		_ = a.send(&wirepb.Report{Load: a.s.renewalLoad(a.open.Gateway)})
 	case *wirepb.Order_Start:
 		a.lease.renew()
-		offer(a.start, b.Start)
+		trySend(a.start, b.Start)
 	case *wirepb.Order_Release:
-		offer(a.release, struct{}{})
+		trySend(a.release, struct{}{})
 	case *wirepb.Order_Handover:
-		offer(a.handover, struct{}{})
+		trySend(a.handover, struct{}{})
 	case *wirepb.Order_Cancel:
 		a.lease.end(&errCancelled{})
 	}
 }
 
-// offer puts a value into a channel of one place; a second one is dropped.
-func offer[T any](ch chan T, v T) {
+// trySend sends a value to a channel with a buffer of one without blocking. It
+// drops the value if the buffer is full.
+func trySend[T any](ch chan T, v T) {
 	select {
 	case ch <- v:
 	default:
 	}
 }
 
-// send writes one report.
+// send adds the clock to a report and sends it to the gateway.
 func (a *attempt) send(r *wirepb.Report) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -182,21 +184,24 @@
 	})
 }
 
-// refuse ends an attempt that has not begun. It never will: its stream ends here,
-// and only this stream could start it. The gateway may ask again on another.
+// refuse ends an attempt that has not started. The attempt can never start,
+// since only this stream could start it and the stream ends here. The gateway
+// may retry on another stream.
 func (a *attempt) refuse(r *wirepb.Refused) error {
-	a.s.met.refused(r.Reason)
+	a.s.metrics.refused(r.Reason)
 	a.event(trace.Refused, "role="+a.open.Role+" reason="+r.Reason)
 	return a.send(&wirepb.Report{Load: a.s.load(), Body: &wirepb.Report_Refused{Refused: r}})
 }
 
-// admit tells the gateway that the attempt is taken.
+// admit reports to the gateway that the attempt is admitted and how long it is
+// expected to wait.
 func (a *attempt) admit(wait time.Duration) error {
 	a.event(trace.Admitted, fmt.Sprintf("role=%s wait=%s", a.open.Role, wait.Round(time.Millisecond)))
 	return a.send(&wirepb.Report{Load: a.s.load(), Body: &wirepb.Report_Admitted{Admitted: &wirepb.Admitted{WaitUs: wait.Microseconds()}}})
 }
 
-// fail ends an attempt that could not be completed.
+// fail ends an attempt that could not be completed. started reports whether the
+// runner may have started it.
 func (a *attempt) fail(err error, started bool) error {
 	f := &wirepb.Failed{Code: failureCode(a.ctx, err), Started: started, Detail: err.Error()}
 	if f.Code == CodeLapsed {
@@ -224,19 +229,19 @@
 // cause returns why an attempt's context ended.
 func (a *attempt) cause() error { return context.Cause(a.ctx) }
 
-// lapsed reports whether an error is a lapsed lease.
+// lapsed reports whether an error is an expired lease.
 func lapsed(err error) bool {
 	var l *errLapsed
 	return errors.As(err, &l)
 }
 
-// Fence implements wirepb.DRPCRunnerServer: after its answer "not started" the
-// attempt never starts here.
+// Fence implements wirepb.DRPCRunnerServer. Once it has replied that an attempt
+// has not started, the attempt never starts here.
 func (s *Sidecar) Fence(_ context.Context, r *wirepb.FenceRequest) (*wirepb.FenceReply, error) {
 	s.Log.Clock.Meet(r.Clock)
-	began := s.fences.fence(attemptKey(r.RequestId, r.Attempt, r.Role))
-	s.Log.Add(trace.Event{Type: trace.Fenced, Request: r.RequestId, Attempt: int(r.Attempt), Instance: s.Self.Name, Detail: fmt.Sprintf("role=%s began=%t", r.Role, began)})
-	return &wirepb.FenceReply{Started: began, Epoch: s.Epoch, Clock: s.Log.Clock.Next()}, nil
+	started := s.fences.fence(attemptKey(r.RequestId, r.Attempt, r.Role))
+	s.Log.Add(trace.Event{Type: trace.Fenced, Request: r.RequestId, Attempt: int(r.Attempt), Instance: s.Self.Name, Detail: fmt.Sprintf("role=%s began=%t", r.Role, started)})
+	return &wirepb.FenceReply{Started: started, Epoch: s.Epoch, Clock: s.Log.Clock.Next()}, nil
 }
 
 // Probe implements wirepb.DRPCRunnerServer.
--- a/pkg/sidecar/call.go
+++ b/pkg/sidecar/call.go
@@ -15,20 +15,23 @@
 )
 
 const (
-	// callRetry is when a full service is worth another try.
-	callRetry = 250 * time.Millisecond
-	// chunkBytes is the size of the pieces in which a service's answer travels.
+	// callRetryAfter is the Retry-After of a refusal when all slots of the
+	// plain runner are in use.
+	callRetryAfter = 250 * time.Millisecond
+	// chunkBytes is the maximum size of the chunks in which a response body is
+	// relayed.
 	chunkBytes = 32 << 10
 )
 
-// call passes one call to the plain service beside the sidecar. Between its
-// admission and its start the gateway may still claim the request's key.
+// call forwards one call to the plain runner beside the sidecar. Between the
+// call's admission and its start the gateway may still claim the request's
+// idempotency key.
 func (a *attempt) call() error {
-	if !a.s.takeSlot() {
-		return a.refuse(&wirepb.Refused{Reason: wire.ReasonFull, RetryAfterUs: callRetry.Microseconds()})
+	if !a.s.acquireSlot() {
+		return a.refuse(&wirepb.Refused{Reason: wire.ReasonFull, RetryAfterUs: callRetryAfter.Microseconds()})
 	}
-	give := sync.OnceFunc(a.s.giveSlot)
-	defer give()
+	release := sync.OnceFunc(a.s.releaseSlot)
+	defer release()
 	if err := a.admit(0); err != nil {
 		return err
 	}
@@ -37,26 +40,26 @@
 	case <-a.ctx.Done():
 		return a.fail(a.cause(), false)
 	}
-	if !a.s.fences.begin(a.key) {
+	if !a.s.fences.tryStart(a.key) {
 		return a.fail(&ErrOrder{Want: "an attempt that was not fenced"}, false)
 	}
 	a.event(trace.Started, "role=serve")
-	sent, err := a.pass()
+	sent, err := a.forward()
 	if err != nil {
 		return a.fail(err, mayHaveRun(err))
 	}
 	a.event(trace.Ended, "role=serve")
-	give() // Before the load is read for the report.
+	release() // Before a.s.load() counts the slots in use.
 	return a.send(&wirepb.Report{Load: a.s.load(), Body: &wirepb.Report_End{End: &wirepb.End{Bytes: uint32(sent)}}})
 }
 
-// mayHaveRun reports whether a call that failed may have reached the service.
+// mayHaveRun reports whether a failed call may have reached the plain runner.
 func mayHaveRun(err error) bool {
-	var un *engine.ErrUnreachable
-	return !errors.As(err, &un) || un.Sent
+	var unreachable *engine.ErrUnreachable
+	return !errors.As(err, &unreachable) || unreachable.Sent
 }
 
-func (s *Sidecar) takeSlot() bool {
+func (s *Sidecar) acquireSlot() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.calls >= s.opt.Slots {
@@ -66,14 +69,15 @@
 	return true
 }
 
-func (s *Sidecar) giveSlot() {
+func (s *Sidecar) releaseSlot() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls--
 }
 
-// pass sends the call and relays its answer. It returns the bytes relayed.
-func (a *attempt) pass() (int, error) {
+// forward sends the call, relays the response and returns the number of body
+// bytes relayed.
+func (a *attempt) forward() (int, error) {
 	c := a.open.Call
 	r, err := http.NewRequestWithContext(a.ctx, c.GetMethod(), "http://service"+c.GetPath(), bytes.NewReader(c.GetBody()))
 	if err != nil {
@@ -87,13 +91,13 @@
 		return 0, err
 	}
 	defer resp.Body.Close()
-	if err := a.send(&wirepb.Report{Body: &wirepb.Report_Head{Head: head(resp)}}); err != nil {
+	if err := a.send(&wirepb.Report{Body: &wirepb.Report_Head{Head: responseHead(resp)}}); err != nil {
 		return 0, err
 	}
-	return a.body(resp.Body)
+	return a.relayBody(resp.Body)
 }
 
-func head(resp *http.Response) *wirepb.Head {
+func responseHead(resp *http.Response) *wirepb.Head {
 	h := &wirepb.Head{Status: int32(resp.StatusCode)}
 	for name, values := range resp.Header {
 		for _, v := range values {
@@ -103,8 +107,9 @@
 	return h
 }
 
-// body relays a service's answer in pieces.
-func (a *attempt) body(r io.Reader) (int, error) {
+// relayBody relays the body of a response in chunks and returns the number of
+// bytes relayed.
+func (a *attempt) relayBody(r io.Reader) (int, error) {
 	sent := 0
 	buf := make([]byte, chunkBytes)
 	for {
--- a/pkg/sidecar/decode.go
+++ b/pkg/sidecar/decode.go
@@ -12,14 +12,15 @@
 	"github.com/hopwell/hopwell/pkg/wire/wirepb"
 )
 
-// Bounds of an import: it counts as stalled when it takes stallFactor times
-// what the link should need, and at least stallMin.
+// An import counts as stalled when it takes longer than stallFactor times the
+// transfer time at the estimated link rate, and longer than stallMin.
 const (
 	stallFactor = 6
 	stallMin    = 300 * time.Millisecond
 )
 
-// decode reserves a stream, waits for the order to start, and relays tokens.
+// decode reserves a stream on the engine, waits for the order to start, and
+// relays the tokens.
 func (a *attempt) decode() error {
 	wait, err := a.s.reserve(a)
 	if err != nil {
@@ -37,23 +38,23 @@
 	case <-a.ctx.Done():
 		return a.fail(a.cause(), false)
 	}
-	if err := a.s.slot(a); err != nil {
+	if err := a.s.awaitSlot(a); err != nil {
 		return a.fail(err, false)
 	}
-	if !a.s.fences.begin(a.key) {
+	if !a.s.fences.tryStart(a.key) {
 		return a.fail(&ErrOrder{Want: "an attempt that was not fenced"}, false)
 	}
 	return a.generate(start)
 }
 
-// reserve records a stream with the ledger and returns how long its start will
-// wait for its slot.
+// reserve records a stream in the ledger and returns how long it is expected to
+// wait for a slot once its KV cache is ready.
 func (s *Sidecar) reserve(a *attempt) (time.Duration, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	tokens := int64(a.open.PromptTokens) + int64(a.open.MaxTokens)
 	st := admission.Stream{
-		ID: a.key, Bytes: tokens * s.kvToken, Tokens: int(a.open.MaxTokens - a.open.ResumeOffset),
+		ID: a.key, Bytes: tokens * s.kvPerToken, Tokens: int(a.open.MaxTokens - a.open.ResumeOffset),
 		PerToken: time.Duration(a.open.PerTokenUs) * time.Microsecond,
 	}
 	if s.opt.Admission == AdmitFIFO {
@@ -69,61 +70,61 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ledger.Drop(key)
-	s.nextStarter()
+	s.startWaiters()
 }
 
-// starter is a stream whose KV cache is ready and that waits for its slot.
-type starter struct {
+// slotWaiter is a stream whose KV cache is ready and that waits for a slot.
+type slotWaiter struct {
 	key   string
 	since time.Time
-	ok    chan struct{}
+	start chan struct{}
 }
 
-// starterPatience is how long a waiting stream lets smaller ones pass: KV caches
-// are kept for a few seconds only.
-const starterPatience = time.Second
+// bypassTime is how long a waiting stream lets smaller ones start before it. It
+// is short because KV caches are kept for a few seconds only.
+const bypassTime = time.Second
 
-// briefStream is the length of a stream that always passes: it ends before it
-// could keep a larger one waiting.
-const briefStream = 250 * time.Millisecond
+// shortStream is the maximum duration of a stream that may always start before
+// a waiting one: it ends before it could delay a larger stream.
+const shortStream = 250 * time.Millisecond
 
-// slot waits until the stream has room. Streams start in the order in which
-// their KV caches became ready, but one that does not fit yet lets others pass
-// for a while.
-func (s *Sidecar) slot(a *attempt) error {
-	w := &starter{key: a.key, since: time.Now(), ok: make(chan struct{})}
+// awaitSlot waits until the engine has room for the stream. Streams start in
+// the order in which their KV caches became ready, but a stream that does not
+// fit yet lets others start before it for bypassTime.
+func (s *Sidecar) awaitSlot(a *attempt) error {
+	w := &slotWaiter{key: a.key, since: time.Now(), start: make(chan struct{})}
 	s.mu.Lock()
-	s.starters = append(s.starters, w)
-	s.nextStarter()
+	s.slotWaiters = append(s.slotWaiters, w)
+	s.startWaiters()
 	s.mu.Unlock()
 	select {
-	case <-w.ok:
+	case <-w.start:
 		return nil
 	case <-a.ctx.Done():
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.starters = slices.DeleteFunc(s.starters, func(x *starter) bool { return x == w })
-	s.nextStarter()
+	s.slotWaiters = slices.DeleteFunc(s.slotWaiters, func(x *slotWaiter) bool { return x == w })
+	s.startWaiters()
 	return a.cause()
 }
 
-// nextStarter lets waiting streams start while there is room. The caller holds
-// the lock.
-func (s *Sidecar) nextStarter() {
-	var waiting []*starter
+// startWaiters starts waiting streams while the engine has room. The caller
+// holds s.mu.
+func (s *Sidecar) startWaiters() {
+	var waiting []*slotWaiter
 	blocked := false
 	fifo := s.opt.Admission == AdmitFIFO
-	for _, w := range s.starters {
-		brief := !fifo && s.ledger.Duration(w.key) <= briefStream
-		if (!blocked || brief) && s.ledger.Start(w.key) {
-			close(w.ok)
+	for _, w := range s.slotWaiters {
+		short := !fifo && s.ledger.Duration(w.key) <= shortStream
+		if (!blocked || short) && s.ledger.Start(w.key) {
+			close(w.start)
 			continue
 		}
 		waiting = append(waiting, w)
-		blocked = blocked || fifo || time.Since(w.since) > starterPatience
+		blocked = blocked || fifo || time.Since(w.since) > bypassTime
 	}
-	s.starters = waiting
+	s.slotWaiters = waiting
 }
 
 // generate runs the decode on the engine and relays its tokens.
@@ -133,10 +134,10 @@
 	done := make(chan struct{})
 	defer close(done)
 	go a.watchHandover(done, r)
-	err := a.s.decodeEngine(a, a.order(start), r)
+	err := a.s.runDecode(a, a.decodeRequest(start), r)
 	if err == nil {
 		a.event(trace.Ended, "role=decode")
-		a.s.unreserve(a.key) // Before the load is read for the report.
+		a.s.unreserve(a.key) // Before a.s.load() reads the ledger.
 		return a.send(&wirepb.Report{Load: a.s.load(), Body: &wirepb.Report_End{End: &wirepb.End{Tokens: uint32(r.next), Reason: r.reason}}})
 	}
 	if isCode(err, engine.CodeMoved) {
@@ -146,7 +147,7 @@
 	return a.fail(err, true)
 }
 
-func (a *attempt) order(start *wirepb.Start) engine.Decode {
+func (a *attempt) decodeRequest(start *wirepb.Start) engine.Decode {
 	d := engine.Decode{
 		ID: a.key, Model: a.open.Model, Version: a.open.Version, Adapter: a.open.Adapter,
 		Prompt: a.open.Prompt, PromptTokens: int(a.open.PromptTokens),
@@ -159,9 +160,9 @@
 	return d
 }
 
-// decodeEngine runs a decode whose import must not stall.
-func (s *Sidecar) decodeEngine(a *attempt, d engine.Decode, r *relay) error {
-	ctx, stall := stallContext(a.ctx, s.importTime(d))
+// runDecode runs a decode on the engine and aborts it if its import stalls.
+func (s *Sidecar) runDecode(a *attempt, d engine.Decode, r *relay) error {
+	ctx, stall := stallContext(a.ctx, s.importTimeout(d))
 	err := s.opt.Engine.Decode(ctx, d, func() { stall.done(); r.imported() }, r.token)
 	if stall.fired() && a.ctx.Err() == nil {
 		return &engine.ErrEngine{Code: engine.CodeStalled, Detail: d.ID}
@@ -169,9 +170,9 @@
 	return err
 }
 
-// importTime is how long the import may take. Without a source the engine
-// computes the prompt itself, which has no bound but the lease.
-func (s *Sidecar) importTime(d engine.Decode) time.Duration {
+// importTimeout returns how long the import may take. Without a source the
+// engine computes the prompt itself, which only the lease limits.
+func (s *Sidecar) importTimeout(d engine.Decode) time.Duration {
 	if d.Source == nil || s.opt.LinkRate <= 0 {
 		return maxLease
 	}
--- a/pkg/sidecar/epoch.go
+++ b/pkg/sidecar/epoch.go
@@ -7,15 +7,15 @@
 	"github.com/hopwell/hopwell/pkg/engine"
 )
 
-// NextEpoch returns a new sidecar's epoch: later than that of every earlier
-// process beside the engine. The engine's own word goes before the clock, which
-// may have been set back.
+// NextEpoch returns the epoch of a new sidecar, which is higher than that of
+// every earlier process beside the engine. The epoch that the engine reports
+// takes precedence over the clock, which may have been set back.
 func NextEpoch(e engine.Engine) uint64 {
 	epoch := uint64(time.Now().UnixMilli())
 	if e == nil {
 		return epoch
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), engineTime)
+	ctx, cancel := context.WithTimeout(context.Background(), engineTimeout)
 	defer cancel()
 	if l, err := e.Load(ctx); err == nil {
 		epoch = max(epoch, l.Fence.Epoch+1)
--- a/pkg/sidecar/errors.go
+++ b/pkg/sidecar/errors.go
@@ -8,7 +8,8 @@
 	"github.com/hopwell/hopwell/pkg/engine"
 )
 
-// ErrOrder reports that a gateway's order came out of turn.
+// ErrOrder reports an order that is not allowed in the present state. Want
+// names what the order requires.
 type ErrOrder struct {
 	Want string
 }
@@ -16,7 +17,8 @@
 // Error implements error.
 func (e *ErrOrder) Error() string { return fmt.Sprintf("order out of turn: want=%s", e.Want) }
 
-// failureCode names an attempt's failure for the gateway.
+// failureCode returns the code that reports an attempt's failure to the
+// gateway.
 func failureCode(ctx context.Context, err error) string {
 	if cause := context.Cause(ctx); cause != nil {
 		if lapsed(cause) {
@@ -24,15 +26,15 @@
 		}
 		return CodeCancelled
 	}
-	var refused *engine.ErrEngine
-	if errors.As(err, &refused) {
-		return refused.Code
+	var engineErr *engine.ErrEngine
+	if errors.As(err, &engineErr) {
+		return engineErr.Code
 	}
 	return CodeRunner
 }
 
-// isCode reports whether an engine answered with that code.
+// isCode reports whether an error is an engine's error with that code.
 func isCode(err error, code string) bool {
-	var refused *engine.ErrEngine
-	return errors.As(err, &refused) && refused.Code == code
+	var engineErr *engine.ErrEngine
+	return errors.As(err, &engineErr) && engineErr.Code == code
 }
--- a/pkg/sidecar/fences.go
+++ b/pkg/sidecar/fences.go
@@ -6,67 +6,68 @@
 	"time"
 )
 
-// fenceKeep is the least time that begun and fenced attempts are remembered.
-// No order can be on its way for that long.
-const fenceKeep = 10 * time.Minute
+// fenceRetention is the minimum time for which started and fenced attempts are
+// recorded. No order stays in flight for that long.
+const fenceRetention = 10 * time.Minute
 
-// fences remembers which attempts began here and which must not begin any more.
-// Two generations bound its size by time.
+// fences records which attempts started here and which must never start. It
+// keeps two generations of records, which bounds its size by time.
 type fences struct {
-	mu         sync.Mutex
-	turned     time.Time
-	young, old map[string]bool
+	mu                sync.Mutex
+	rotated           time.Time
+	current, previous map[string]bool
 }
 
 func newFences() fences {
-	return fences{turned: time.Now(), young: map[string]bool{}, old: map[string]bool{}}
+	return fences{rotated: time.Now(), current: map[string]bool{}, previous: map[string]bool{}}
 }
 
-// attemptKey names the part that a runner has in an attempt of a request.
+// attemptKey identifies the part that a runner has in an attempt of a request.
 func attemptKey(request string, attempt uint32, role string) string {
 	return fmt.Sprintf("%s/%d/%s", request, attempt, role)
 }
 
-// turn forgets what is older than two generations. The caller holds the lock.
-func (f *fences) turn() {
-	if time.Since(f.turned) < fenceKeep {
+// rotate drops the previous generation once the current one is older than
+// fenceRetention. The caller holds f.mu.
+func (f *fences) rotate() {
+	if time.Since(f.rotated) < fenceRetention {
 		return
 	}
-	f.turned = time.Now()
-	f.old, f.young = f.young, map[string]bool{}
+	f.rotated = time.Now()
+	f.previous, f.current = f.current, map[string]bool{}
 }
 
-// lookup returns whether the attempt is known and whether it began.
-func (f *fences) lookup(key string) (began, known bool) {
-	if v, ok := f.young[key]; ok {
+// lookup returns whether the attempt started and whether it is recorded.
+func (f *fences) lookup(key string) (started, recorded bool) {
+	if v, ok := f.current[key]; ok {
 		return v, true
 	}
-	v, ok := f.old[key]
+	v, ok := f.previous[key]
 	return v, ok
 }
 
-// begin records that an attempt is about to begin, and reports whether it may: a
-// fenced one may not, and neither may one that began before.
-func (f *fences) begin(key string) bool {
+// tryStart records that an attempt is about to start and reports whether it
+// may. A fenced attempt may not, and neither may one that has started before.
+func (f *fences) tryStart(key string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.turn()
-	if _, known := f.lookup(key); known {
+	f.rotate()
+	if _, recorded := f.lookup(key); recorded {
 		return false
 	}
-	f.young[key] = true
+	f.current[key] = true
 	return true
 }
 
-// fence makes sure that an attempt that has not begun never will, and reports
-// whether it began.
+// fence prevents an attempt that has not started from ever starting, and
+// reports whether it has started.
 func (f *fences) fence(key string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.turn()
-	if began, known := f.lookup(key); known {
-		return began
+	f.rotate()
+	if started, recorded := f.lookup(key); recorded {
+		return started
 	}
-	f.young[key] = false
+	f.current[key] = false
 	return false
 }
--- a/pkg/sidecar/fuzz_test.go
+++ b/pkg/sidecar/fuzz_test.go
@@ -15,7 +15,7 @@
 	"github.com/hopwell/hopwell/pkg/wire/wirepb"
 )
 
-// oneOrder is a stream that brings one order and then ends.
+// oneOrder is a stream that delivers one order and then ends.
 type oneOrder struct {
 	ctx   context.Context
 	order *wirepb.Order
@@ -32,8 +32,8 @@
 	return o, nil
 }
 
-// FuzzOrder gives a sidecar whatever a broken gateway may send: it must answer
-// or end the stream, and hold nothing afterwards.
+// FuzzOrder sends a sidecar any order that a faulty gateway may send. The
+// sidecar must respond or end the stream, and hold no resources afterwards.
 func FuzzOrder(f *testing.F) {
 	for _, role := range []fleet.Role{fleet.RolePrefill, fleet.RoleDecode, fleet.RoleServe, "none"} {
 		data, err := proto.Marshal(&wirepb.Order{Body: &wirepb.Order_Open{Open: &wirepb.Open{
@@ -59,7 +59,7 @@
 		f.Fatal(err)
 	}
 	s := New(n, Options{Engine: e, Service: fake.NewService(0), Slots: 1, Admission: AdmitDeadline, PrefillRate: 1e6, LinkRate: 1e9})
-	s.learn(context.Background())
+	s.readLimits(context.Background())
 	s.ready.Store(true)
 	f.Fuzz(func(t *testing.T, data []byte) {
 		o := &wirepb.Order{}
@@ -68,7 +68,7 @@
 		}
 		_ = s.serve(&oneOrder{ctx: context.Background(), order: o})
 		if running, reserved, _ := s.ledger.Usage(); running+reserved != 0 || s.queue.Len() != 0 || s.calls != 0 {
-			t.Fatalf("held after the end: streams=%d+%d queue=%d calls=%d", running, reserved, s.queue.Len(), s.calls)
+			t.Fatalf("resources held after the stream ended: streams=%d+%d queue=%d calls=%d", running, reserved, s.queue.Len(), s.calls)
 		}
 	})
 }
--- a/pkg/sidecar/leaving.go
+++ b/pkg/sidecar/leaving.go
@@ -8,14 +8,16 @@
 )
 
 const (
-	// leavingEvery is how often the sidecar looks whether its instance leaves.
-	leavingEvery = 500 * time.Millisecond
-	// drainPoll is how often a drain looks whether work is left.
+	// leavingPoll is the interval at which the sidecar checks whether its
+	// instance is leaving.
+	leavingPoll = 500 * time.Millisecond
+	// drainPoll is the interval at which a drain checks for open attempts.
 	drainPoll = 20 * time.Millisecond
 )
 
-// Leave takes the instance out of service: no new work from now on. A deadline
-// other than zero is when the instance ends; what can't finish before moves.
+// Leave takes the instance out of service: it accepts no new work from now on.
+// A deadline other than zero is when the instance ends; streams that can't
+// finish before are handed over.
 func (s *Sidecar) Leave(deadline time.Time, why string) {
 	if !deadline.IsZero() {
 		s.deadline.Store(deadline.UnixNano())
@@ -27,46 +29,48 @@
 	s.log.Info("leaving", "instance", s.Self.Name, "why", why, "deadline", deadline)
 }
 
-// watchLeaving notices when the instance list shows the instance as leaving, and
-// moves work away when the deadline comes near.
+// watchLeaving checks whether the instance list shows the instance as leaving,
+// and hands streams over when the deadline comes near.
 func (s *Sidecar) watchLeaving(ctx context.Context) {
 	for ctx.Err() == nil {
 		if in, ok := s.Members.Listed(s.Self.Name); ok && in.Leaving && in.Inner == s.Self.Inner {
 			s.Leave(in.Deadline, "instance_list")
 		}
-		s.moveLate()
+		s.handOverUnfinished()
 		select {
-		case <-time.After(leavingEvery):
+		case <-time.After(leavingPoll):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// moveMargin is the time that a handover and the import elsewhere may take.
-const moveMargin = 3 * time.Second
+// handoverMargin is the time allowed for a handover and the import by another
+// engine.
+const handoverMargin = 3 * time.Second
 
-// moveLate hands over the streams that will not end before the deadline.
-func (s *Sidecar) moveLate() {
+// handOverUnfinished hands over the streams that will not end before the
+// deadline.
+func (s *Sidecar) handOverUnfinished() {
 	ns := s.deadline.Load()
 	if ns == 0 || !s.leaving.Load() {
 		return
 	}
-	left := time.Until(time.Unix(0, ns)) - moveMargin
+	left := time.Until(time.Unix(0, ns)) - handoverMargin
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for key, a := range s.attempts {
 		if s.ledger.Left(key) > left {
-			offer(a.handover, struct{}{})
+			trySend(a.handover, struct{}{})
 		}
 	}
 }
 
-// Drain takes the instance out of service and waits until no attempt is open,
-// or until the context ends; it reports whether all work ended.
+// Drain takes the instance out of service and waits until no attempt is open or
+// the context ends. It reports whether all work ended.
 func (s *Sidecar) Drain(ctx context.Context, deadline time.Time) bool {
 	s.Leave(deadline, "drain")
-	for s.open.Load() > 0 {
-		s.moveLate()
+	for s.openAttempts.Load() > 0 {
+		s.handOverUnfinished()
 		select {
 		case <-time.After(drainPoll):
 		case <-ctx.Done():
--- a/pkg/sidecar/load.go
+++ b/pkg/sidecar/load.go
@@ -7,7 +7,7 @@
 	"github.com/hopwell/hopwell/pkg/wire/wirepb"
 )
 
-// load reports what the sidecar knows of its runner now.
+// load returns the present load of the runner as the sidecar records it.
 func (s *Sidecar) load() *wirepb.Load {
 	d, _ := s.Keeper.Digest()
 	now := time.Now()
@@ -19,7 +19,7 @@
 	l := &wirepb.Load{
 		Instance: s.Self.Name, Epoch: s.Epoch, Revision: d.Revision, Leaving: s.leaving.Load(),
 		Running: uint32(running), Reserved: uint32(reserved), BatchLimit: uint32(s.ledger.Batch),
-		KvUsed: uint64(bytes), KvTotal: uint64(s.ledger.Bytes), KvPerToken: uint64(s.kvToken),
+		KvUsed: uint64(bytes), KvTotal: uint64(s.ledger.Bytes), KvPerToken: uint64(s.kvPerToken),
 		QueuedTokens: uint64(all), UrgentTokens: uint64(urgent), PrefillRate: s.queue.Rate,
 		StepBase: base.Seconds(), StepSlope: slope.Seconds(),
 		Transfers: uint32(s.transfers), LinkRate: s.opt.LinkRate,
@@ -32,23 +32,25 @@
 }
 
 const (
-	// loadEvery is the least time between two loads that ride on renewals of one
-	// gateway, however many streams it has here.
-	loadEvery = 500 * time.Millisecond
-	// maxReported bounds the gateways that are remembered.
-	maxReported = 4096
+	// loadInterval is the minimum time between two loads that are sent to one
+	// gateway in response to lease renewals, however many streams the gateway
+	// has here.
+	loadInterval = 500 * time.Millisecond
+	// maxLoadGateways bounds the gateways for which the time of the last load
+	// is recorded.
+	maxLoadGateways = 4096
 )
 
-// renewalLoad returns the load for an answer to a renewal, nil when the gateway
-// was told a moment ago.
+// renewalLoad returns the load for the response to a renewal, nil when one was
+// sent to the gateway within loadInterval.
 func (s *Sidecar) renewalLoad(gateway string) *wirepb.Load {
 	now := time.Now()
 	s.mu.Lock()
-	if now.Sub(s.reported[gateway]) < loadEvery {
+	if now.Sub(s.reported[gateway]) < loadInterval {
 		s.mu.Unlock()
 		return nil
 	}
-	if len(s.reported) >= maxReported {
+	if len(s.reported) >= maxLoadGateways {
 		clear(s.reported)
 	}
 	s.reported[gateway] = now
--- a/pkg/sidecar/metrics.go
+++ b/pkg/sidecar/metrics.go
@@ -11,7 +11,7 @@
 type meters struct {
 	set       *metrics.Set
 	prefilled *metrics.Counter
-	found     *metrics.Counter
+	cached    *metrics.Counter
 	decoded   *metrics.Counter
 }
 
@@ -20,7 +20,7 @@
 	return &meters{
 		set:       set,
 		prefilled: set.NewCounter("hopwell_sidecar_prefilled_tokens_total"),
-		found:     set.NewCounter("hopwell_sidecar_cached_tokens_total"),
+		cached:    set.NewCounter("hopwell_sidecar_cached_tokens_total"),
 		decoded:   set.NewCounter("hopwell_sidecar_decoded_tokens_total"),
 	}
 }
@@ -30,8 +30,9 @@
 	m.set.GetOrCreateCounter(fmt.Sprintf(`hopwell_sidecar_refused_total{reason=%q}`, reason)).Inc()
 }
 
-// watch adds the gauges of what is held, which are back at 0 at rest.
-func (m *meters) watch(s *Sidecar) {
+// addGauges adds the gauges of resources in use. They return to 0 when no
+// attempt is open.
+func (m *meters) addGauges(s *Sidecar) {
 	usage := func(pick func(running, reserved int, bytes int64) float64) func() float64 {
 		return func() float64 {
 			s.mu.Lock()
@@ -42,7 +43,7 @@
 	m.set.NewGauge("hopwell_sidecar_streams", usage(func(r, _ int, _ int64) float64 { return float64(r) }))
 	m.set.NewGauge("hopwell_sidecar_reservations", usage(func(_, r int, _ int64) float64 { return float64(r) }))
 	m.set.NewGauge("hopwell_sidecar_kv_bytes", usage(func(_, _ int, b int64) float64 { return float64(b) }))
-	m.set.NewGauge("hopwell_sidecar_attempts", func() float64 { return float64(s.open.Load()) })
+	m.set.NewGauge("hopwell_sidecar_attempts", func() float64 { return float64(s.openAttempts.Load()) })
 	m.set.NewGauge("hopwell_sidecar_queue", func() float64 {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -51,4 +52,4 @@
 }
 
 // WriteMetrics writes the metrics in the Prometheus text format.
-func (s *Sidecar) WriteMetrics(w io.Writer) { s.met.set.WritePrometheus(w) }
+func (s *Sidecar) WriteMetrics(w io.Writer) { s.metrics.set.WritePrometheus(w) }
--- a/pkg/sidecar/prefill.go
+++ b/pkg/sidecar/prefill.go
@@ -14,22 +14,25 @@
 	"github.com/hopwell/hopwell/pkg/wire/wirepb"
 )
 
-// fullRetry is the wait before an engine without room is asked again.
+// fullRetry is the delay before a prefill is retried on an engine that had no
+// memory for it.
 const fullRetry = 20 * time.Millisecond
 
-// gaveWayRetry is when a prefill that gave way to others is worth another try.
-const gaveWayRetry = 500 * time.Millisecond
+// displacedRetryAfter is the Retry-After of a prefill that other prefills
+// displaced from the queue.
+const displacedRetryAfter = 500 * time.Millisecond
 
-// fifoStep keeps a baseline's jobs in order of arrival: each one's deadline is
-// later than that of all before.
-const fifoStep = time.Hour
+// fifoTarget is the time to the deadline of every job in FIFO mode. Deadlines
+// then follow the order of arrival: each is later than those of all earlier
+// jobs.
+const fifoTarget = time.Hour
 
 // prefill queues the prompt, computes its KV cache and holds it until the
 // gateway releases it.
 func (a *attempt) prefill() error {
-	hashes := blocks(a.open.Model, a.open.Version, a.open.Adapter, a.open.Prompt)
-	turn := make(chan bool, 1)
-	wait, err := a.s.enqueue(a, hashes, turn)
+	hashes := promptBlocks(a.open.Model, a.open.Version, a.open.Adapter, a.open.Prompt)
+	decision := make(chan bool, 1)
+	wait, err := a.s.enqueue(a, hashes, decision)
 	var late *admission.ErrLate
 	if errors.As(err, &late) {
 		return a.refuse(&wirepb.Refused{Reason: wire.ReasonLate, RetryAfterUs: late.RetryAfter.Microseconds()})
@@ -39,14 +42,14 @@
 		return err
 	}
 	select {
-	case run := <-turn:
+	case run := <-decision:
 		if !run {
-			return a.refuse(&wirepb.Refused{Reason: wire.ReasonLate, RetryAfterUs: gaveWayRetry.Microseconds()})
+			return a.refuse(&wirepb.Refused{Reason: wire.ReasonLate, RetryAfterUs: displacedRetryAfter.Microseconds()})
 		}
 	case <-a.ctx.Done():
 		return a.fail(a.cause(), false)
 	}
-	if !a.s.fences.begin(a.key) {
+	if !a.s.fences.tryStart(a.key) {
 		return a.fail(&ErrOrder{Want: "an attempt that was not fenced"}, false)
 	}
 	x, err := a.compute()
@@ -56,14 +59,15 @@
 	}
 	a.s.dequeue(a.key)
 	a.s.cached.Add(hashes, ownID)
-	return a.hold(x)
+	return a.holdExport(x)
 }
 
-// compute runs the prefill on the engine, which may have no room at first.
+// compute runs the prefill on the engine, and retries while the engine has no
+// memory for it.
 func (a *attempt) compute() (engine.Export, error) {
 	p := engine.Prefill{
 		ID: a.key, Model: a.open.Model, Version: a.open.Version, Adapter: a.open.Adapter,
-		Prompt: a.open.Prompt, Tokens: int(a.open.PromptTokens), Priority: a.urgency(),
+		Prompt: a.open.Prompt, Tokens: int(a.open.PromptTokens), Priority: a.enginePriority(),
 	}
 	a.event(trace.Started, "role=prefill")
 	for {
@@ -85,9 +89,10 @@
 	}
 }
 
-// urgency is the engine's priority: the earlier the queue's deadline for the
-// prefill, the larger, so that the engine's order is the queue's.
-func (a *attempt) urgency() int {
+// enginePriority returns the priority for the engine. It rises as the queue's
+// deadline for the prefill gets earlier, so the engine runs prefills in the
+// queue's order.
+func (a *attempt) enginePriority() int {
 	if a.s.opt.Admission == AdmitFIFO {
 		return 0
 	}
@@ -96,16 +101,17 @@
 	return -int(a.s.queue.Deadline(a.key).UnixMilli())
 }
 
-// deadline is when the KV cache must be ready.
+// deadline returns when the KV cache must be ready.
 func (a *attempt) deadline() time.Time {
-	return a.at.Add(time.Duration(a.open.SlackUs) * time.Microsecond)
+	return a.openedAt.Add(time.Duration(a.open.SlackUs) * time.Microsecond)
 }
 
-// hold keeps the export until it is released or its lease ends.
-func (a *attempt) hold(x engine.Export) error {
+// holdExport holds the exported KV cache until the gateway releases it or the
+// lease ends.
+func (a *attempt) holdExport(x engine.Export) error {
 	a.event(trace.Exported, "")
-	a.s.transfer(1)
-	err := a.send(&wirepb.Report{Load: a.s.load(), Body: &wirepb.Report_Exported{Exported: exported(x)}})
+	a.s.addTransfers(1)
+	err := a.send(&wirepb.Report{Load: a.s.load(), Body: &wirepb.Report_Exported{Exported: exportReport(x)}})
 	if err == nil {
 		select {
 		case <-a.release:
@@ -113,20 +119,20 @@
 			err = a.cause()
 		}
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(a.ctx), engineTime)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(a.ctx), engineTimeout)
 	defer cancel()
 	if e := a.s.opt.Engine.Release(ctx, x.Handle); e != nil {
 		a.s.free(a.key)
 	}
 	a.event(trace.Freed, "role=prefill")
-	a.s.transfer(-1)
+	a.s.addTransfers(-1)
 	if err != nil {
 		return a.fail(err, true)
 	}
 	return a.send(&wirepb.Report{Load: a.s.load(), Body: &wirepb.Report_End{End: &wirepb.End{}}})
 }
 
-func exported(x engine.Export) *wirepb.Exported {
+func exportReport(x engine.Export) *wirepb.Exported {
 	return &wirepb.Exported{
 		Handle: x.Handle, Address: x.Address, Bytes: uint64(x.Bytes),
 		PromptTokens: uint32(x.Tokens), CachedTokens: uint32(x.Cached),
@@ -134,9 +140,9 @@
 	}
 }
 
-// enqueue admits a prefill to the queue. Turn gets true when it may run, and
-// false when it must give way to others and never will.
-func (s *Sidecar) enqueue(a *attempt, hashes []uint64, turn chan bool) (time.Duration, error) {
+// enqueue admits a prefill to the queue. decision receives true when the
+// prefill may run, and false when others displaced it and it will never run.
+func (s *Sidecar) enqueue(a *attempt, hashes []uint64, decision chan bool) (time.Duration, error) {
 	tokens := int(a.open.PromptTokens)
 	state := []route.State{{ID: ownID}}
 	s.cached.Fill(hashes, prefix.BlockTokens, tokens, state)
@@ -146,36 +152,36 @@
 		Priority: int(a.open.Priority), Workspace: a.open.Workspace, Paid: a.open.Paid,
 	}
 	if s.opt.Admission == AdmitFIFO {
-		j.Deadline, j.Target = a.at.Add(fifoStep), fifoStep
+		j.Deadline, j.Target = a.openedAt.Add(fifoTarget), fifoTarget
 		j.Paid = false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	wait, gaveWay, err := s.queue.Admit(time.Now(), j)
+	wait, displaced, err := s.queue.Admit(time.Now(), j)
 	if err != nil {
 		return 0, err
 	}
-	for _, key := range gaveWay {
-		offer(s.waiting[key], false)
-		delete(s.waiting, key)
+	for _, key := range displaced {
+		trySend(s.decisions[key], false)
+		delete(s.decisions, key)
 	}
-	s.waiting[a.key] = turn
+	s.decisions[a.key] = decision
 	s.dispatch()
 	return wait, nil
 }
 
-// dequeue drops a prefill from the queue, whose place goes to the next one.
+// dequeue removes a prefill from the queue and lets the next one run.
 func (s *Sidecar) dequeue(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.waiting, key)
+	delete(s.decisions, key)
 	if s.queue.Remove(time.Now(), key) {
 		s.dispatch()
 	}
 }
 
-// stuck records that the engine has no memory for a prefill, which lets others go
-// before it, or that it is tried again.
+// stuck records whether the engine has no memory for a prefill, so that others
+// run before it. The record is cleared when the prefill is retried.
 func (s *Sidecar) stuck(key string, stuck bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -183,29 +189,30 @@
 	s.dispatch()
 }
 
-// dispatch lets prefills run while the queue says so. The caller holds the lock.
+// dispatch lets prefills run as long as the queue selects one. The caller holds
+// s.mu.
 func (s *Sidecar) dispatch() {
 	for {
 		j := s.queue.Next(time.Now())
 		if j == nil {
 			return
 		}
-		offer(s.waiting[j.ID], true)
+		trySend(s.decisions[j.ID], true)
 	}
 }
 
-// transfer counts exports that wait for their import.
-func (s *Sidecar) transfer(n int) {
+// addTransfers adds n to the number of exports that wait for their import.
+func (s *Sidecar) addTransfers(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.transfers += n
 }
 
-// observePrefill learns the engine's speed from a prefill that shared it with no
-// other.
+// observePrefill counts a prefill's tokens. If the prefill had the engine to
+// itself, it also updates the estimate of the engine's speed.
 func (s *Sidecar) observePrefill(key string, x engine.Export) {
-	s.met.prefilled.Add(x.Tokens - x.Cached)
-	s.met.found.Add(x.Cached)
+	s.metrics.prefilled.Add(x.Tokens - x.Cached)
+	s.metrics.cached.Add(x.Cached)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if took, alone := s.queue.Alone(time.Now(), key); alone {
--- a/pkg/sidecar/relay.go
+++ b/pkg/sidecar/relay.go
@@ -10,23 +10,27 @@
 	"github.com/hopwell/hopwell/pkg/wire/wirepb"
 )
 
-// relay passes an engine's tokens on to the gateway.
+// relay forwards the tokens of a decode from the engine to the gateway.
 type relay struct {
-	a      *attempt
-	next   int
+	a *attempt
+	// next is the offset of the next token.
+	next int
+	// reason is why the engine ended the stream.
 	reason string
-	last   time.Time
-	moved  chan engine.Export
+	// last is when the previous token arrived or the import ended.
+	last time.Time
+	// moved receives the export of a decode that was handed over.
+	moved chan engine.Export
 }
 
-// imported tells the gateway that the export is not needed any more.
+// imported reports to the gateway that the export is no longer needed.
 func (r *relay) imported() {
 	r.a.event(trace.Imported, "")
 	r.last = time.Now()
 	_ = r.a.send(&wirepb.Report{Body: &wirepb.Report_Imported{Imported: &wirepb.Imported{}}})
 }
 
-// token passes one token on. Tokens must come in order and without a gap.
+// token forwards one token. Tokens must arrive in order and without a gap.
 func (r *relay) token(t engine.Token) error {
 	if t.Offset != r.next {
 		return &engine.ErrEngine{Code: engine.CodeBroken, Detail: fmt.Sprintf("token %d after %d", t.Offset, r.next)}
@@ -43,9 +47,10 @@
 	}}})
 }
 
-// progress records a token and learns the step time from its distance to the last.
+// progress records a token and updates the estimate of the step time with the
+// time since the previous token.
 func (s *Sidecar) progress(key string, took time.Duration) {
-	s.met.decoded.Inc()
+	s.metrics.decoded.Inc()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ledger.Progress(key, 1)
@@ -53,14 +58,15 @@
 	s.step.Observe(running, took)
 }
 
-// watchHandover moves a running decode away when the gateway asks for it.
+// watchHandover makes the engine hand a running decode over when the gateway
+// orders it or the instance ends too soon.
 func (a *attempt) watchHandover(done <-chan struct{}, r *relay) {
 	select {
 	case <-a.handover:
 	case <-done:
 		return
 	}
-	ctx, cancel := context.WithTimeout(a.ctx, engineTime)
+	ctx, cancel := context.WithTimeout(a.ctx, engineTimeout)
 	defer cancel()
 	x, err := a.s.opt.Engine.Handover(ctx, a.key)
 	if err != nil {
@@ -70,12 +76,13 @@
 	r.moved <- x
 }
 
-// awaitMoved reports the export of a decode that was handed over and holds it.
+// awaitMoved waits for the export of a decode that was handed over, reports it
+// to the gateway and holds it.
 func (a *attempt) awaitMoved(r *relay) error {
 	select {
 	case x := <-r.moved:
 		a.s.unreserve(a.key)
-		return a.hold(x)
+		return a.holdExport(x)
 	case <-a.ctx.Done():
 		a.s.free(a.key)
 		return a.fail(a.cause(), true)
--- a/pkg/sidecar/sidecar.go
+++ b/pkg/sidecar/sidecar.go
@@ -1,6 +1,7 @@
-// Package sidecar is the process beside each runner. Every order for the runner
-// passes through it, so it alone decides admission, holds what is reserved,
-// remembers which attempts began, and frees what nobody renews.
+// Package sidecar implements the process beside each runner. Every order for
+// the runner passes through it, so it alone decides admission, records
+// reservations and started attempts, and frees resources whose lease is not
+// renewed.
 package sidecar
 
 import (
@@ -21,24 +22,26 @@
 
 // Admission modes.
 const (
-	// AdmitDeadline admits what can still meet its targets.
+	// AdmitDeadline admits work that can still meet its targets.
 	AdmitDeadline = "deadline"
-	// AdmitFIFO admits everything in order of arrival: the baseline.
+	// AdmitFIFO admits everything in order of arrival; it is the baseline for
+	// comparisons.
 	AdmitFIFO = "fifo"
 )
 
-// Options are what a sidecar needs besides its node.
+// Options configures a sidecar in addition to its node.
 type Options struct {
-	// Engine is the model engine beside it, nil beside a plain service.
+	// Engine is the model engine beside the sidecar, nil beside a plain runner.
 	Engine engine.Engine
-	// Service is the plain service beside it, nil beside a model engine.
+	// Service is the plain runner beside the sidecar, nil beside a model engine.
 	Service engine.Service
-	// Slots is how many calls a plain service takes at once.
+	// Slots is the maximum number of concurrent calls to a plain runner.
 	Slots int
 	// Admission is AdmitDeadline or AdmitFIFO.
 	Admission string
-	// PrefillRate, StepBase, StepSlope and LinkRate are first guesses, in
-	// tokens a second, times, and bytes a second; the first three are learned.
+	// PrefillRate (tokens per second), StepBase and StepSlope (decode step
+	// time) and LinkRate (bytes per second) are initial estimates. All but
+	// LinkRate are updated from observations.
 	PrefillRate         float64
 	StepBase, StepSlope time.Duration
 	LinkRate            float64
@@ -49,69 +52,75 @@
 // Sidecar serves one runner.
 type Sidecar struct {
 	*node.Node
-	opt Options
-	log *logs.Logger
-	met *meters
-
-	leaving  atomic.Bool
-	deadline atomic.Int64
-	open     atomic.Int64
-	ready    atomic.Bool
-	ruled    atomic.Pointer[fleet.View]
-
-	mu        sync.Mutex
-	queue     *admission.Queue
-	ledger    *admission.Ledger
-	speed     *admission.Speed
-	step      *admission.Step
-	kvToken   int64
-	waiting   map[string]chan bool
-	starters  []*starter
-	attempts  map[string]*attempt
+	opt     Options
+	log     *logs.Logger
+	metrics *meters
+
+	leaving atomic.Bool
+	// deadline is when the instance ends, in Unix nanoseconds, 0 if not known.
+	deadline      atomic.Int64
+	openAttempts  atomic.Int64
+	ready         atomic.Bool
+	compiledRules atomic.Pointer[fleet.View]
+
+	mu         sync.Mutex
+	queue      *admission.Queue
+	ledger     *admission.Ledger
+	speed      *admission.Speed
+	step       *admission.Step
+	kvPerToken int64
+	// decisions has a channel for each queued prefill, which receives true when
+	// the prefill may run and false when others displaced it.
+	decisions   map[string]chan bool
+	slotWaiters []*slotWaiter
+	attempts    map[string]*attempt
+	// transfers counts the exports that wait for their import.
 	transfers int
-	calls     int
-	// reported is when each gateway last got a load with a renewal.
+	// calls counts the slots of a plain runner that are in use.
+	calls int
+	// reported is when each gateway was last sent a load with a renewal.
 	reported map[string]time.Time
-	cached   *route.Prefixes
+	// cached records the contents of the engine's prefix cache.
+	cached *route.Prefixes
 
 	fences fences
 }
 
-// cachedBlocks bounds the sidecar's memory of its engine's prefix cache.
-const cachedBlocks = 1 << 15
+// maxCachedBlocks bounds the sidecar's record of its engine's prefix cache.
+const maxCachedBlocks = 1 << 15
 
-// prefillSlots is how many prefills may be on the engine at once.
+// prefillSlots is the maximum number of prefills on the engine at once.
 const prefillSlots = 3
 
-// New makes a sidecar on a node; Run brings it to life.
+// New returns a sidecar on a node; Run starts it.
 func New(n *node.Node, o Options) *Sidecar {
 	s := &Sidecar{
-		Node:     n,
-		opt:      o,
-		log:      logs.For(logs.LayerSidecar),
-		met:      newMeters(),
-		queue:    &admission.Queue{Rate: o.PrefillRate, Slots: prefillSlots, Margin: 1.05},
-		ledger:   admission.NewLedger(0, 0),
-		speed:    admission.NewSpeed(o.PrefillRate),
-		step:     admission.NewStep(o.StepBase, o.StepSlope),
-		waiting:  map[string]chan bool{},
-		attempts: map[string]*attempt{},
-		reported: map[string]time.Time{},
-		cached:   route.NewPrefixes(cachedBlocks),
-		fences:   newFences(),
+		Node:      n,
+		opt:       o,
+		log:       logs.For(logs.LayerSidecar),
+		metrics:   newMeters(),
+		queue:     &admission.Queue{Rate: o.PrefillRate, Slots: prefillSlots, Margin: 1.05},
+		ledger:    admission.NewLedger(0, 0),
+		speed:     admission.NewSpeed(o.PrefillRate),
+		step:      admission.NewStep(o.StepBase, o.StepSlope),
+		decisions: map[string]chan bool{},
+		attempts:  map[string]*attempt{},
+		reported:  map[string]time.Time{},
+		cached:    route.NewPrefixes(maxCachedBlocks),
+		fences:    newFences(),
 	}
-	s.met.watch(s)
+	s.metrics.addGauges(s)
 	return s
 }
 
-// Run learns what the engine holds, frees what no attempt of this process owns,
+// Run reads what the engine holds, frees what no attempt of this process owns,
 // and then serves until the context ends.
 func (s *Sidecar) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Go(func() { s.Node.Run(ctx) })
 	if s.opt.Engine != nil {
-		s.clean(ctx)
-		wg.Go(func() { s.follow(ctx) })
+		s.freeLeftovers(ctx)
+		wg.Go(func() { s.pollEngine(ctx) })
 		wg.Go(func() { s.assign(ctx) })
 	}
 	s.ready.Store(true)
@@ -119,46 +128,46 @@
 	wg.Wait()
 }
 
-// rules returns the present configuration with its expressions ready to use.
+// rules returns the present configuration with its expressions compiled.
 func (s *Sidecar) rules() *fleet.View {
 	doc := s.Keeper.Document()
-	if v := s.ruled.Load(); v != nil && v.Doc == doc {
+	if v := s.compiledRules.Load(); v != nil && v.Doc == doc {
 		return v
 	}
 	v := fleet.NewView(doc, []platform.Instance{s.Self})
-	s.ruled.Store(v)
+	s.compiledRules.Store(v)
 	return v
 }
 
-// blocks hashes a prompt's prefix.
-func blocks(model, version, adapter, prompt string) []uint64 {
+// promptBlocks hashes the blocks of a prompt's prefix.
+func promptBlocks(model, version, adapter, prompt string) []uint64 {
 	return prefix.Blocks(nil, prefix.Salt(model, version, adapter), prompt)
 }
 
-// Pause times of the sidecar's own loops.
+// Intervals of the sidecar's loops and the timeout of calls to the engine.
 const (
-	followEvery = 500 * time.Millisecond
-	engineTime  = 2 * time.Second
-	cleanRetry  = 500 * time.Millisecond
+	pollInterval  = 500 * time.Millisecond
+	engineTimeout = 2 * time.Second
+	freeRetry     = 500 * time.Millisecond
 )
 
-// follow keeps limits up to date from the engine's reports and its cache events.
-func (s *Sidecar) follow(ctx context.Context) {
+// pollEngine regularly reads the engine's limits and its cache events.
+func (s *Sidecar) pollEngine(ctx context.Context) {
 	var seen uint64
 	for ctx.Err() == nil {
-		s.learn(ctx)
-		seen = s.learnCache(ctx, seen)
+		s.readLimits(ctx)
+		seen = s.readCacheEvents(ctx, seen)
 		select {
-		case <-time.After(followEvery):
+		case <-time.After(pollInterval):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// learn takes over the engine's limits. Its load is not used: the ledger knows
-// better and sooner.
-func (s *Sidecar) learn(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, engineTime)
+// readLimits applies the engine's limits. The load that the engine reports is
+// not used: the ledger is more accurate and more recent.
+func (s *Sidecar) readLimits(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
 	defer cancel()
 	l, err := s.opt.Engine.Load(ctx)
 	if err != nil {
@@ -167,14 +176,15 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ledger.Bytes, s.ledger.Batch, s.kvToken = l.KVTotal, l.BatchLimit, l.KVPerToken
+	s.ledger.Bytes, s.ledger.Batch, s.kvPerToken = l.KVTotal, l.BatchLimit, l.KVPerToken
 	s.ledger.StepBase, s.ledger.StepSlope = s.step.Model()
 	s.queue.Rate = s.speed.Rate()
 }
 
-// learnCache takes over evictions from the engine's prefix cache.
-func (s *Sidecar) learnCache(ctx context.Context, after uint64) uint64 {
-	ctx, cancel := context.WithTimeout(ctx, engineTime)
+// readCacheEvents applies evictions from the engine's prefix cache. It reads
+// the events that follow sequence number after and returns the last one read.
+func (s *Sidecar) readCacheEvents(ctx context.Context, after uint64) uint64 {
+	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
 	defer cancel()
 	events, err := s.opt.Engine.Events(ctx, after)
 	if err != nil {
@@ -189,33 +199,33 @@
 	return after
 }
 
-// ownID is the sidecar's runner in its own prefix memory.
+// ownID identifies the sidecar's own runner in its record of the prefix cache.
 const ownID = 1
 
-// clean frees what the engine holds from before this process. Nothing is
-// admitted until the engine has answered once.
-func (s *Sidecar) clean(ctx context.Context) {
+// freeLeftovers frees what the engine holds from before this process. No work
+// is admitted until the engine has responded once.
+func (s *Sidecar) freeLeftovers(ctx context.Context) {
 	for ctx.Err() == nil {
-		if s.tryClean(ctx) {
-			s.learn(ctx)
+		if s.tryFreeLeftovers(ctx) {
+			s.readLimits(ctx)
 			return
 		}
 		select {
-		case <-time.After(cleanRetry):
+		case <-time.After(freeRetry):
 		case <-ctx.Done():
 		}
 	}
 }
 
-func (s *Sidecar) tryClean(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, engineTime)
+func (s *Sidecar) tryFreeLeftovers(ctx context.Context) bool {
+	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
 	defer cancel()
 	held, err := s.opt.Engine.Held(ctx)
 	if err != nil {
 		return false
 	}
 	for _, h := range held {
-		s.freeWork(ctx, h.ID)
+		s.freeLeftover(ctx, h.ID)
 	}
 	return true
 }
--- a/pkg/sidecar/stall.go
+++ b/pkg/sidecar/stall.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// stallWatch cancels a context unless it is told in time that all is well.
+// stallWatch cancels a context unless done is called in time.
 type stallWatch struct {
-	timer *time.Timer
-	cut   atomic.Bool
+	timer   *time.Timer
+	expired atomic.Bool
 }
 
 // stallContext derives a context that ends after limit unless done is called.
@@ -17,17 +17,18 @@
 	ctx, cancel := context.WithCancel(parent)
 	w := &stallWatch{}
 	w.timer = time.AfterFunc(limit, func() {
-		w.cut.Store(true)
+		w.expired.Store(true)
 		cancel()
 	})
 	return ctx, w
 }
 
-// done ends the watch.
+// done stops the watch.
 func (w *stallWatch) done() { w.timer.Stop() }
 
-// fired reports whether the limit passed first.
+// fired stops the watch and reports whether the limit passed before done was
+// called.
 func (w *stallWatch) fired() bool {
 	w.timer.Stop()
-	return w.cut.Load()
+	return w.expired.Load()
 }
