--- a/pkg/gateway/access.go
+++ b/pkg/gateway/access.go
@@ -11,35 +11,35 @@
 	"github.com/hopwell/hopwell/pkg/workspace"
 )
 
-// access decides by keys and limits who is served. Gateways with sidecars do not tell each other
-// what workspaces spend: each has its equal part of a limit.
+// access admits requests by API key and workspace limit. Gateways with sidecars do not report the
+// spending of workspaces to each other, so each enforces an equal share of every limit.
 type access struct {
 	quota *quota.Ledger
 
 	mu sync.Mutex
-	// of is the document that the directory was made of.
-	of        *fleet.Document
+	// document is the document from which directory was built.
+	document  *fleet.Document
 	directory *workspace.Directory
 	err       error
 }
 
-// limitWindow is the time over which limits are judged. Nothing beyond them is allowed.
+// limitWindow is the time window over which limits are enforced. No overshoot is allowed.
 const limitWindow = 8 * time.Second
 
 func newAccess() *access {
 	return &access{quota: quota.New(quota.Allowance{Window: limitWindow}, quota.DefaultShares())}
 }
 
-// workspaces returns the workspaces of a document, nil if it has none.
+// workspaces returns the workspace directory of a document, or nil if the document has none.
 func (a *access) workspaces(d *fleet.Document, view *fleet.View, self string) (*workspace.Directory, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := time.Now()
 	a.quota.Members(otherGateways(view, self), limitWindow, now)
-	if a.of == d {
+	if a.document == d {
 		return a.directory, a.err
 	}
-	a.of = d
+	a.document = d
 	a.directory, a.err = d.Directory()
 	if a.err == nil {
 		a.quota.Configure(a.directory.All(), now)
@@ -47,7 +47,7 @@
 	return a.directory, a.err
 }
 
-// otherGateways returns the names of the gateways besides the own one.
+// otherGateways returns the names of the gateways other than this one that are not leaving.
 func otherGateways(view *fleet.View, self string) []string {
 	var names []string
 	for _, m := range view.Members {
@@ -58,16 +58,17 @@
 	return names
 }
 
-// Workspaces returns the workspaces in force, nil where nobody is asked for a key. It fails with
-// *workspace.ErrWorkspace.
+// Workspaces returns the current workspaces, or nil if the configuration requires no API keys. It
+// fails with *workspace.ErrWorkspace.
 func (g *Gateway) Workspaces() (*workspace.Directory, error) {
 	return g.access.workspaces(g.Keeper.Document(), g.View(), g.Self.Name)
 }
 
-// Usage returns what this gateway spent for workspaces lately, at most a number of them.
+// Usage returns the recent spending of at most the given number of workspaces at this gateway.
 func (g *Gateway) Usage(most int) []quota.Status { return g.access.quota.Status(most, time.Now()) }
 
-// charge takes what a request may use from its workspace's limit. It fails with *quota.ErrQuota.
+// charge deducts the request's maximum cost from the limit of its workspace. It fails with
+// *workspace.ErrWorkspace, *workspace.ErrCredential or *quota.ErrQuota.
 func (g *Gateway) charge(req *Request, prompt, answer int) error {
 	directory, err := g.Workspaces()
 	if err != nil || directory == nil {
@@ -85,8 +86,8 @@
 	return nil
 }
 
-// giveBack returns what was taken for a request that has not run.
-func (g *Gateway) giveBack(req *Request, outcome request.Outcome) {
+// refund returns the cost charged for a request that has not run.
+func (g *Gateway) refund(req *Request, outcome request.Outcome) {
 	if req.charged != nil && outcome == request.NotRun {
 		g.access.quota.GiveBack(req.charged, req.cost, time.Now())
 		req.charged = nil
--- a/pkg/gateway/attempt.go
+++ b/pkg/gateway/attempt.go
@@ -12,23 +12,23 @@
 	"github.com/hopwell/hopwell/pkg/wire/wirepb"
 )
 
-// attempt is one try at a request: a decode branch and, until the KV cache was
+// attempt is one attempt at a request. It has a decode branch and, until the KV cache is
 // imported, a prefill branch.
 type attempt struct {
 	*run
 	n      int
 	decode *branch
-	// chosen is the pair that the policy preferred for the decode.
+	// chosen is the pair of runners that the policy chose when the decode was reserved.
 	chosen pairing
 }
 
-// pairing is a choice with its grants.
+// pairing is the policy's choice of a prefill and a decode runner, with their grants.
 type pairing struct {
 	route.Choice
 	prefill, decode fleet.Grant
 }
 
-// close ends what the attempt holds; the run keeps its source.
+// close closes the decode branch. The source with the KV cache stays with the run.
 func (a *attempt) close() {
 	if a.decode != nil {
 		a.decode.close()
@@ -36,62 +36,62 @@
 	}
 }
 
-// reserve chooses a pair and opens its decode branch. What was paid for waits
-// until a runner takes it; new work is refused at once.
+// reserve chooses a pair of runners and opens the decode branch. A request on which work has
+// started waits up to startedWait for a runner; a new request is shed at once.
 func (a *attempt) reserve(ctx context.Context) error {
-	deadline := time.Now().Add(paidTime)
+	deadline := time.Now().Add(startedWait)
 	for {
 		err := a.tryReserve(ctx)
-		if err == nil || !a.paid() || time.Now().After(deadline) {
+		if err == nil || !a.started() || time.Now().After(deadline) {
 			return err
 		}
 		var shed *ErrShed
 		if !errors.As(err, &shed) {
 			return err
 		}
-		if !pause(ctx, a.g.spread(paidPause)) {
+		if !sleep(ctx, a.g.jittered(startedPause)) {
 			return ctx.Err()
 		}
 		clear(a.excluded)
 	}
 }
 
-// tryReserve asks a few decode runners in the policy's order.
+// tryReserve opens a decode branch on up to maxOpens runners, in the order of the policy.
 func (a *attempt) tryReserve(ctx context.Context) error {
 	var last error
 	for range maxOpens {
-		p, err := a.g.choose(a.run, a.fixedSource(), nil)
+		p, err := a.g.choose(a.run, a.cacheHolder(), nil)
 		if err != nil {
-			return a.shed(err, last)
+			return a.shedError(err, last)
 		}
-		b, err := a.g.open(ctx, p.decode, a.openOrder(fleet.RoleDecode, &p))
+		b, err := a.g.open(ctx, p.decode, a.newOpen(fleet.RoleDecode, &p))
 		if err == nil {
 			a.decode, a.chosen = b, p
 			return nil
 		}
-		if last = a.turnedAway(ctx, p.decode, err); last != nil && ctx.Err() != nil {
+		if last = a.recordFailure(ctx, p.decode, err); last != nil && ctx.Err() != nil {
 			return ctx.Err()
 		}
 	}
-	return a.shed(last, nil)
+	return a.shedError(last, nil)
 }
 
-// fixedSource is the holder of the KV cache, nil while there is none.
-func (r *run) fixedSource() *fleet.Member {
+// cacheHolder returns the runner that holds the KV cache, or nil if there is no cache yet.
+func (r *run) cacheHolder() *fleet.Member {
 	if r.export == nil {
 		return nil
 	}
 	return r.source.member
 }
 
-// turnedAway records a refusal or failure of a runner, after which another one is
-// asked, and returns the error. A sidecar whose configuration is older than
-// ours gets it and may be asked again.
-func (r *run) turnedAway(ctx context.Context, g fleet.Grant, err error) error {
+// recordFailure records that a runner refused or failed and returns the error; the caller then
+// tries another runner. If the sidecar refused because its configuration is older than this
+// gateway's, the gateway sends it the newer one, and the sidecar stays a candidate.
+func (r *run) recordFailure(ctx context.Context, g fleet.Grant, err error) error {
 	var refused *ErrRefused
 	if errors.As(err, &refused) {
-		if refused.RetryAfter > 0 && (r.retry == 0 || refused.RetryAfter < r.retry) {
-			r.retry = refused.RetryAfter
+		if refused.RetryAfter > 0 && (r.retryAfter == 0 || refused.RetryAfter < r.retryAfter) {
+			r.retryAfter = refused.RetryAfter
 		}
 		if refused.Reason == wire.ReasonBehind && r.g.Agent.Exchange(ctx, g.Member.Inner) == nil {
 			return err
@@ -101,35 +101,35 @@
 	return err
 }
 
-// shed turns the lack of a runner into the request's error.
-func (r *run) shed(err, last error) error {
+// shedError returns the *ErrShed for a request for which no runner was found.
+func (r *run) shedError(err, last error) error {
 	reason := "no_runner"
 	var late *route.ErrLate
 	var refused *ErrRefused
 	switch {
 	case errors.As(err, &late):
 		reason = "late"
-		r.retry = max(r.retry, late.RetryAfter())
+		r.retryAfter = max(r.retryAfter, late.RetryAfter())
 	case errors.As(last, &refused):
 		reason = refused.Reason
 	case errors.As(err, &refused):
 		reason = refused.Reason
 	}
-	r.retry = max(r.retry, minRetryAfter)
-	return &ErrShed{Reason: reason, RetryAfter: r.retry}
+	r.retryAfter = max(r.retryAfter, minRetryAfter)
+	return &ErrShed{Reason: reason, RetryAfter: r.retryAfter}
 }
 
-// minRetryAfter is the least time that a shed caller is told to wait.
+// minRetryAfter is the minimum Retry-After sent to a client whose request was shed.
 const minRetryAfter = 200 * time.Millisecond
 
-// openOrder asks for admission of this attempt's part in a role.
-func (a *attempt) openOrder(role fleet.Role, p *pairing) *wirepb.Open {
+// newOpen returns the message that asks a sidecar to admit this attempt in the given role.
+func (a *attempt) newOpen(role fleet.Role, p *pairing) *wirepb.Open {
 	offset, _ := a.life.Progress()
 	e := &p.Estimate
 	d, _ := a.g.Keeper.Digest()
-	slack := a.left() - seconds(e.Transfer+e.Step+e.Network)
+	slack := a.timeLeft() - seconds(e.Transfer+e.Step+e.Network)
 	if role == fleet.RoleDecode {
-		slack = a.left() - seconds(e.FirstToken-e.Slot)
+		slack = a.timeLeft() - seconds(e.FirstToken-e.Slot)
 	}
 	return &wirepb.Open{
 		RequestId: a.req.ID, Attempt: uint32(a.n), Role: string(role),
@@ -140,19 +140,19 @@
 		SlackUs: slack.Microseconds(), PerTokenUs: a.per.Microseconds(),
 		TargetUs: a.first.Microseconds(),
 		NeedUs:   seconds(e.Queue + e.Prefill + e.Transfer).Microseconds(),
-		Revision: d.Revision, Seed: a.seed(), Paid: a.paid(),
+		Revision: d.Revision, Seed: a.seed(), Paid: a.started(),
 	}
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// colocatedTokens is the longest prompt that a decode runner computes by itself:
-// about what it adds to one step of its streams.
-const colocatedTokens = 512
+// maxColocatedTokens is the longest prompt that a decode runner prefills itself: about the number of
+// prompt tokens that it adds to one step of its streams.
+const maxColocatedTokens = 512
 
-// prefill computes the KV cache on some runner and keeps it as the source. When
-// none has time for a short prompt, the reserved decode runner computes it by
-// itself, if a selector gives it both roles: there then is no source.
+// prefill computes the KV cache on a prefill runner and keeps that runner as the source. If no
+// prefill runner can take a short prompt in time, the reserved decode runner computes it, provided
+// that a selector gives that runner both roles. There is no source in this case.
 func (a *attempt) prefill(ctx context.Context) error {
 	err := a.tryPrefills(ctx)
 	var shed *ErrShed
@@ -162,16 +162,16 @@
 	return err
 }
 
-// mayColocate reports whether the reserved decode runner may prefill too.
+// mayColocate reports whether the reserved decode runner may also prefill the prompt.
 func (a *attempt) mayColocate() bool {
 	offset, _ := a.life.Progress()
-	if a.decode == nil || a.tokens+offset > colocatedTokens {
+	if a.decode == nil || a.tokens+offset > maxColocatedTokens {
 		return false
 	}
 	return a.g.View().Select(a.req.Kind, a.req.Model, fleet.RolePrefill, a.decode.member.Labels) != nil
 }
 
-// tryPrefills asks a few prefill runners in the policy's order.
+// tryPrefills tries up to maxOpens prefill runners, in the order of the policy.
 func (a *attempt) tryPrefills(ctx context.Context) error {
 	var last error
 	p := a.chosen
@@ -179,7 +179,7 @@
 		if i > 0 || p.N == 0 || a.excluded[p.prefill.Member.Name] {
 			next, err := a.g.choose(a.run, nil, a.reserved())
 			if err != nil {
-				return a.shed(err, last)
+				return a.shedError(err, last)
 			}
 			p = next
 		}
@@ -187,12 +187,12 @@
 		if err == nil || !neverRan(err) {
 			return err
 		}
-		last = a.turnedAway(ctx, p.prefill, err)
+		last = a.recordFailure(ctx, p.prefill, err)
 	}
-	return a.shed(last, nil)
+	return a.shedError(last, nil)
 }
 
-// reserved is the instance of the reserved decode, nil while there is none.
+// reserved returns the instance of the reserved decode runner, or nil if none is reserved.
 func (a *attempt) reserved() *fleet.Member {
 	if a.decode == nil {
 		return nil
@@ -200,13 +200,13 @@
 	return a.decode.member
 }
 
-// tryPrefill asks one runner. From the moment that the order is sent the
-// request may run, until the runner says that it did not.
+// tryPrefill runs the prefill on one runner. The request may have run from the time the order is
+// sent until the runner reports that it did not start.
 func (a *attempt) tryPrefill(ctx context.Context, p *pairing) error {
-	if err := a.key.take(ctx); err != nil {
+	if err := a.key.acquire(ctx); err != nil {
 		return err
 	}
-	o := a.openOrder(fleet.RolePrefill, p)
+	o := a.newOpen(fleet.RolePrefill, p)
 	_, text := a.life.Progress()
 	o.Prompt += text
 	o.PromptTokens += o.ResumeOffset
@@ -215,37 +215,37 @@
 	}
 	b, err := a.g.open(ctx, p.prefill, o)
 	if err != nil {
-		a.unsent(err, nil)
+		a.withdrawUnlessRun(err, nil)
 		return err
 	}
 	a.g.Log.Add(trace.Event{Type: trace.Chosen, Request: a.req.ID, Attempt: a.n, Instance: b.member.Name, Detail: "role=prefill"})
 	if err := a.awaitExport(ctx, b); err != nil {
-		a.unsent(err, b)
+		a.withdrawUnlessRun(err, b)
 		b.close()
 		return err
 	}
 	return nil
 }
 
-// neverRan reports whether an error says that the order certainly did not begin:
-// another runner may then be asked in the same attempt.
+// neverRan reports whether the error proves that the runner did not start the order. If so, the
+// same attempt may try another runner.
 func neverRan(err error) bool {
 	var refused *ErrRefused
 	var broken *ErrBroken
 	return errors.As(err, &refused) || errors.As(err, &broken) && broken.Never
 }
 
-// unsent takes a Send back where the runner certainly did not begin. For a
-// request that must not be repeated the runner is asked for its word.
-func (a *attempt) unsent(err error, b *branch) {
-	// Also a refusal that came after the admission, when the job gave way.
+// withdrawUnlessRun undoes a Send if the runner certainly did not start the order. If the error
+// does not prove it and the branch is open, the sidecar is asked to fence the attempt.
+func (a *attempt) withdrawUnlessRun(err error, b *branch) {
+	// The runner can also refuse after admission, if it drops the job for another one.
 	if neverRan(err) || b != nil && b.fence() {
 		a.life.Withdraw(a.n)
 	}
 }
 
-// awaitExport waits until the prefill is done. Should the reserved decode break
-// meanwhile, the prefill goes on and another decode is reserved afterwards.
+// awaitExport waits until the prefill is done. If the reserved decode breaks in the meantime, the
+// prefill continues and another decode is reserved afterwards.
 func (a *attempt) awaitExport(ctx context.Context, b *branch) error {
 	var decodeBroken <-chan struct{}
 	if a.decode != nil {
@@ -260,13 +260,13 @@
 			}
 			switch x := r.Body.(type) {
 			case *wirepb.Report_Exported:
-				a.exported(b, x.Exported)
+				a.recordExport(b, x.Exported)
 				return nil
 			case *wirepb.Report_Refused:
-				b.finished()
+				b.markFinished()
 				return b.refused(x.Refused)
 			case *wirepb.Report_Failed:
-				b.finished()
+				b.markFinished()
 				a.excluded[b.member.Name] = true
 				return &ErrBroken{Instance: b.member.Name, Code: x.Failed.Code, Never: !x.Failed.Started}
 			}
@@ -280,8 +280,8 @@
 	}
 }
 
-// exported keeps a KV cache as the source of the decode.
-func (r *run) exported(b *branch, x *wirepb.Exported) {
+// recordExport keeps the exported KV cache as the source for the decode.
+func (r *run) recordExport(b *branch, x *wirepb.Exported) {
 	r.source, r.export, r.stalls = b, x, 0
 	r.computed = append(r.computed, int(x.PromptTokens-x.CachedTokens))
 	r.g.prefixes.Add(r.blocks, b.runner.ID())
--- a/pkg/gateway/branch.go
+++ b/pkg/gateway/branch.go
@@ -13,21 +13,21 @@
 	"github.com/hopwell/hopwell/pkg/wire/wirepb"
 )
 
-// Times of a branch.
+// Timeouts and sizes of a branch.
 const (
-	// openTime bounds the wait for an answer to an Open.
-	openTime = time.Second
-	// renewals is how often a lease is renewed within its length.
-	renewals = 2.5
-	// closeTime bounds the orderly end of a branch that is not needed any more.
-	closeTime = time.Second
-	// reportBuffer is how many reports may wait for the request's goroutine.
+	// openTimeout limits connecting to a sidecar and the wait for its reply to an Open. It also
+	// limits calls to Fence and Probe.
+	openTimeout = time.Second
+	// renewalsPerLease is the number of lease renewals per lease duration.
+	renewalsPerLease = 2.5
+	// closeTimeout limits the orderly shutdown of a branch that is no longer needed.
+	closeTimeout = time.Second
+	// reportBuffer is the number of reports that may wait for the goroutine of the request.
 	reportBuffer = 64
 )
 
-// branch is the gateway's end of an attempt's stream with one sidecar. While it
-// is open, what the runner holds for the request is under a lease that the
-// branch renews.
+// branch is the gateway's end of the stream between one attempt and one sidecar. The runner's
+// resources for the request are under a lease, which the branch renews while it is open.
 type branch struct {
 	g       *Gateway
 	member  *fleet.Member
@@ -38,9 +38,9 @@
 	epoch   uint64
 
 	cancelCtx context.CancelFunc
-	st        wirepb.DRPCRunner_AttemptClient
-	// reports is closed after the last one; broken, at the same time, is for
-	// those who do not read reports.
+	stream    wirepb.DRPCRunner_AttemptClient
+	// reports is closed after the last report. broken is closed at the same time, for goroutines
+	// that do not read reports.
 	reports chan *wirepb.Report
 	broken  chan struct{}
 	err     error
@@ -48,23 +48,23 @@
 
 	mu         sync.Mutex
 	lastReport time.Time
-	over       bool
+	finished   bool
 	once       sync.Once
 }
 
-// open asks a sidecar for admission and waits for its answer. It fails with
-// *ErrRefused, *ErrBroken or the context's error.
+// open asks a sidecar for admission and waits for the reply. It fails with *ErrRefused,
+// *ErrBroken or the error of the context.
 func (g *Gateway) open(ctx context.Context, grant fleet.Grant, o *wirepb.Open) (*branch, error) {
 	b, err := g.dial(grant, o)
 	if err != nil {
 		return nil, err
 	}
-	timer := time.NewTimer(openTime)
+	timer := time.NewTimer(openTimeout)
 	defer timer.Stop()
 	select {
 	case r, ok := <-b.reports:
 		if ok {
-			return b.answered(r)
+			return b.handleOpenReply(r)
 		}
 		err = b.failure("lost")
 	case <-timer.C:
@@ -76,7 +76,7 @@
 	return nil, err
 }
 
-// dial opens the stream and sends the first order.
+// dial opens the stream and sends the Open.
 func (g *Gateway) dial(grant fleet.Grant, o *wirepb.Open) (*branch, error) {
 	m := grant.Member
 	ctx, cancel := context.WithCancel(context.Background())
@@ -88,43 +88,43 @@
 		broken:  make(chan struct{}), quit: make(chan struct{}),
 	}
 	o.LeaseUs, o.Gateway = g.opt.Lease.Microseconds(), g.Self.Name
-	connect := time.AfterFunc(openTime, cancel)
+	connect := time.AfterFunc(openTimeout, cancel)
 	st, err := wirepb.NewDRPCRunnerClient(g.Pool.Conn(m.Inner)).Attempt(ctx)
 	if !connect.Stop() || err != nil {
 		cancel()
-		// The Open was not written, so that nothing can have begun.
-		return nil, b.lost(err, true)
+		// The Open was not written, so the sidecar can't have started anything.
+		return nil, b.recordLost(err, true)
 	}
-	b.st = st
-	tokens, streams, bytes := b.weight(o)
+	b.stream = st
+	tokens, streams, bytes := b.addedLoad(o)
 	b.runner.Sent(tokens, streams, bytes)
-	if err := b.order(&wirepb.Order{Body: &wirepb.Order_Open{Open: o}}); err != nil {
+	if err := b.send(&wirepb.Order{Body: &wirepb.Order_Open{Open: o}}); err != nil {
 		cancel()
 		b.runner.Returned()
-		return nil, b.lost(err, false)
+		return nil, b.recordLost(err, false)
 	}
 	go b.receive()
 	go b.renew()
 	return b, nil
 }
 
-// weight is what the attempt adds to the runner's load until it reports.
-func (b *branch) weight(o *wirepb.Open) (tokens, streams int, bytes float64) {
+// addedLoad returns the load that the attempt adds to the runner until the runner's next report.
+func (b *branch) addedLoad(o *wirepb.Open) (tokens, streams int, bytes float64) {
 	if b.role == fleet.RolePrefill {
 		return int(o.PromptTokens), 0, 0
 	}
 	return 0, 1, float64(o.KvBytes)
 }
 
-// lost records a runner that can't be reached. Never says that the attempt cannot
-// have begun there.
-func (b *branch) lost(err error, never bool) *ErrBroken {
+// recordLost records that a runner is unreachable. The argument never is set if the attempt can't
+// have started there.
+func (b *branch) recordLost(err error, never bool) *ErrBroken {
 	b.runner.Failed(time.Now(), b.g.Jitter())
 	return &ErrBroken{Instance: b.member.Name, Code: "lost", Never: never, Err: err}
 }
 
-// answered takes the answer to the Open.
-func (b *branch) answered(r *wirepb.Report) (*branch, error) {
+// handleOpenReply handles the reply to the Open.
+func (b *branch) handleOpenReply(r *wirepb.Report) (*branch, error) {
 	switch x := r.Body.(type) {
 	case *wirepb.Report_Admitted:
 		return b, nil
@@ -139,32 +139,32 @@
 	return nil, &ErrBroken{Instance: b.member.Name, Code: "protocol"}
 }
 
-// refused counts and describes a sidecar's refusal.
+// refused counts a refusal by a sidecar and returns it as *ErrRefused.
 func (b *branch) refused(r *wirepb.Refused) error {
-	b.g.met.refused(r.Reason)
+	b.g.met.recordRefusal(r.Reason)
 	return &ErrRefused{Instance: b.member.Name, Reason: r.Reason, RetryAfter: time.Duration(r.RetryAfterUs) * time.Microsecond}
 }
 
-// order writes one order.
-func (b *branch) order(o *wirepb.Order) error {
+// send sends one order to the sidecar.
+func (b *branch) send(o *wirepb.Order) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	o.Clock = b.g.Log.Clock.Next()
-	return b.st.Send(o)
+	return b.stream.Send(o)
 }
 
-// receive passes reports on until the stream ends. It closes reports last, so
-// that whoever reads them meets the stream's end after all that came before it.
+// receive forwards reports until the stream ends. It closes the reports channel last, so that a
+// reader gets every report before it sees the end of the stream.
 func (b *branch) receive() {
 	defer close(b.reports)
 	defer close(b.broken)
 	for {
-		r, err := b.st.Recv()
+		r, err := b.stream.Recv()
 		if err != nil {
 			b.err = err
 			return
 		}
-		b.note(r)
+		b.observe(r)
 		if r.Body == nil {
 			continue
 		}
@@ -175,8 +175,8 @@
 	}
 }
 
-// note takes over what every report carries.
-func (b *branch) note(r *wirepb.Report) {
+// observe applies the fields that every report has: the clock and the runner's load.
+func (b *branch) observe(r *wirepb.Report) {
 	now := time.Now()
 	b.g.Log.Clock.Meet(r.Clock)
 	b.mu.Lock()
@@ -190,10 +190,10 @@
 	}
 }
 
-// renew keeps the lease until the branch is closed. A sidecar that answers no
-// renewal is given up.
+// renew renews the lease until the branch is closed. If a sidecar does not reply to renewals, renew
+// cancels the stream.
 func (b *branch) renew() {
-	every := time.Duration(float64(b.g.opt.Lease) / renewals)
+	every := time.Duration(float64(b.g.opt.Lease) / renewalsPerLease)
 	tick := time.NewTicker(every)
 	defer tick.Stop()
 	for {
@@ -205,21 +205,21 @@
 			return
 		}
 		b.mu.Lock()
-		silent := time.Since(b.lastReport) > 2*every+openTime/2
+		silent := time.Since(b.lastReport) > 2*every+openTimeout/2
 		b.mu.Unlock()
 		if silent {
 			b.cancelCtx()
 			return
 		}
-		if b.order(&wirepb.Order{Body: &wirepb.Order_Renew{Renew: &wirepb.Renew{}}}) != nil {
+		if b.send(&wirepb.Order{Body: &wirepb.Order_Renew{Renew: &wirepb.Renew{}}}) != nil {
 			return
 		}
 	}
 }
 
-// failure describes a branch that broke, and keeps new work from its runner.
+// failure returns the error for a branch that broke, and backs off its runner.
 func (b *branch) failure(code string) error {
-	err := b.lost(nil, false)
+	err := b.recordLost(nil, false)
 	err.Code = code
 	select {
 	case <-b.broken:
@@ -229,8 +229,8 @@
 	return err
 }
 
-// close ends the branch in good order, in the background: the runner frees what
-// it holds, and the connection can be used again.
+// close shuts the branch down in the background, in an orderly way: the runner releases the
+// request's resources, and the connection can be reused.
 func (b *branch) close() {
 	b.once.Do(func() {
 		close(b.quit)
@@ -246,10 +246,10 @@
 		return
 	default:
 	}
-	stop := time.AfterFunc(closeTime, b.cancelCtx)
+	stop := time.AfterFunc(closeTimeout, b.cancelCtx)
 	defer stop.Stop()
-	if !b.ended() {
-		_ = b.order(&wirepb.Order{Body: &wirepb.Order_Cancel{Cancel: &wirepb.Cancel{}}})
+	if !b.isFinished() {
+		_ = b.send(&wirepb.Order{Body: &wirepb.Order_Cancel{Cancel: &wirepb.Cancel{}}})
 	}
 	<-b.broken
 	if !errors.Is(b.err, io.EOF) {
@@ -257,23 +257,23 @@
 	}
 }
 
-// finished records that the sidecar's last report came, so that no cancel is due.
-func (b *branch) finished() {
+// markFinished records that the sidecar's last report arrived, so that close need not cancel.
+func (b *branch) markFinished() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.over = true
+	b.finished = true
 }
 
-func (b *branch) ended() bool {
+func (b *branch) isFinished() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.over
+	return b.finished
 }
 
-// fence asks the runner's sidecar to make sure that the attempt never begins,
-// and reports whether that is certain. A sidecar of another epoch can't know.
+// fence asks the sidecar to ensure that the attempt never starts, and reports whether that is
+// certain. A sidecar with another epoch has no record of the attempt.
 func (b *branch) fence() bool {
-	ctx, cancel := context.WithTimeout(context.Background(), openTime)
+	ctx, cancel := context.WithTimeout(context.Background(), openTimeout)
 	defer cancel()
 	client := wirepb.NewDRPCRunnerClient(b.g.Pool.Conn(b.member.Inner))
 	r, err := client.Fence(ctx, &wirepb.FenceRequest{
--- a/pkg/gateway/branch_test.go
+++ b/pkg/gateway/branch_test.go
@@ -18,15 +18,15 @@
 	"github.com/hopwell/hopwell/pkg/wire/wirepb"
 )
 
-// script is a stream that gives some reports and then ends.
-type script struct {
+// scriptedStream is a stream that returns the given reports and then ends.
+type scriptedStream struct {
 	drpc.Stream
 	reports []*wirepb.Report
 }
 
-func (s *script) Send(*wirepb.Order) error { return nil }
+func (s *scriptedStream) Send(*wirepb.Order) error { return nil }
 
-func (s *script) Recv() (*wirepb.Report, error) {
+func (s *scriptedStream) Recv() (*wirepb.Report, error) {
 	if len(s.reports) == 0 {
 		return nil, io.EOF
 	}
@@ -35,15 +35,14 @@
 	return r, nil
 }
 
-type discard struct{}
+type discardSink struct{}
 
-func (discard) Head(int, http.Header) {}
-func (discard) Body([]byte) error     { return nil }
+func (discardSink) Head(int, http.Header) {}
+func (discardSink) Body([]byte) error     { return nil }
 
-// TestEndOfStreamComesAfterItsReports: the stream's end must not overtake the
-// reports before it. It did for one in some hundred calls under load: the call
-// was whole, and its caller was told that the outcome is unknown.
-func TestEndOfStreamComesAfterItsReports(t *testing.T) {
+// The end of a stream must not overtake the reports before it. Under load this happened in one of
+// some hundred calls: the response was complete, but the client got the outcome "unknown".
+func TestRelayReadsAllReportsBeforeStreamEnd(t *testing.T) {
 	g := NewWithT(t)
 	n := node.New(node.Options{Self: platform.Instance{Name: "g"}, KV: fake.NewKV(), List: fake.NewList(), Dial: wire.TCP})
 	gw := New(n, Options{MaxOpen: 1, MaxPerWorkspace: 1})
@@ -52,14 +51,14 @@
 		b := &branch{
 			g: gw, member: m, runner: gw.tracker.Get("s", "", ""), reports: make(chan *wirepb.Report, reportBuffer),
 			broken: make(chan struct{}), quit: make(chan struct{}),
-			st: &script{reports: []*wirepb.Report{
+			stream: &scriptedStream{reports: []*wirepb.Report{
 				{Body: &wirepb.Report_Head{Head: &wirepb.Head{Status: 200}}},
 				{Body: &wirepb.Report_Chunk{Chunk: &wirepb.Chunk{Raw: []byte("ok")}}},
 				{Body: &wirepb.Report_End{End: &wirepb.End{Bytes: 2}}},
 			}},
 		}
 		b.receive()
-		r := &serviceRun{g: gw, sink: discard{}, life: request.NewLife("r", false)}
+		r := &serviceRun{g: gw, sink: discardSink{}, life: request.NewLife("r", false)}
 		_, err := r.life.Begin()
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(r.life.Send(1)).To(Succeed())
--- a/pkg/gateway/choose.go
+++ b/pkg/gateway/choose.go
@@ -16,17 +16,17 @@
 )
 
 const (
-	// subsetSize is how many runners of one role and model a gateway considers.
+	// subsetSize is the maximum number of candidates per role and model at one gateway.
 	subsetSize = 64
-	// staleAfter is how old the last confirmation of the configuration may be
-	// before a gateway asks peers; an exchange happens about every second.
+	// staleAfter is the age of the last confirmation of the configuration after which a gateway
+	// asks peers. Configurations are exchanged about once per second.
 	staleAfter = 4 * time.Second
-	// confirmPeers is how many peers it asks then.
+	// confirmPeers is the number of peers that it asks.
 	confirmPeers = 4
 )
 
-// choose runs the policy for a request. A fixed prefill or decode member is the
-// only candidate of its role.
+// choose runs the policy for a request. If prefill or decode is given, that member is the only
+// candidate for its role.
 func (g *Gateway) choose(r *run, prefill, decode *fleet.Member) (pairing, error) {
 	s := g.scratch.Get().(*route.Scratch)
 	defer g.scratch.Put(s)
@@ -41,19 +41,19 @@
 	offset, _ := r.life.Progress()
 	req := route.Request{
 		PromptTokens: r.tokens + offset, MaxTokens: r.req.MaxTokens - offset, Blocks: r.blocks,
-		FirstToken: r.left().Seconds(), PerToken: r.per.Seconds(),
+		FirstToken: r.timeLeft().Seconds(), PerToken: r.per.Seconds(),
 		Domain: g.Self.Domain, Region: g.Self.Region,
-		Exported: r.export != nil, Paid: r.paid(), Now: now,
+		Exported: r.export != nil, Paid: r.started(), Now: now,
 	}
 	c, err := g.opt.Policy.Choose(&req, s)
 	if err != nil {
 		return pairing{}, err
 	}
-	g.explains.chosen(r.req.ID, &c)
+	g.explains.recordChoice(r.req.ID, &c)
 	return pairing{Choice: c, prefill: pg[c.Prefill], decode: dg[c.Decode]}, nil
 }
 
-// candidates returns the runners to weigh for a role.
+// candidates returns the candidate runners for a role.
 func (g *Gateway) candidates(view *fleet.View, r *run, role fleet.Role, fixed *fleet.Member) []fleet.Grant {
 	if fixed != nil {
 		return []fleet.Grant{{Member: fixed, Selector: r.selector}}
@@ -61,8 +61,9 @@
 	return g.subset(view, r.req.Kind, r.req.Model, role)
 }
 
-// states reads what is known of the candidates. Those that refused this request
-// are shunned, and so are those that failed lately unless no others are left.
+// states returns the states of the candidates. It excludes the runners that refused or failed
+// this request. Runners that are backed off after recent failures are excluded too, unless no
+// other candidate is left.
 func (g *Gateway) states(out []route.State, grants []fleet.Grant, r *run, now time.Time) []route.State {
 	usable := false
 	for _, x := range grants {
@@ -78,19 +79,19 @@
 	return out
 }
 
-// subsetKey names a memoized subset.
+// subsetKey is the key of a cached subset.
 type subsetKey struct {
 	kind, model string
 	role        fleet.Role
 }
 
-// maxSubsets bounds the memoized subsets of one view.
+// maxSubsets limits the number of cached subsets per view.
 const maxSubsets = 4096
 
-// subset bounds the runners that this gateway considers, so that its state and
-// its probes do not grow with the fleet. The choice is by rendezvous hashing,
-// an equal share from each failure domain, and stays put while instances come
-// and go.
+// subset returns the runners that this gateway considers. Their number is limited so that the
+// gateway's state and its probes do not grow with the fleet. Runners are chosen by rendezvous
+// hashing, an equal share from each failure domain. The choice stays stable as instances join and
+// leave.
 func (g *Gateway) subset(view *fleet.View, kind, model string, role fleet.Role) []fleet.Grant {
 	all := view.Grants(kind, model, role)
 	if role == fleet.RolePrefill {
@@ -115,7 +116,7 @@
 	return s
 }
 
-// pickSubset takes size grants, round the failure domains in turn.
+// pickSubset returns up to size grants, taken from the failure domains in round-robin order.
 func pickSubset(all []fleet.Grant, self string, size int) []fleet.Grant {
 	byDomain := map[string][]fleet.Grant{}
 	for _, x := range all {
@@ -144,8 +145,8 @@
 	return out
 }
 
-// confirm makes sure that the configuration is fresh: a gateway that was paused
-// or cut off asks peers before it sends work by an old one.
+// confirm ensures that the configuration is up to date. A gateway that was suspended or
+// partitioned asks peers before it sends work based on an old configuration.
 func (g *Gateway) confirm(ctx context.Context) error {
 	if !g.Keeper.Stale(time.Now(), staleAfter) {
 		return nil
@@ -156,18 +157,18 @@
 	return nil
 }
 
-// Probing of runners whose load this gateway has not received lately.
+// Settings for probing runners whose load this gateway has not received recently.
 const (
-	probeEvery = 500 * time.Millisecond
-	probeAge   = 1500 * time.Millisecond
-	probeBatch = 4
+	probeInterval = 500 * time.Millisecond
+	probeMinAge   = 1500 * time.Millisecond
+	probeBatch    = 4
 )
 
-// probe asks the runners whose load is oldest for their load, a few
-// at a time, so that the cost does not grow with the fleet.
+// probe asks the runners whose load is oldest for a new one. It asks only a few at a time, so
+// that the cost does not grow with the fleet.
 func (g *Gateway) probe(ctx context.Context) {
 	for ctx.Err() == nil {
-		if !pause(ctx, g.spread(probeEvery)) {
+		if !sleep(ctx, g.jittered(probeInterval)) {
 			return
 		}
 		for _, m := range g.oldest(time.Now()) {
@@ -176,14 +177,14 @@
 	}
 }
 
-// oldest returns the probe's next members.
+// oldest returns up to probeBatch sidecars whose load is older than probeMinAge, oldest first.
 func (g *Gateway) oldest(now time.Time) []*fleet.Member {
 	var out []*fleet.Member
 	view := g.View()
 	keep := map[string]bool{}
 	for _, m := range view.Members {
 		keep[m.Name] = true
-		if m.Role == platform.RoleSidecar && g.tracker.Get(m.Name, m.Domain, m.Region).Age(now) > probeAge {
+		if m.Role == platform.RoleSidecar && g.tracker.Get(m.Name, m.Domain, m.Region).Age(now) > probeMinAge {
 			out = append(out, m)
 		}
 	}
@@ -199,7 +200,7 @@
 }
 
 func (g *Gateway) probeOne(ctx context.Context, m *fleet.Member) {
-	ctx, cancel := context.WithTimeout(ctx, openTime)
+	ctx, cancel := context.WithTimeout(ctx, openTimeout)
 	defer cancel()
 	d, _ := g.Keeper.Digest()
 	client := wirepb.NewDRPCRunnerClient(g.Pool.Conn(m.Inner))
--- a/pkg/gateway/choose_bench_test.go
+++ b/pkg/gateway/choose_bench_test.go
@@ -16,9 +16,9 @@
 	"github.com/hopwell/hopwell/pkg/wire"
 )
 
-// BenchmarkChoose measures a whole choice: reading the runners' states, the
-// prefix memory, the policy, and the note for `hopwell explain`. All runners
-// serve one model, half of them in each role.
+// BenchmarkChoose measures a complete choice: the states of the runners, the prefix cache lookup,
+// the policy, and the record for `hopwell explain`. All runners serve one model, half of them in
+// each role.
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{18, 730, 7300} {
 		for _, tokens := range []int{100, 8000} {
--- a/pkg/gateway/claims.go
+++ b/pkg/gateway/claims.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	// claimTime bounds a claim.
-	claimTime = 3 * time.Second
-	// ownerTime bounds the wait for the gateway that commits a shard's claims.
-	ownerTime = 1200 * time.Millisecond
-	// unclaimTime is how long a key that was not used is tried to be given back.
-	unclaimTime = 5 * time.Minute
+	// claimTimeout limits a claim.
+	claimTimeout = 3 * time.Second
+	// ownerTimeout limits the wait for the gateway that commits the claims of a shard.
+	ownerTimeout = 1200 * time.Millisecond
+	// releaseTimeout limits the retries to release a key that was not used.
+	releaseTimeout = 5 * time.Minute
 )
 
-// keyClaim is a request's hold on its caller's key.
+// keyClaim is a request's claim on the idempotency key of its client.
 type keyClaim struct {
 	g                  *Gateway
 	workspace, key, id string
-	made               bool
+	claimed            bool
 }
 
-// newKeyClaim returns nil for a request that may be repeated or has no key.
+// newKeyClaim returns nil if the request may be repeated or has no key.
 func (g *Gateway) newKeyClaim(workspace, key, id string, repeatable bool) *keyClaim {
 	if key == "" || repeatable {
 		return nil
@@ -37,36 +37,36 @@
 	return &keyClaim{g: g, workspace: workspace, key: key, id: id}
 }
 
-// take claims the key before the first order that may run the request.
-func (c *keyClaim) take(ctx context.Context) error {
-	if c == nil || c.made {
+// acquire claims the key before the first order that may run the request is sent.
+func (c *keyClaim) acquire(ctx context.Context) error {
+	if c == nil || c.claimed {
 		return nil
 	}
 	if err := c.claim(ctx); err != nil {
 		return err
 	}
-	c.made = true
+	c.claimed = true
 	return nil
 }
 
-// giveBack returns a claimed key whose request certainly did not run.
-func (c *keyClaim) giveBack() {
-	if c != nil && c.made {
-		c.release()
+// releaseIfClaimed releases the key of a request that certainly did not run.
+func (c *keyClaim) releaseIfClaimed() {
+	if c != nil && c.claimed {
+		c.releaseAsync()
 	}
 }
 
-// claim makes the key the request's own, or fails with *claim.ErrHeld when
-// another request has it and *ErrShed when that can't be told now. After the
-// latter the key is given back in case the claim was made.
+// claim claims the key for this request. It fails with *claim.ErrHeld if another request holds the
+// key, and with *ErrShed if the holder can't be determined now. In the latter case it also releases
+// the key, because the claim may have been committed.
 func (c *keyClaim) claim(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, claimTime)
+	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	k := claim.NewKey(c.workspace, c.key)
 	holder, err := c.g.claimer(k).Claim(ctx, k, c.id)
 	if err != nil {
 		c.g.log.Info("claim not settled", "request", c.id, "err", err)
-		c.release()
+		c.releaseAsync()
 		return &ErrShed{Reason: "claim", RetryAfter: time.Second}
 	}
 	if holder != c.id {
@@ -76,11 +76,11 @@
 	return nil
 }
 
-// release gives the key back in the background.
-func (c *keyClaim) release() {
+// releaseAsync releases the key in the background.
+func (c *keyClaim) releaseAsync() {
 	k := claim.NewKey(c.workspace, c.key)
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), unclaimTime)
+		ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 		defer cancel()
 		if err := c.g.Claims.Release(ctx, k, c.id); err != nil {
 			c.g.log.Warn("key not given back", err, "request", c.id)
@@ -88,9 +88,9 @@
 	}()
 }
 
-// claimer returns who commits the key's claim: the gateway that the key's shard
-// belongs to, so that the claims of many gateways share one write. Which one
-// that is need not be agreed on, since each commit is a compare-and-swap.
+// claimer returns the Claimer that commits claims for the key: the gateway that owns the key's
+// shard, so that claims from many gateways share one write. Gateways need not agree on the owner,
+// because each commit is a compare-and-swap.
 func (g *Gateway) claimer(k claim.Key) claim.Claimer {
 	owner := g.owner(k.Shard())
 	if owner == nil || owner.Name == g.Self.Name {
@@ -99,7 +99,7 @@
 	return &remoteClaimer{g: g, owner: owner}
 }
 
-// owner picks a shard's gateway by rendezvous hashing.
+// owner returns the gateway that owns a shard, chosen by rendezvous hashing.
 func (g *Gateway) owner(shard int) *fleet.Member {
 	var best *fleet.Member
 	var top uint64
@@ -114,9 +114,9 @@
 	return best
 }
 
-// remoteClaimer claims through another gateway, and by itself where that one
-// does not answer: a claim that both make is one claim, being the same
-// request's.
+// remoteClaimer claims keys through the owner gateway. It commits the claim itself if the owner
+// does not respond. If both commit, the result is still one claim, because both are for the same
+// request.
 type remoteClaimer struct {
 	g     *Gateway
 	owner *fleet.Member
@@ -124,7 +124,7 @@
 
 // Claim implements claim.Claimer.
 func (c *remoteClaimer) Claim(ctx context.Context, k claim.Key, id string) (string, error) {
-	call, cancel := context.WithTimeout(ctx, ownerTime)
+	call, cancel := context.WithTimeout(ctx, ownerTimeout)
 	defer cancel()
 	client := wirepb.NewDRPCPeerClient(c.g.Pool.Conn(c.owner.Inner))
 	r, err := client.Claim(call, &wirepb.ClaimRequest{Process: c.g.Self.Name, Key: k[:], RequestId: id})
--- a/pkg/gateway/convert.go
+++ b/pkg/gateway/convert.go
@@ -9,7 +9,7 @@
 	"github.com/hopwell/hopwell/pkg/wire/wirepb"
 )
 
-// toReport converts a load from the wire.
+// toReport converts a load message from a sidecar.
 func toReport(l *wirepb.Load) route.Report {
 	return route.Report{
 		Running: int(l.Running), Reserved: int(l.Reserved), Batch: int(l.BatchLimit),
@@ -20,8 +20,8 @@
 	}
 }
 
-// receiveLoad takes over a sidecar's word on itself. One of an earlier epoch than
-// known is ignored, and a newer configuration than ours is fetched.
+// receiveLoad records the load that a sidecar reported. It ignores a report with an older epoch
+// than the newest known one. If the sidecar has a newer configuration, the gateway fetches it.
 func (g *Gateway) receiveLoad(r *route.Runner, m *fleet.Member, l *wirepb.Load) {
 	now := time.Now()
 	if !g.Members.Seen(m.Name, l.Epoch, l.Leaving, now) {
--- a/pkg/gateway/errors.go
+++ b/pkg/gateway/errors.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// ErrLimit reports that too many requests are open.
+// ErrLimit reports that the limit of open requests is reached.
 type ErrLimit struct {
-	// What is "gateway" or "workspace".
+	// What is the scope of the limit: "gateway" or "workspace".
 	What  string
 	Limit int
 }
@@ -17,7 +17,7 @@
 	return fmt.Sprintf("too many open requests: of=%s limit=%d", e.What, e.Limit)
 }
 
-// ErrUnknownModel reports that no selector offers a model or plain service.
+// ErrUnknownModel reports that no selector offers the model or plain service.
 type ErrUnknownModel struct {
 	Model, Kind string
 }
@@ -27,7 +27,7 @@
 	return fmt.Sprintf("no selector offers it: model=%q kind=%q", e.Model, e.Kind)
 }
 
-// ErrPromptTooLong reports that a prompt is over the limit.
+// ErrPromptTooLong reports that a prompt exceeds the limit, in tokens.
 type ErrPromptTooLong struct {
 	Tokens, Limit int
 }
@@ -37,7 +37,7 @@
 	return fmt.Sprintf("prompt too long: tokens=%d limit=%d", e.Tokens, e.Limit)
 }
 
-// ErrShed reports that capacity does not suffice now; nothing was run.
+// ErrShed reports that there is not enough capacity now. The request did not run.
 type ErrShed struct {
 	Reason     string
 	RetryAfter time.Duration
@@ -48,7 +48,7 @@
 	return fmt.Sprintf("no capacity in time: reason=%s retry_after=%s", e.Reason, e.RetryAfter)
 }
 
-// ErrRefused reports that a sidecar did not admit an attempt; it never will run.
+// ErrRefused reports that a sidecar refused an attempt. The attempt will never run.
 type ErrRefused struct {
 	Instance, Reason string
 	RetryAfter       time.Duration
@@ -59,13 +59,13 @@
 	return fmt.Sprintf("refused: instance=%s reason=%s", e.Instance, e.Reason)
 }
 
-// ErrBroken reports that a stream with a sidecar ended before its time.
+// ErrBroken reports that a stream with a sidecar ended early.
 type ErrBroken struct {
 	Instance string
-	// Code is the sidecar's failure code, "lost" when the stream itself broke
-	// and "silent" when nothing came any more.
+	// Code is the sidecar's failure code, "lost" if the stream broke, or "silent" if the sidecar
+	// stopped sending.
 	Code string
-	// Never is set when the sidecar said that the attempt did not begin.
+	// Never is set if the attempt certainly did not start.
 	Never bool
 	Err   error
 }
@@ -78,7 +78,7 @@
 // Unwrap returns the cause.
 func (e *ErrBroken) Unwrap() error { return e.Err }
 
-// ErrCallerGone reports that the caller went away.
+// ErrCallerGone reports that the client disconnected.
 type ErrCallerGone struct {
 	Err error
 }
@@ -89,7 +89,7 @@
 // Unwrap returns the cause.
 func (e *ErrCallerGone) Unwrap() error { return e.Err }
 
-// ErrExhausted reports that all tries failed.
+// ErrExhausted reports that all attempts failed.
 type ErrExhausted struct {
 	Tries int
 	Err   error
@@ -103,7 +103,7 @@
 // Unwrap returns the cause.
 func (e *ErrExhausted) Unwrap() error { return e.Err }
 
-// ErrStale reports that the gateway can't confirm its configuration with anybody.
+// ErrStale reports that no peer confirmed the gateway's configuration.
 type ErrStale struct{}
 
 // Error implements error.
--- a/pkg/gateway/explain.go
+++ b/pkg/gateway/explain.go
@@ -6,15 +6,15 @@
 	"github.com/hopwell/hopwell/pkg/route"
 )
 
-// explainsKept is how many requests are remembered for `hopwell explain`.
-const explainsKept = 4096
+// maxExplanations is the number of requests kept for `hopwell explain`.
+const maxExplanations = 4096
 
-// Explanation tells how the runners of a request were chosen.
+// Explanation describes how the runners of a request were chosen.
 type Explanation struct {
 	Request string `json:"request"`
-	// Choices are in order: one for each time that the policy was asked.
+	// Choices has one entry for each choice by the policy, in chronological order.
 	Choices []Chosen `json:"choices"`
-	// Outcome and Err are empty while the request runs.
+	// Outcome and Err are empty while the request is running.
 	Outcome string `json:"outcome,omitempty"`
 	Err     string `json:"error,omitempty"`
 	// FirstTokenMs, PerTokenMs and their targets are in milliseconds.
@@ -27,15 +27,15 @@
 	Attempts      int     `json:"attempts,omitempty"`
 }
 
-// Chosen is one answer of the policy.
+// Chosen is one choice by the policy.
 type Chosen struct {
-	// Candidates is how many pairs there were; Weighed holds the best, the
-	// chosen one first, with the estimate's terms in seconds.
+	// Candidates is the number of candidate pairs. Weighed holds the best of them, the chosen one
+	// first, with the terms of the estimate in seconds.
 	Candidates int             `json:"candidates"`
 	Weighed    []route.Weighed `json:"weighed"`
 }
 
-// explanations keeps the newest requests' explanations.
+// explanations holds the explanations of the most recent requests.
 type explanations struct {
 	mu    sync.Mutex
 	byID  map[string]*Explanation
@@ -44,28 +44,28 @@
 }
 
 func newExplanations() *explanations {
-	return &explanations{byID: map[string]*Explanation{}, order: make([]string, explainsKept)}
+	return &explanations{byID: map[string]*Explanation{}, order: make([]string, maxExplanations)}
 }
 
-// get returns a request's entry, making room for a new one. The caller holds
-// the lock.
+// get returns the entry of a request. If there is none, it adds one and evicts the oldest. x.mu
+// must be held.
 func (x *explanations) get(id string) *Explanation {
 	if e, ok := x.byID[id]; ok {
 		return e
 	}
 	delete(x.byID, x.order[x.next])
 	x.order[x.next] = id
-	x.next = (x.next + 1) % explainsKept
+	x.next = (x.next + 1) % maxExplanations
 	e := &Explanation{Request: id}
 	x.byID[id] = e
 	return e
 }
 
-// maxChoices bounds the choices remembered for one request.
+// maxChoices limits the choices kept for one request.
 const maxChoices = 16
 
-// chosen records one answer of the policy.
-func (x *explanations) chosen(id string, c *route.Choice) {
+// recordChoice records one choice by the policy.
+func (x *explanations) recordChoice(id string, c *route.Choice) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	e := x.get(id)
@@ -74,8 +74,8 @@
 	}
 }
 
-// finished records a request's outcome.
-func (x *explanations) finished(id string, r *Result) {
+// recordResult records the outcome of a request.
+func (x *explanations) recordResult(id string, r *Result) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	e := x.get(id)
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -1,6 +1,6 @@
-// Package gateway takes callers' requests, chooses runners, and joins what they
-// produce into one answer for each request. The decisions are those of packages
-// route and request; this package does the I/O between them.
+// Package gateway receives requests from clients, chooses runners, and combines their output into
+// one response for each request. The decisions are made in packages route and request; this package
+// does the I/O.
 package gateway
 
 import (
@@ -15,20 +15,18 @@
 	"github.com/hopwell/hopwell/pkg/route"
 )
 
-// Options are what a gateway needs besides its node.
+// Options are the settings of a gateway in addition to those of its node.
 type Options struct {
-	// Policy chooses runners.
+	// Policy chooses the runners.
 	Policy route.Policy
-	// Lease is how long a runner holds memory for this gateway without a
-	// renewal.
+	// Lease is how long a runner holds memory for this gateway without a renewal.
 	Lease time.Duration
-	// MaxOpen bounds the open requests of the gateway, MaxPerWorkspace those of
-	// one workspace.
+	// MaxOpen limits the open requests of the gateway, MaxPerWorkspace those of one workspace.
 	MaxOpen, MaxPerWorkspace int
-	// MaxPrompt bounds a prompt, in tokens.
+	// MaxPrompt limits the length of a prompt, in tokens.
 	MaxPrompt int
-	// ReserveFirst makes the gateway reserve the decode before the prefill
-	// starts. Only baselines switch it off.
+	// ReserveFirst makes the gateway reserve a decode runner before it starts the prefill. Only
+	// the baselines for comparison disable it.
 	ReserveFirst bool
 }
 
@@ -61,7 +59,7 @@
 	subsets  map[subsetKey][]fleet.Grant
 }
 
-// New makes a gateway on a node; Run brings it to life.
+// New returns a gateway on the given node. Run starts it.
 func New(n *node.Node, o Options) *Gateway {
 	g := &Gateway{
 		Node: n, opt: o,
@@ -75,11 +73,11 @@
 		budget:   newRetryBudget(),
 	}
 	g.scratch.New = func() any { return &route.Scratch{} }
-	g.met.watch(g)
+	g.met.registerGauges(g)
 	return g
 }
 
-// Run keeps the gateway's knowledge fresh until the context ends.
+// Run runs the node and probes runners until the context ends.
 func (g *Gateway) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Go(func() { g.Node.Run(ctx) })
@@ -87,15 +85,15 @@
 	wg.Wait()
 }
 
-// Ready reports whether the gateway may get new requests: its health page.
+// Ready reports whether the gateway may receive new requests. The health check returns it.
 func (g *Gateway) Ready() bool { return !g.draining.Load() && g.Node.Ready() }
 
-// StartDrain makes the health page fail, so that the balancer sends no more
-// requests; those that still come are served.
+// StartDrain makes the health check fail, so that the load balancer stops sending requests.
+// Requests that still arrive are served.
 func (g *Gateway) StartDrain() { g.draining.Store(true) }
 
-// Drain waits until no request is open, or until the context ends; it reports
-// whether all ended.
+// Drain starts a drain and waits until no request is open or the context ends. It reports whether
+// all requests ended.
 func (g *Gateway) Drain(ctx context.Context) bool {
 	g.StartDrain()
 	for g.limits.Open() > 0 {
@@ -108,5 +106,5 @@
 	return true
 }
 
-// drainPoll is how often a drain looks whether requests are open.
+// drainPoll is the interval at which a drain checks for open requests.
 const drainPoll = 20 * time.Millisecond
--- a/pkg/gateway/generate.go
+++ b/pkg/gateway/generate.go
@@ -15,22 +15,22 @@
 	"github.com/hopwell/hopwell/pkg/wire/wirepb"
 )
 
-// Bounds of one request.
+// Limits and delays of one request.
 const (
-	// maxTries bounds the attempts of a request.
-	maxTries = 5
-	// maxOpens bounds the sidecars asked for one part of an attempt.
+	// maxAttempts limits the attempts of a request.
+	maxAttempts = 5
+	// maxOpens limits the sidecars tried for one role of an attempt.
 	maxOpens = 4
-	// chunkGap is how long a decode that has begun may be silent.
-	chunkGap = 1500 * time.Millisecond
-	// retryPause and paidPause are waits before another try.
-	retryPause = 20 * time.Millisecond
-	paidPause  = 60 * time.Millisecond
-	// paidTime bounds how long work that was paid for waits for a runner.
-	paidTime = 20 * time.Second
+	// maxChunkGap is how long a decode that has started may send no report.
+	maxChunkGap = 1500 * time.Millisecond
+	// retryPause and startedPause are the base delays before a retry.
+	retryPause   = 20 * time.Millisecond
+	startedPause = 60 * time.Millisecond
+	// startedWait limits how long a request on which work has started waits for a runner.
+	startedWait = 20 * time.Second
 )
 
-// run is one generation on its way through its attempts.
+// run is one generation request with all its attempts.
 type run struct {
 	g     *Gateway
 	req   *Request
@@ -43,25 +43,25 @@
 	tokens     int
 	blocks     []uint64
 
-	// excluded are the instances that refused or failed this request.
+	// excluded holds the instances that refused or failed this request.
 	excluded map[string]bool
-	// source holds the KV cache while export is set.
+	// source is the branch of the runner that holds the KV cache, while export is set.
 	source *branch
 	export *wirepb.Exported
-	// stalls counts imports from source that stalled.
+	// stalls counts the stalled transfers from source.
 	stalls int
-	// computed are the tokens that each prefill of the request computed.
-	computed []int
-	key      *keyClaim
-	retry    time.Duration
-	tries    int
+	// computed holds the number of tokens that each prefill of the request computed.
+	computed   []int
+	key        *keyClaim
+	retryAfter time.Duration
+	tries      int
 
 	firstAt, lastAt time.Time
 	reason          string
 }
 
-// Generate runs a request to its one outcome. The context ends when the caller
-// goes away.
+// Generate runs a request until it has an outcome. The context must end when the client
+// disconnects.
 func (g *Gateway) Generate(ctx context.Context, req *Request, sink Sink) Result {
 	r, err := g.begin(req, sink)
 	if err != nil {
@@ -75,7 +75,7 @@
 	return res
 }
 
-// begin checks a request and records it.
+// begin checks a request, charges its workspace and counts it as open.
 func (g *Gateway) begin(req *Request, sink Sink) (*run, error) {
 	tokens := max(1, prefix.Tokens(req.Prompt))
 	if tokens > g.opt.MaxPrompt {
@@ -104,9 +104,9 @@
 	return r, nil
 }
 
-// loop makes attempts until one succeeds or no other may follow.
+// loop makes attempts until one succeeds or no further attempt is allowed.
 func (r *run) loop(ctx context.Context) error {
-	defer r.dropSource()
+	defer r.releaseSource()
 	if err := r.g.confirm(ctx); err != nil {
 		return err
 	}
@@ -122,29 +122,29 @@
 		if err = r.mayRetry(err); err != nil {
 			return err
 		}
-		if !pause(ctx, r.g.spread(retryPause<<min(r.tries, 5))) {
+		if !sleep(ctx, r.g.jittered(retryPause<<min(r.tries, 5))) {
 			return &ErrCallerGone{Err: ctx.Err()}
 		}
 	}
 }
 
-// mayRetry returns nil when another attempt may follow an error.
+// mayRetry returns nil if another attempt is allowed after err, otherwise the request's error.
 func (r *run) mayRetry(err error) error {
 	var broken *ErrBroken
 	if !errors.As(err, &broken) {
 		return err
 	}
-	if r.tries >= maxTries || (!r.paid() && !r.g.budget.spend()) {
+	if r.tries >= maxAttempts || (!r.started() && !r.g.budget.spend()) {
 		return &ErrExhausted{Tries: r.tries, Err: err}
 	}
 	r.g.met.retries.Inc()
 	return nil
 }
 
-// paid reports whether work for the request was done or begun already. It then
-// goes before new work: giving up now would waste what was done, and could not
-// tell its caller that nothing ran.
-func (r *run) paid() bool { return len(r.computed) > 0 || r.life.MayHaveRun() }
+// started reports whether work for the request was done or may have started. Such a request has
+// priority over new ones: giving it up would waste that work, or the client could no longer be told
+// that the request did not run.
+func (r *run) started() bool { return len(r.computed) > 0 || r.life.MayHaveRun() }
 
 // once makes one attempt.
 func (r *run) once(ctx context.Context) error {
@@ -172,15 +172,15 @@
 	return a.generate(ctx)
 }
 
-// dropSource gives the KV cache back.
-func (r *run) dropSource() {
+// releaseSource closes the source, which releases the KV cache.
+func (r *run) releaseSource() {
 	if r.source != nil {
 		r.source.close()
 	}
 	r.source, r.export = nil, nil
 }
 
-// deliver passes accepted text to the caller.
+// deliver sends text to the client.
 func (r *run) deliver(text string, tokens int) error {
 	if text == "" {
 		return nil
@@ -197,7 +197,7 @@
 	return nil
 }
 
-// result sums the request up.
+// result returns the result of the request and ends its life if err is set.
 func (r *run) result(err error) Result {
 	outcome := r.life.Outcome()
 	if err != nil {
@@ -206,7 +206,7 @@
 	n, _ := r.life.Progress()
 	res := Result{
 		Outcome: outcome, Err: err, Reason: r.reason, PromptTokens: r.tokens, Tokens: n,
-		TargetFirst: r.first, TargetPer: r.per, Attempts: r.life.Attempts(), RetryAfter: r.retry,
+		TargetFirst: r.first, TargetPer: r.per, Attempts: r.life.Attempts(), RetryAfter: r.retryAfter,
 	}
 	if !r.firstAt.IsZero() {
 		res.FirstToken = r.firstAt.Sub(r.began)
@@ -216,13 +216,13 @@
 	}
 	r.waste(&res)
 	if outcome == request.NotRun {
-		r.key.giveBack()
+		r.key.releaseIfClaimed()
 	}
 	return res
 }
 
-// waste counts the prefill work that did not serve the answer: all of it when
-// there is no whole answer, otherwise what came after the first.
+// waste counts the tokens of prefills that did not contribute to the response: all of them if the
+// response is incomplete, otherwise all after the first prefill.
 func (r *run) waste(res *Result) {
 	for i, n := range r.computed {
 		res.Prefilled += n
@@ -232,12 +232,13 @@
 	}
 }
 
-// seed makes the sampling of all attempts the same.
+// seed returns the sampling seed, which is the same for all attempts of a request.
 func (r *run) seed() uint64 { return xxhash.Sum64String(r.req.ID) }
 
-// left is the time until the next token is due. Within an answer that is what
-// the mean time between tokens still allows, if the rest comes at half of it.
-func (r *run) left() time.Duration {
+// timeLeft returns the time until the next token is due. Before the first token, this is the time
+// left of the target for it. Afterwards, it is the time that the target for the mean time between
+// tokens leaves, assuming that the remaining tokens take half of that target each.
+func (r *run) timeLeft() time.Duration {
 	if r.firstAt.IsZero() {
 		return r.first - time.Since(r.began)
 	}
@@ -246,8 +247,8 @@
 	return time.Duration(r.req.MaxTokens)*r.per - time.Since(r.firstAt) - rest
 }
 
-// pause waits and reports whether the context is still open.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits for d and reports whether the context is still open.
+func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -258,7 +259,7 @@
 	}
 }
 
-// spread returns a time between d/2 and d.
-func (g *Gateway) spread(d time.Duration) time.Duration {
+// jittered returns a random duration between d/2 and d.
+func (g *Gateway) jittered(d time.Duration) time.Duration {
 	return d/2 + time.Duration(g.Jitter()*float64(d/2))
 }
--- a/pkg/gateway/limits.go
+++ b/pkg/gateway/limits.go
@@ -6,10 +6,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// limitShards is the number of locks that workspaces spread over.
+// limitShards is the number of shards, each with its own lock, for the counts per workspace.
 const limitShards = 16
 
-// limits counts open requests of the gateway and of each workspace.
+// limits counts the open requests of the gateway and of each workspace.
 type limits struct {
 	maxOpen, maxWorkspace int
 
@@ -31,7 +31,7 @@
 	return l
 }
 
-// Enter records a request, or fails with *ErrLimit.
+// Enter counts a new open request. It fails with *ErrLimit if a limit is reached.
 func (l *limits) Enter(workspace string) error {
 	if !l.enterGateway() {
 		return &ErrLimit{What: "gateway", Limit: l.maxOpen}
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// Leave records a request's end.
+// Leave records the end of a request.
 func (l *limits) Leave(workspace string) {
 	l.shard(workspace).leave(workspace)
 	l.leaveGateway()
@@ -95,29 +95,29 @@
 	}
 }
 
-// Budget of retries after failures, so that a lost failure domain does not
-// become a storm: each request earns a part of a retry.
+// The retry budget: each request adds retriesPerRequest to it, up to maxSavedRetries. It keeps the
+// loss of a failure domain from causing a retry storm.
 const (
-	retryEarned = 0.2
-	retrySaved  = 100
+	retriesPerRequest = 0.2
+	maxSavedRetries   = 100
 )
 
-// retryBudget allows retries in proportion to requests.
+// retryBudget is a token bucket that allows retries in proportion to requests.
 type retryBudget struct {
 	mu    sync.Mutex
 	saved float64
 }
 
-func newRetryBudget() *retryBudget { return &retryBudget{saved: retrySaved} }
+func newRetryBudget() *retryBudget { return &retryBudget{saved: maxSavedRetries} }
 
-// earn records a new request.
+// earn adds the share of a new request to the budget.
 func (b *retryBudget) earn() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.saved = min(retrySaved, b.saved+retryEarned)
+	b.saved = min(maxSavedRetries, b.saved+retriesPerRequest)
 }
 
-// spend takes one retry, or reports that none is left.
+// spend takes one retry from the budget and reports whether one was left.
 func (b *retryBudget) spend() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/pkg/gateway/metrics.go
+++ b/pkg/gateway/metrics.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// watch adds the gauges, which are back at 0 at rest.
-func (m *meters) watch(g *Gateway) {
+// registerGauges registers the gauges. The gauge of open requests returns to 0 at rest.
+func (m *meters) registerGauges(g *Gateway) {
 	m.set.NewGauge("hopwell_gateway_open_requests", func() float64 { return float64(g.limits.Open()) })
 	m.set.NewGauge("hopwell_gateway_revision", func() float64 {
 		d, _ := g.Keeper.Digest()
@@ -44,14 +44,14 @@
 	})
 }
 
-// refused counts sidecars' refusals.
-func (m *meters) refused(reason string) {
+// recordRefusal counts a refusal by a sidecar.
+func (m *meters) recordRefusal(reason string) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`hopwell_gateway_refusals_total{reason=%q}`, reason)).Inc()
 }
 
-// answered counts a request by its outcome and by the cause of a miss.
-func (m *meters) answered(r *Result) {
-	cause := miss(r)
+// recordResult counts a request by its outcome and by the reason why it missed its targets.
+func (m *meters) recordResult(r *Result) {
+	cause := missCause(r)
 	m.set.GetOrCreateCounter(fmt.Sprintf(`hopwell_gateway_requests_total{outcome=%q,miss=%q}`, r.Outcome, cause)).Inc()
 	m.prefilled.Add(r.Prefilled)
 	m.wasted.Add(r.Wasted)
@@ -62,8 +62,8 @@
 	}
 }
 
-// miss names why an answer does not count as goodput; empty if it does.
-func miss(r *Result) string {
+// missCause returns why a response does not count as goodput, or "" if it does.
+func missCause(r *Result) string {
 	var shed *ErrShed
 	var gone *ErrCallerGone
 	switch {
@@ -86,12 +86,12 @@
 // WriteMetrics writes the metrics in the Prometheus text format.
 func (g *Gateway) WriteMetrics(w io.Writer) { g.met.set.WritePrometheus(w) }
 
-// finish records a request's outcome everywhere.
+// finish records the outcome of a request in metrics, quota, explanations and logs.
 func (g *Gateway) finish(req *Request, r *Result) {
-	g.met.answered(r)
-	g.giveBack(req, r.Outcome)
-	g.explains.finished(req.ID, r)
-	detail := fmt.Sprintf("outcome=%s miss=%s tokens=%d", r.Outcome, miss(r), r.Tokens)
+	g.met.recordResult(r)
+	g.refund(req, r.Outcome)
+	g.explains.recordResult(req.ID, r)
+	detail := fmt.Sprintf("outcome=%s miss=%s tokens=%d", r.Outcome, missCause(r), r.Tokens)
 	if r.Err != nil {
 		detail += fmt.Sprintf(" error=%q", r.Err)
 	}
@@ -102,11 +102,11 @@
 	g.Log.Add(trace.Event{Type: trace.Finished, Request: req.ID, Detail: detail})
 	if g.log.On() {
 		g.log.Info("request", "request", req.ID, "workspace", req.Workspace, "model", req.Model, "outcome", r.Outcome,
-			"miss", miss(r), "tokens", r.Tokens, "attempts", r.Attempts, "first_token", r.FirstToken, "err", r.Err)
+			"miss", missCause(r), "tokens", r.Tokens, "attempts", r.Attempts, "first_token", r.FirstToken, "err", r.Err)
 	}
 }
 
-// reject ends a request that was not even begun.
+// reject ends a request that was refused before its first attempt.
 func (g *Gateway) reject(req *Request, err error) Result {
 	res := Result{Outcome: request.NotRun, Err: err, RetryAfter: minRetryAfter}
 	g.finish(req, &res)
--- a/pkg/gateway/request.go
+++ b/pkg/gateway/request.go
@@ -7,55 +7,55 @@
 	"github.com/hopwell/hopwell/pkg/workspace"
 )
 
-// Request is one generation that a caller asks for.
+// Request is one generation request of a client.
 type Request struct {
-	// ID is unique; the gateway made it.
+	// ID is unique. The gateway generates it.
 	ID string
-	// Workspace is the tenant, Kind the request kind, Model the model.
+	// Workspace is the tenant, Kind the kind of request, Model the model.
 	Workspace, Kind, Model string
-	// Prompt is the text and MaxTokens bounds the answer.
+	// Prompt is the text, MaxTokens limits the tokens of the response.
 	Prompt    string
 	MaxTokens int
-	// Key is the caller's idempotency key, empty for none.
+	// Key is the client's idempotency key, or empty.
 	Key string
-	// NotRepeatable is the caller's own mark; a selector can set it too.
+	// NotRepeatable is set by the client. A selector can set it too.
 	NotRepeatable bool
 
-	// charged is the workspace whose limit paid for the request, cost how much.
+	// charged is the workspace whose limit was charged for the request, cost the amount.
 	charged *workspace.Workspace
 	cost    float64
 }
 
-// Sink takes a request's answer. It is called from one goroutine.
+// Sink receives the response to a request. It is called from one goroutine.
 type Sink interface {
-	// Text takes the next tokens. An error means that the caller is gone.
+	// Text receives the next tokens. An error means that the client disconnected.
 	Text(text string, tokens int) error
 }
 
-// Result is what became of a request.
+// Result describes how a request ended.
 type Result struct {
 	Outcome request.Outcome
-	// Err is nil when Outcome is done, otherwise one of this package's errors.
+	// Err is nil if Outcome is done. Otherwise it is an error of this package, or of package
+	// request, claim, quota or workspace.
 	Err error
-	// Reason is why the answer ended, in OpenAI's words.
+	// Reason is the finish reason, in the terms of the OpenAI API.
 	Reason string
-	// PromptTokens and Tokens are the lengths of prompt and answer.
+	// PromptTokens and Tokens are the lengths of the prompt and the response.
 	PromptTokens, Tokens int
-	// FirstToken is the time until the first token, PerToken the mean time
-	// between later ones.
+	// FirstToken is the time to the first token, PerToken the mean time between the later ones.
 	FirstToken, PerToken time.Duration
 	// TargetFirst and TargetPer are the targets that applied.
 	TargetFirst, TargetPer time.Duration
-	// Prefilled counts prompt tokens computed for the request, Wasted those
-	// that were thrown away or repeated.
+	// Prefilled counts the prompt tokens computed for the request, Wasted those that were
+	// discarded or computed again.
 	Prefilled, Wasted int
-	// Attempts counts the attempts begun.
+	// Attempts is the number of attempts started.
 	Attempts int
-	// RetryAfter is when to ask again, for what was not run.
+	// RetryAfter is the time after which the client may retry a request that did not run.
 	RetryAfter time.Duration
 }
 
-// Good reports whether the answer met both targets.
+// Good reports whether the response is complete and met both targets.
 func (r *Result) Good() bool {
 	return r.Outcome == request.Done && r.FirstToken <= r.TargetFirst && r.PerToken <= r.TargetPer
 }
--- a/pkg/gateway/service.go
+++ b/pkg/gateway/service.go
@@ -12,34 +12,34 @@
 	"github.com/hopwell/hopwell/pkg/wire/wirepb"
 )
 
-// ServiceRequest is one call of a plain service.
+// ServiceRequest is one request to a plain service.
 type ServiceRequest struct {
-	// ID is unique; the gateway made it.
+	// ID is unique. The gateway generates it.
 	ID string
-	// Workspace is the tenant, Kind the request kind, Service the name.
+	// Workspace is the tenant, Kind the kind of request, Service the name of the service.
 	Workspace, Kind, Service string
-	// Method, Path, Header and Body are the call's own.
+	// Method, Path, Header and Body are those of the client's HTTP request.
 	Method, Path string
 	Header       http.Header
 	Body         []byte
-	// Key is the caller's idempotency key, empty for none.
+	// Key is the client's idempotency key, or empty.
 	Key string
-	// NotRepeatable is the caller's own mark; a selector can set it too.
+	// NotRepeatable is set by the client. A selector can set it too.
 	NotRepeatable bool
 }
 
-// ServiceSink takes a service's answer. It is called from one goroutine.
+// ServiceSink receives the response of a service. It is called from one goroutine.
 type ServiceSink interface {
-	// Head takes the status and headers, once, before any Body.
+	// Head receives the status and headers, once, before any Body.
 	Head(status int, header http.Header)
-	// Body takes the next bytes. An error means that the caller is gone.
+	// Body receives the next bytes. An error means that the client disconnected.
 	Body(p []byte) error
 }
 
-// serviceTries bounds the runners that one call is offered to.
-const serviceTries = 4
+// maxServiceAttempts limits the attempts of one request, each on another runner.
+const maxServiceAttempts = 4
 
-// serviceRun is one call on its way.
+// serviceRun is one request to a plain service with all its attempts.
 type serviceRun struct {
 	g        *Gateway
 	req      *ServiceRequest
@@ -48,11 +48,11 @@
 	life     *request.Life
 	excluded map[string]bool
 	key      *keyClaim
-	headed   bool
+	headSent bool
 	retry    time.Duration
 }
 
-// Call runs a plain service's call to its one outcome.
+// Call runs a request to a plain service until it has an outcome.
 func (g *Gateway) Call(ctx context.Context, req *ServiceRequest, sink ServiceSink) Result {
 	as := &Request{ID: req.ID, Workspace: req.Workspace, Kind: req.Kind, Model: req.Service, Key: req.Key}
 	sel := g.Keeper.Document().Offer(req.Kind, req.Service, fleet.RoleServe)
@@ -82,14 +82,14 @@
 		res.Outcome = r.life.GiveUp()
 	}
 	if res.Outcome == request.NotRun {
-		r.key.giveBack()
+		r.key.releaseIfClaimed()
 	}
 	g.finish(as, &res)
 	return res
 }
 
-// repeatable reports whether a call that may have run can be sent again: only
-// where nobody forbids it and HTTP itself calls the method idempotent.
+// repeatable reports whether a request that may have run can be sent again. This is so only if
+// neither the client nor the selector forbids it and HTTP defines the method as idempotent.
 func repeatable(req *ServiceRequest, sel *fleet.Selector) bool {
 	if req.NotRepeatable || sel.NotRepeatable {
 		return false
@@ -101,13 +101,13 @@
 	return false
 }
 
-// loop offers the call to one runner after another until one ran it.
+// loop tries one runner after another until one completes the request or no retry is allowed.
 func (r *serviceRun) loop(ctx context.Context) error {
 	if err := r.g.confirm(ctx); err != nil {
 		return err
 	}
 	var last error
-	for try := range serviceTries {
+	for try := range maxServiceAttempts {
 		n, err := r.life.Begin()
 		if err != nil {
 			return errors.Join(err, last)
@@ -119,18 +119,18 @@
 		if ctx.Err() != nil {
 			return &ErrCallerGone{Err: ctx.Err()}
 		}
-		if last = err; r.headed || !r.another(err) {
+		if last = err; r.headSent || !r.mayRetry(err) {
 			return err
 		}
 		if try > 0 && !r.g.budget.spend() {
 			break
 		}
 	}
-	return &ErrExhausted{Tries: serviceTries, Err: last}
+	return &ErrExhausted{Tries: maxServiceAttempts, Err: last}
 }
 
-// another reports whether the next runner may be asked after an error.
-func (r *serviceRun) another(err error) bool {
+// mayRetry reports whether another runner may be tried after the error.
+func (r *serviceRun) mayRetry(err error) bool {
 	var refused *ErrRefused
 	if errors.As(err, &refused) {
 		r.retry = max(refused.RetryAfter, minRetryAfter)
@@ -140,7 +140,7 @@
 	return errors.As(err, &broken)
 }
 
-// once offers the call to one runner.
+// once tries one runner.
 func (r *serviceRun) once(ctx context.Context, n int) error {
 	grant, err := r.pick()
 	if err != nil {
@@ -152,32 +152,32 @@
 		return err
 	}
 	defer b.close()
-	if err := r.key.take(ctx); err != nil {
+	if err := r.key.acquire(ctx); err != nil {
 		return err
 	}
 	if err := r.life.Send(n); err != nil {
 		return err
 	}
 	r.g.Log.Add(trace.Event{Type: trace.Chosen, Request: r.req.ID, Attempt: n, Instance: b.member.Name, Detail: "role=serve"})
-	err = b.order(&wirepb.Order{Body: &wirepb.Order_Start{Start: &wirepb.Start{}}})
+	err = b.send(&wirepb.Order{Body: &wirepb.Order_Start{Start: &wirepb.Start{}}})
 	if err == nil {
 		err = r.relay(ctx, b, n)
 	}
 	if err != nil {
-		r.settle(b, n, err)
+		r.checkNeverRan(b, n, err)
 	}
 	return err
 }
 
-// settle finds out whether a call that failed certainly did not run.
-func (r *serviceRun) settle(b *branch, n int, err error) {
+// checkNeverRan determines whether a failed attempt certainly did not run, and records it if so.
+func (r *serviceRun) checkNeverRan(b *branch, n int, err error) {
 	var broken *ErrBroken
 	if errors.As(err, &broken) && broken.Never || b.fence() {
 		r.life.NeverRan(n)
 	}
 }
 
-// pick takes the runner with the fewest calls for its size.
+// pick returns the runner with the lowest ratio of calls to batch size.
 func (r *serviceRun) pick() (fleet.Grant, error) {
 	g := r.g
 	now := time.Now()
@@ -192,7 +192,7 @@
 		s := g.tracker.Get(m.Name, m.Domain, m.Region).State(now)
 		load := float64(s.Running+s.InFlight) / float64(max(1, s.Batch))
 		if s.Shunned {
-			load += shunnedLoad
+			load += recentFailureLoad
 		}
 		if best == nil || load < least {
 			best, least = &grants[i], load
@@ -204,8 +204,9 @@
 	return *best, nil
 }
 
-// shunnedLoad puts runners that failed lately behind all others.
-const shunnedLoad = 1000
+// recentFailureLoad is added to the load of runners that failed recently, so that they are
+// chosen last.
+const recentFailureLoad = 1000
 
 func (r *serviceRun) open(n int) *wirepb.Open {
 	c := &wirepb.Call{Method: r.req.Method, Path: r.req.Path, Body: r.req.Body}
@@ -222,7 +223,7 @@
 	}
 }
 
-// relay takes the call's reports until its end.
+// relay handles the reports of the attempt until the response ends.
 func (r *serviceRun) relay(ctx context.Context, b *branch, n int) error {
 	for {
 		select {
@@ -238,10 +239,10 @@
 					return err
 				}
 			case *wirepb.Report_End:
-				b.finished()
+				b.markFinished()
 				return r.life.End(n, int(x.End.Bytes))
 			case *wirepb.Report_Failed:
-				b.finished()
+				b.markFinished()
 				return &ErrBroken{Instance: b.member.Name, Code: x.Failed.Code, Never: !x.Failed.Started}
 			}
 		case <-ctx.Done():
@@ -255,11 +256,11 @@
 	for _, x := range h.Headers {
 		header.Add(x.Name, x.Value)
 	}
-	r.headed = true
+	r.headSent = true
 	r.sink.Head(int(h.Status), header)
 }
 
-// body passes bytes on; the life of the request counts bytes as its tokens.
+// body forwards bytes to the client. The request's life counts bytes in place of tokens.
 func (r *serviceRun) body(c *wirepb.Chunk, n int) error {
 	ready, err := r.life.Chunk(n, int(c.Offset), len(c.Raw), string(c.Raw))
 	if err != nil || ready == "" {
--- a/pkg/gateway/status.go
+++ b/pkg/gateway/status.go
@@ -6,7 +6,7 @@
 	"github.com/hopwell/hopwell/pkg/fleet"
 )
 
-// RunnerLoad is what the gateway knows of a runner's load.
+// RunnerLoad is the load of a runner as known to this gateway.
 type RunnerLoad struct {
 	Running      int     `json:"running"`
 	Reserved     int     `json:"reserved"`
@@ -16,11 +16,11 @@
 	InFlight     int     `json:"in_flight"`
 	// Suspect is set while the runner is backed off after failures.
 	Suspect bool `json:"suspect"`
-	// AgeMs is how old the newest report is, -1 when there was none.
+	// AgeMs is the age of the newest report, or -1 if there is none.
 	AgeMs int64 `json:"age_ms"`
 }
 
-// Load returns what is known of a member's runner.
+// Load returns the known load of a member's runner.
 func (g *Gateway) Load(m *fleet.Member) RunnerLoad {
 	now := time.Now()
 	r := g.tracker.Get(m.Name, m.Domain, m.Region)
@@ -35,5 +35,5 @@
 	}
 }
 
-// maxAgeMs is above the age of every real report.
+// maxAgeMs is greater than the age of any real report.
 const maxAgeMs = int64(365 * 24 * time.Hour / time.Millisecond)
--- a/pkg/gateway/stream.go
+++ b/pkg/gateway/stream.go
@@ -10,12 +10,13 @@
 	"github.com/hopwell/hopwell/pkg/wire/wirepb"
 )
 
-// generate starts the decode from the source and relays the answer.
+// generate starts the decode, with the KV cache from the source if there is one, and relays the
+// response.
 func (a *attempt) generate(ctx context.Context) error {
-	if err := a.catchUp(); err != nil {
+	if err := a.deliverGenerated(); err != nil {
 		return err
 	}
-	if err := a.key.take(ctx); err != nil {
+	if err := a.key.acquire(ctx); err != nil {
 		return err
 	}
 	if err := a.life.Send(a.n); err != nil {
@@ -24,15 +25,16 @@
 	_, text := a.life.Progress()
 	a.g.Log.Add(trace.Event{Type: trace.Chosen, Request: a.req.ID, Attempt: a.n, Instance: a.decode.member.Name, Detail: "role=decode"})
 	start := &wirepb.Start{SourceAddress: a.export.GetAddress(), Handle: a.export.GetHandle(), KvBytes: a.export.GetBytes(), Generated: text}
-	if err := a.decode.order(&wirepb.Order{Body: &wirepb.Order_Start{Start: start}}); err != nil {
+	if err := a.decode.send(&wirepb.Order{Body: &wirepb.Order_Start{Start: start}}); err != nil {
 		a.excluded[a.decode.member.Name] = true
 		return a.decode.failure("lost")
 	}
 	return a.relay(ctx)
 }
 
-// catchUp delivers what a handed-over decode generated beyond what came here.
-func (a *attempt) catchUp() error {
+// deliverGenerated delivers the tokens that a decode generated before its handover and that had
+// not arrived at the gateway.
+func (a *attempt) deliverGenerated() error {
 	have, text := a.life.Progress()
 	more := int(a.export.GetOffset()) - have
 	if more <= 0 || len(a.export.GetGenerated()) < len(text) {
@@ -41,7 +43,7 @@
 	return a.accept(have, more, a.export.Generated[len(text):])
 }
 
-// accept passes a run of tokens through the request's order to the caller.
+// accept adds tokens to the response and delivers those that are next in order to the client.
 func (a *attempt) accept(offset, tokens int, text string) error {
 	ready, err := a.life.Chunk(a.n, offset, tokens, text)
 	if err != nil {
@@ -50,10 +52,10 @@
 	return a.deliver(ready, tokens)
 }
 
-// relay takes the decode's reports until its end.
+// relay handles the reports of the decode until the response ends.
 func (a *attempt) relay(ctx context.Context) error {
 	b := a.decode
-	gap := time.NewTimer(a.g.opt.Lease * maxTries)
+	gap := time.NewTimer(a.g.opt.Lease * maxAttempts)
 	defer gap.Stop()
 	for {
 		select {
@@ -61,12 +63,12 @@
 			if !ok {
 				return a.decodeLost(b.failure("lost"))
 			}
-			done, err := a.take(r)
+			done, err := a.handleReport(r)
 			if done || err != nil {
 				return err
 			}
 			if a.source == nil {
-				gap.Reset(chunkGap)
+				gap.Reset(maxChunkGap)
 			}
 		case <-gap.C:
 			b.cancelCtx()
@@ -77,32 +79,32 @@
 	}
 }
 
-// take handles one report of the decode and reports whether it was the last.
-func (a *attempt) take(r *wirepb.Report) (bool, error) {
+// handleReport handles one report of the decode and reports whether the response is complete.
+func (a *attempt) handleReport(r *wirepb.Report) (bool, error) {
 	switch x := r.Body.(type) {
 	case *wirepb.Report_Imported:
 		if a.export == nil {
 			offset, _ := a.life.Progress()
 			a.computed = append(a.computed, a.tokens+offset)
 		}
-		a.release()
+		a.releaseExport()
 	case *wirepb.Report_Chunk:
 		return a.chunk(x.Chunk)
 	case *wirepb.Report_End:
-		a.decode.finished()
+		a.decode.markFinished()
 		a.reason = x.End.Reason
 		return true, a.life.End(a.n, int(x.End.Tokens))
 	case *wirepb.Report_Exported:
-		return false, a.moved(x.Exported)
+		return false, a.handleHandover(x.Exported)
 	case *wirepb.Report_Failed:
-		a.decode.finished()
+		a.decode.markFinished()
 		return false, a.decodeFailed(x.Failed)
 	}
 	return false, nil
 }
 
-// chunk takes a run of tokens. After the last one the answer is whole, whatever
-// becomes of the stream.
+// chunk handles a chunk of tokens. After the final chunk the response is complete, even if the
+// stream breaks afterwards.
 func (a *attempt) chunk(c *wirepb.Chunk) (bool, error) {
 	if err := a.accept(int(c.Offset), int(c.Tokens), c.Text); err != nil {
 		return false, err
@@ -114,20 +116,20 @@
 	return true, a.life.End(a.n, int(c.Offset+c.Tokens))
 }
 
-// release tells the prefill runner that its export was imported.
-func (r *run) release() {
+// releaseExport notifies the prefill runner that its export was imported.
+func (r *run) releaseExport() {
 	if r.source == nil {
 		return
 	}
 	r.source.runner.Moved()
-	_ = r.source.order(&wirepb.Order{Body: &wirepb.Order_Release{Release: &wirepb.Release{}}})
-	r.source.finished()
-	r.dropSource()
+	_ = r.source.send(&wirepb.Order{Body: &wirepb.Order_Release{Release: &wirepb.Release{}}})
+	r.source.markFinished()
+	r.releaseSource()
 }
 
-// moved takes over a decode that its leaving runner handed over: the next
-// attempt imports from there.
-func (a *attempt) moved(x *wirepb.Exported) error {
+// handleHandover records that a leaving runner handed its decode over. The next attempt imports the
+// KV cache from that runner.
+func (a *attempt) handleHandover(x *wirepb.Exported) error {
 	from := a.decode
 	a.excluded[from.member.Name] = true
 	a.decode = nil
@@ -135,23 +137,23 @@
 	return &ErrBroken{Instance: from.member.Name, Code: engine.CodeMoved}
 }
 
-// decodeLost records a decode runner that broke off.
+// decodeLost records that the stream to the decode runner broke.
 func (a *attempt) decodeLost(err error) error {
 	a.excluded[a.decode.member.Name] = true
 	if a.source != nil && a.source.role == fleet.RolePrefill {
-		a.keepOrDrop()
+		a.releaseSourceIfBroken()
 	}
 	return err
 }
 
-// decodeFailed decides what of the attempt can be used again.
+// decodeFailed handles a failure report and keeps what the next attempt can reuse.
 func (a *attempt) decodeFailed(f *wirepb.Failed) error {
 	a.excluded[a.decode.member.Name] = true
 	switch f.Code {
 	case engine.CodeStalled:
-		a.stalled()
+		a.handleStall()
 	case engine.CodeGone:
-		a.dropSource()
+		a.releaseSource()
 	}
 	if !f.Started {
 		a.life.Withdraw(a.n)
@@ -159,30 +161,29 @@
 	return &ErrBroken{Instance: a.decode.member.Name, Code: f.Code, Never: !f.Started}
 }
 
-// stalled decides what to do about a transfer that made no progress. What costs
-// little is computed again elsewhere at once; for a long prompt the transfer is
-// tried once more, to another runner.
-func (a *attempt) stalled() {
+// handleStall handles a transfer that made no progress. A short prompt is computed again on another
+// runner at once. For a long prompt the transfer is retried once, to another runner.
+func (a *attempt) handleStall() {
 	if a.source == nil {
 		return
 	}
 	a.source.runner.Stalled(time.Now(), a.g.Jitter())
 	a.stalls++
-	if a.stalls > 1 || a.tokens < cheapTokens {
+	if a.stalls > 1 || a.tokens < maxRecomputeTokens {
 		a.excluded[a.source.member.Name] = true
-		a.dropSource()
+		a.releaseSource()
 	}
 }
 
-// cheapTokens is the length of a prompt that is computed again rather than
-// waiting for a second transfer: about what takes as long as noticing a stall.
-const cheapTokens = 3000
+// maxRecomputeTokens is the prompt length below which a prompt is computed again without a second
+// transfer. Computing it takes about as long as detecting a stall.
+const maxRecomputeTokens = 3000
 
-// keepOrDrop keeps the source while its branch lives.
-func (r *run) keepOrDrop() {
+// releaseSourceIfBroken releases the source if its branch is broken.
+func (r *run) releaseSourceIfBroken() {
 	select {
 	case <-r.source.broken:
-		r.dropSource()
+		r.releaseSource()
 	default:
 	}
 }
--- a/pkg/request/errors.go
+++ b/pkg/request/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// ErrFinished reports that the request has its outcome already.
+// ErrFinished reports that the request already has an outcome.
 type ErrFinished struct {
 	ID      string
 	Outcome Outcome
@@ -13,7 +13,7 @@
 	return fmt.Sprintf("request is over: request=%s outcome=%s", e.ID, e.Outcome)
 }
 
-// ErrSuperseded reports that a later attempt took the place of this one.
+// ErrSuperseded reports that a later attempt replaced this one.
 type ErrSuperseded struct {
 	ID      string
 	Attempt int
@@ -35,7 +35,7 @@
 	return fmt.Sprintf("request may have run and must not be repeated: request=%s attempts=%d", e.ID, e.Attempts)
 }
 
-// ErrChunk reports that a chunk does not fit the answer so far.
+// ErrChunk reports that a chunk does not fit the response received so far.
 type ErrChunk struct {
 	ID           string
 	Offset, Next int
@@ -46,7 +46,7 @@
 	return fmt.Sprintf("chunk out of place: request=%s offset=%d next=%d", e.ID, e.Offset, e.Next)
 }
 
-// ErrIncomplete reports that an answer ended with tokens missing.
+// ErrIncomplete reports that a response ended with tokens missing.
 type ErrIncomplete struct {
 	ID         string
 	Have, Want int
--- a/pkg/request/life.go
+++ b/pkg/request/life.go
@@ -1,6 +1,6 @@
-// Package request is the life of one request at its gateway: its attempts, the
-// order of its chunks and its single outcome. It does no I/O; the gateway tells
-// it what happened and it says what may happen next.
+// Package request tracks the state of one request at its gateway: its attempts, the order of its
+// chunks and its single outcome. It does no I/O. The gateway reports events to it, and it decides
+// which steps are allowed next.
 package request
 
 import (
@@ -8,38 +8,38 @@
 	"sync"
 )
 
-// Outcome is what became of a request.
+// Outcome is how a request ended.
 type Outcome string
 
 // The outcomes.
 const (
-	// Pending is not over yet.
+	// Pending means that the request has not ended.
 	Pending Outcome = ""
-	// Done means that the whole answer went to the caller.
+	// Done means that the complete response was delivered to the client.
 	Done Outcome = "done"
-	// NotRun means that no runner began it and none will.
+	// NotRun means that no runner started the request and none will.
 	NotRun Outcome = "not_run"
-	// Unknown means that a runner may have run it, in whole or in part.
+	// Unknown means that a runner may have run the request, in whole or in part.
 	Unknown Outcome = "unknown"
 )
 
-// Phase is how far an attempt has come.
+// Phase is the phase of an attempt.
 type Phase int
 
 // The phases of an attempt, in order.
 const (
-	// Opened: asked for admission only. Nothing can have run.
+	// Opened means that the gateway has only asked for admission. Nothing can have run.
 	Opened Phase = iota
-	// Sent: an order to run was given to the transport, so it may have run.
+	// Sent means that an order to run was passed to the transport, so the attempt may have run.
 	Sent
-	// Closed: it runs no more; chunks of it are dropped.
+	// Closed means that the attempt has ended. Its chunks are dropped.
 	Closed
 )
 
-// attempt is one try at running the request.
+// attempt is one attempt to run the request.
 type attempt struct {
 	phase Phase
-	// sent counts the orders of it that a runner may have begun.
+	// sent counts the orders of the attempt that a runner may have started.
 	sent int
 }
 
@@ -51,32 +51,32 @@
 	mu       sync.Mutex
 	attempts []attempt
 	next     int
-	early    map[int]piece
+	pending  map[int]pendingChunk
 	outcome  Outcome
-	written  []byte
+	accepted []byte
 }
 
-// piece is a chunk that came before its turn.
-type piece struct {
+// pendingChunk is a chunk that arrived out of order.
+type pendingChunk struct {
 	tokens int
 	text   string
 }
 
-// maxEarly bounds the chunks kept for later.
-const maxEarly = 1024
+// maxPending limits the out-of-order chunks kept per request.
+const maxPending = 1024
 
-// NewLife begins a request. A request that is not repeatable is sent to at most
-// one runner that may run it.
+// NewLife returns the state of a new request. If the request is not repeatable, it is sent to at
+// most one runner that may run it.
 func NewLife(id string, repeatable bool) *Life {
-	return &Life{id: id, repeatable: repeatable, early: map[int]piece{}}
+	return &Life{id: id, repeatable: repeatable, pending: map[int]pendingChunk{}}
 }
 
 // ID returns the request's ID.
 func (l *Life) ID() string { return l.id }
 
-// Begin opens the next attempt and closes all before it. Attempts count from 1.
-// It fails with *ErrFinished after the outcome and with *ErrMayHaveRun when the
-// request must not be repeated and an earlier attempt may have run.
+// Begin starts the next attempt and closes all earlier ones. Attempts are numbered from 1. It fails
+// with *ErrFinished after the outcome is set, and with *ErrMayHaveRun if the request must not be
+// repeated and an earlier attempt may have run.
 func (l *Life) Begin() (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -89,14 +89,13 @@
 	for i := range l.attempts {
 		l.attempts[i].phase = Closed
 	}
-	l.early = map[int]piece{}
+	l.pending = map[int]pendingChunk{}
 	l.attempts = append(l.attempts, attempt{})
 	return len(l.attempts), nil
 }
 
-// Send records that an order to run is about to be written. It must be called
-// before the first byte of the order goes out, and the order must not go out
-// when it fails.
+// Send records that an order to run is about to be sent. It must be called before the first byte of
+// the order is written. If it fails, the order must not be sent.
 func (l *Life) Send(n int) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -109,8 +108,8 @@
 	return nil
 }
 
-// Withdraw takes one Send of an attempt back: the runner answered that it has
-// not begun the order and never will.
+// Withdraw undoes one Send of an attempt, after the runner reported that it has not started the
+// order and never will.
 func (l *Life) Withdraw(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -124,7 +123,7 @@
 	}
 }
 
-// NeverRan records a runner's word that an attempt has not begun and never will.
+// NeverRan records that, according to its runner, an attempt has not started and never will.
 func (l *Life) NeverRan(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -134,7 +133,7 @@
 	l.attempts[n-1] = attempt{phase: Closed}
 }
 
-// live returns an attempt that is neither superseded nor over.
+// live returns an attempt that is neither superseded nor ended. l.mu must be held.
 func (l *Life) live(n int) (*attempt, error) {
 	if l.outcome != Pending {
 		return nil, &ErrFinished{ID: l.id, Outcome: l.outcome}
@@ -161,10 +160,9 @@
 	return l.mayHaveRun()
 }
 
-// Chunk takes a run of tokens of an attempt and returns the text that the
-// caller may now have, in order and without repetition. Offset counts the
-// tokens before the chunk. It fails with *ErrSuperseded, *ErrFinished or
-// *ErrChunk; the chunk is then dropped.
+// Chunk adds a chunk of an attempt and returns the text that can be delivered next, in order and
+// without repetition. The offset is the number of tokens before the chunk. Chunk fails with
+// *ErrSuperseded, *ErrFinished or *ErrChunk; the chunk is then dropped.
 func (l *Life) Chunk(n, offset, tokens int, text string) (string, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -180,37 +178,37 @@
 	if offset < l.next {
 		return "", &ErrChunk{ID: l.id, Offset: offset, Next: l.next}
 	}
-	if len(l.early) >= maxEarly {
+	if len(l.pending) >= maxPending {
 		return "", &ErrChunk{ID: l.id, Offset: offset, Next: l.next}
 	}
-	l.early[offset] = piece{tokens, text}
-	return l.release(), nil
+	l.pending[offset] = pendingChunk{tokens, text}
+	return l.takeReady(), nil
 }
 
-// release joins the pieces whose turn has come.
-func (l *Life) release() string {
-	start := len(l.written)
+// takeReady removes the pending chunks that are next in order and returns their text.
+func (l *Life) takeReady() string {
+	start := len(l.accepted)
 	for {
-		p, ok := l.early[l.next]
+		p, ok := l.pending[l.next]
 		if !ok {
-			return string(l.written[start:])
+			return string(l.accepted[start:])
 		}
-		delete(l.early, l.next)
+		delete(l.pending, l.next)
 		l.next += p.tokens
-		l.written = append(l.written, p.text...)
+		l.accepted = append(l.accepted, p.text...)
 	}
 }
 
-// Progress returns the tokens that the caller has and their text: where a
-// resumed attempt goes on.
+// Progress returns the number of tokens that were released for the client, and their text. A
+// resumed attempt continues after them.
 func (l *Life) Progress() (tokens int, text string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.next, string(l.written)
+	return l.next, string(l.accepted)
 }
 
-// End takes an attempt's end with the count of all tokens of the answer. The
-// request is Done when all of them came; otherwise *ErrIncomplete.
+// End records the end of an attempt, with the total number of tokens of the response. The request
+// is Done if all of them arrived; otherwise End fails with *ErrIncomplete.
 func (l *Life) End(n, total int) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -224,8 +222,8 @@
 	return nil
 }
 
-// GiveUp ends a request that can't be answered whole and returns its outcome:
-// NotRun only if no attempt can have run. After the outcome it changes nothing.
+// GiveUp ends a request that can't be completed and returns its outcome: NotRun only if no attempt
+// can have run. It changes nothing if the request already has an outcome.
 func (l *Life) GiveUp() Outcome {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -239,21 +237,21 @@
 	return l.outcome
 }
 
-// Outcome returns Pending until the request is over.
+// Outcome returns Pending until the request has ended.
 func (l *Life) Outcome() Outcome {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.outcome
 }
 
-// Attempts returns how many attempts were begun.
+// Attempts returns the number of attempts started.
 func (l *Life) Attempts() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.attempts)
 }
 
-// String is for logs.
+// String describes the request for logs.
 func (l *Life) String() string {
 	return fmt.Sprintf("request=%s attempts=%d outcome=%s", l.id, l.Attempts(), l.Outcome())
 }
--- a/pkg/request/life_test.go
+++ b/pkg/request/life_test.go
@@ -15,14 +15,14 @@
 
 func TestRequest(t *testing.T) { spectest.Run(t, "request") }
 
-var _ = Describe("a request's life", func() {
-	It("is not run when nothing was sent", func() {
+var _ = Describe("Life", func() {
+	It("has outcome not_run if no order was sent", func() {
 		l := request.NewLife("r", true)
 		_, err := l.Begin()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(l.GiveUp()).To(Equal(request.NotRun))
 	})
-	It("is unknown once an order was sent, until the runner takes it back", func() {
+	It("may have run after Send, but not after Withdraw", func() {
 		l := request.NewLife("r", true)
 		n, _ := l.Begin()
 		Expect(l.Send(n)).To(Succeed())
@@ -45,7 +45,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(text).To(Equal("c"))
 	})
-	It("is never begun again when it may have run and must not be repeated", func() {
+	It("allows no second attempt if it may have run and must not be repeated", func() {
 		l := request.NewLife("r", false)
 		n, _ := l.Begin()
 		Expect(l.Send(n)).To(Succeed())
@@ -58,8 +58,8 @@
 	})
 })
 
-// lifeMachine drives a Life at random and keeps a model of what its caller got
-// and of what runners may have begun.
+// lifeMachine calls a Life at random and keeps a model of what its client received and of which
+// orders runners may have started.
 type lifeMachine struct {
 	life       *request.Life
 	repeatable bool
@@ -95,7 +95,7 @@
 	n := m.anyAttempt(t)
 	if m.life.Send(n) == nil {
 		if n != m.last || m.over {
-			t.Fatalf("attempt %d sent after %d", n, m.last)
+			t.Fatalf("Send accepted attempt %d after attempt %d began", n, m.last)
 		}
 		m.sent[n]++
 	}
@@ -107,17 +107,17 @@
 	m.sent[n] = max(0, m.sent[n]-1)
 }
 
-// chunk delivers any part of the answer, in any order, for any attempt.
+// chunk delivers any part of the response, in any order, for any attempt.
 func (m *lifeMachine) chunk(t *rapid.T) {
 	n := m.anyAttempt(t)
 	offset := rapid.IntRange(0, answerTokens-1).Draw(t, "offset")
 	tokens := rapid.IntRange(1, answerTokens-offset).Draw(t, "tokens")
 	text, err := m.life.Chunk(n, offset, tokens, m.answer[offset:offset+tokens])
 	if err != nil && text != "" {
-		t.Fatalf("a refused chunk gave %q", text)
+		t.Fatalf("a rejected chunk returned text %q", text)
 	}
 	if err == nil && (n != m.last || m.over) {
-		t.Fatalf("a chunk of attempt %d was taken after %d", n, m.last)
+		t.Fatalf("a chunk of attempt %d was accepted after attempt %d began", n, m.last)
 	}
 	m.got += text
 }
@@ -154,7 +154,7 @@
 	m.over = true
 }
 
-func TestLifeKeepsItsPromises(t *testing.T) {
+func TestLifeMatchesModel(t *testing.T) {
 	spectest.Check(t, func(t *rapid.T) {
 		m := &lifeMachine{repeatable: rapid.Bool().Draw(t, "repeatable"), answer: "abcdefghijkl", sent: map[int]int{}}
 		m.life = request.NewLife("r", m.repeatable)
@@ -163,7 +163,7 @@
 			"end": m.end, "give up": m.giveUp,
 			"": func(t *rapid.T) {
 				if !strings.HasPrefix(m.answer, m.got) {
-					t.Fatalf("the caller got %q", m.got)
+					t.Fatalf("the client received %q", m.got)
 				}
 			},
 		})
