--- a/pkg/gateway/access.go
+++ b/pkg/gateway/access.go
@@ -69,7 +69,7 @@
 
 // charge deducts the request's maximum cost from the limit of its workspace. It fails with
 // *workspace.ErrWorkspace, *workspace.ErrCredential or *quota.ErrQuota.
-func (g *Gateway) charge(req *Request, prompt, answer int) error {
+func (g *Gateway) charge(req *Request, promptTokens, maxTokens int) error {
 	directory, err := g.Workspaces()
 	if err != nil || directory == nil {
 		return err
@@ -78,7 +78,7 @@
 	if w == nil {
 		return &workspace.ErrCredential{Why: workspace.Unknown}
 	}
-	cost := w.Limit.Cost(prompt, answer)
+	cost := w.Limit.Cost(promptTokens, maxTokens)
 	if err := g.access.quota.Admit(w, cost, time.Now()); err != nil {
 		return err
 	}
--- a/pkg/gateway/attempt.go
+++ b/pkg/gateway/attempt.go
@@ -12,7 +12,7 @@
 	"github.com/hopwell/hopwell/pkg/wire/wirepb"
 )
 
-// attempt is one attempt at a request. It has a decode branch and, until the KV cache is
+// attempt is the state of one attempt at a request. It has a decode branch and, until the KV cache is
 // imported, a prefill branch.
 type attempt struct {
 	*run
@@ -49,7 +49,7 @@
 		if !errors.As(err, &shed) {
 			return err
 		}
-		if !sleep(ctx, a.g.jittered(startedPause)) {
+		if !sleep(ctx, a.g.jittered(startedRetryDelay)) {
 			return ctx.Err()
 		}
 		clear(a.excluded)
@@ -135,10 +135,10 @@
 		RequestId: a.req.ID, Attempt: uint32(a.n), Role: string(role),
 		Kind: a.req.Kind, Model: a.selector.Model, Version: a.selector.Version, Adapter: a.selector.Adapter,
 		Workspace: a.req.Workspace, Priority: int32(a.selector.Priority),
-		PromptTokens: uint32(a.tokens), MaxTokens: uint32(a.req.MaxTokens), ResumeOffset: uint32(offset),
+		PromptTokens: uint32(a.promptTokens), MaxTokens: uint32(a.req.MaxTokens), ResumeOffset: uint32(offset),
 		Prompt:  a.req.Prompt,
-		SlackUs: slack.Microseconds(), PerTokenUs: a.per.Microseconds(),
-		TargetUs: a.first.Microseconds(),
+		SlackUs: slack.Microseconds(), PerTokenUs: a.targetPer.Microseconds(),
+		TargetUs: a.targetFirst.Microseconds(),
 		NeedUs:   seconds(e.Queue + e.Prefill + e.Transfer).Microseconds(),
 		Revision: d.Revision, Seed: a.seed(), Paid: a.started(),
 	}
@@ -146,8 +146,8 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// maxColocatedTokens is the longest prompt that a decode runner prefills itself: about the number of
-// prompt tokens that it adds to one step of its streams.
+// maxColocatedTokens is the longest prompt that a decode runner prefills itself. It is about the
+// number of tokens that the runner adds to one step of its streams.
 const maxColocatedTokens = 512
 
 // prefill computes the KV cache on a prefill runner and keeps that runner as the source. If no
@@ -165,7 +165,7 @@
 // mayColocate reports whether the reserved decode runner may also prefill the prompt.
 func (a *attempt) mayColocate() bool {
 	offset, _ := a.life.Progress()
-	if a.decode == nil || a.tokens+offset > maxColocatedTokens {
+	if a.decode == nil || a.promptTokens+offset > maxColocatedTokens {
 		return false
 	}
 	return a.g.View().Select(a.req.Kind, a.req.Model, fleet.RolePrefill, a.decode.member.Labels) != nil
@@ -215,12 +215,12 @@
 	}
 	b, err := a.g.open(ctx, p.prefill, o)
 	if err != nil {
-		a.withdrawUnlessRun(err, nil)
+		a.withdrawIfNotRun(err, nil)
 		return err
 	}
 	a.g.Log.Add(trace.Event{Type: trace.Chosen, Request: a.req.ID, Attempt: a.n, Instance: b.member.Name, Detail: "role=prefill"})
 	if err := a.awaitExport(ctx, b); err != nil {
-		a.withdrawUnlessRun(err, b)
+		a.withdrawIfNotRun(err, b)
 		b.close()
 		return err
 	}
@@ -235,9 +235,9 @@
 	return errors.As(err, &refused) || errors.As(err, &broken) && broken.Never
 }
 
-// withdrawUnlessRun undoes a Send if the runner certainly did not start the order. If the error
+// withdrawIfNotRun undoes a Send if the runner certainly did not start the order. If the error
 // does not prove it and the branch is open, the sidecar is asked to fence the attempt.
-func (a *attempt) withdrawUnlessRun(err error, b *branch) {
+func (a *attempt) withdrawIfNotRun(err error, b *branch) {
 	// The runner can also refuse after admission, if it drops the job for another one.
 	if neverRan(err) || b != nil && b.fence() {
 		a.life.Withdraw(a.n)
@@ -264,7 +264,7 @@
 				return nil
 			case *wirepb.Report_Refused:
 				b.markFinished()
-				return b.refused(x.Refused)
+				return b.refusedError(x.Refused)
 			case *wirepb.Report_Failed:
 				b.markFinished()
 				a.excluded[b.member.Name] = true
--- a/pkg/gateway/branch.go
+++ b/pkg/gateway/branch.go
@@ -89,13 +89,13 @@
 	}
 	o.LeaseUs, o.Gateway = g.opt.Lease.Microseconds(), g.Self.Name
 	connect := time.AfterFunc(openTimeout, cancel)
-	st, err := wirepb.NewDRPCRunnerClient(g.Pool.Conn(m.Inner)).Attempt(ctx)
+	stream, err := wirepb.NewDRPCRunnerClient(g.Pool.Conn(m.Inner)).Attempt(ctx)
 	if !connect.Stop() || err != nil {
 		cancel()
 		// The Open was not written, so the sidecar can't have started anything.
 		return nil, b.recordLost(err, true)
 	}
-	b.stream = st
+	b.stream = stream
 	tokens, streams, bytes := b.addedLoad(o)
 	b.runner.Sent(tokens, streams, bytes)
 	if err := b.send(&wirepb.Order{Body: &wirepb.Order_Open{Open: o}}); err != nil {
@@ -130,7 +130,7 @@
 		return b, nil
 	case *wirepb.Report_Refused:
 		b.close()
-		return nil, b.refused(x.Refused)
+		return nil, b.refusedError(x.Refused)
 	case *wirepb.Report_Failed:
 		b.close()
 		return nil, &ErrBroken{Instance: b.member.Name, Code: x.Failed.Code, Never: !x.Failed.Started}
@@ -139,9 +139,9 @@
 	return nil, &ErrBroken{Instance: b.member.Name, Code: "protocol"}
 }
 
-// refused counts a refusal by a sidecar and returns it as *ErrRefused.
-func (b *branch) refused(r *wirepb.Refused) error {
-	b.g.met.recordRefusal(r.Reason)
+// refusedError counts a refusal by a sidecar and returns it as *ErrRefused.
+func (b *branch) refusedError(r *wirepb.Refused) error {
+	b.g.meters.recordRefusal(r.Reason)
 	return &ErrRefused{Instance: b.member.Name, Reason: r.Reason, RetryAfter: time.Duration(r.RetryAfterUs) * time.Microsecond}
 }
 
@@ -193,8 +193,8 @@
 // renew renews the lease until the branch is closed. If a sidecar does not reply to renewals, renew
 // cancels the stream.
 func (b *branch) renew() {
-	every := time.Duration(float64(b.g.opt.Lease) / renewalsPerLease)
-	tick := time.NewTicker(every)
+	interval := time.Duration(float64(b.g.opt.Lease) / renewalsPerLease)
+	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for {
 		select {
@@ -205,7 +205,7 @@
 			return
 		}
 		b.mu.Lock()
-		silent := time.Since(b.lastReport) > 2*every+openTimeout/2
+		silent := time.Since(b.lastReport) > 2*interval+openTimeout/2
 		b.mu.Unlock()
 		if silent {
 			b.cancelCtx()
--- a/pkg/gateway/choose.go
+++ b/pkg/gateway/choose.go
@@ -32,16 +32,16 @@
 	defer g.scratch.Put(s)
 	s.Reset()
 	view := g.View()
-	pg := g.candidates(view, r, fleet.RolePrefill, prefill)
-	dg := g.candidates(view, r, fleet.RoleDecode, decode)
+	prefillGrants := g.candidates(view, r, fleet.RolePrefill, prefill)
+	decodeGrants := g.candidates(view, r, fleet.RoleDecode, decode)
 	now := time.Now()
-	s.Prefills = g.states(s.Prefills, pg, r, now)
-	s.Decodes = g.states(s.Decodes, dg, r, now)
-	g.prefixes.Fill(r.blocks, prefix.BlockTokens, r.tokens, s.Prefills)
+	s.Prefills = g.states(s.Prefills, prefillGrants, r, now)
+	s.Decodes = g.states(s.Decodes, decodeGrants, r, now)
+	g.prefixes.Fill(r.blocks, prefix.BlockTokens, r.promptTokens, s.Prefills)
 	offset, _ := r.life.Progress()
 	req := route.Request{
-		PromptTokens: r.tokens + offset, MaxTokens: r.req.MaxTokens - offset, Blocks: r.blocks,
-		FirstToken: r.timeLeft().Seconds(), PerToken: r.per.Seconds(),
+		PromptTokens: r.promptTokens + offset, MaxTokens: r.req.MaxTokens - offset, Blocks: r.blocks,
+		FirstToken: r.timeLeft().Seconds(), PerToken: r.targetPer.Seconds(),
 		Domain: g.Self.Domain, Region: g.Self.Region,
 		Exported: r.export != nil, Paid: r.started(), Now: now,
 	}
@@ -49,8 +49,8 @@
 	if err != nil {
 		return pairing{}, err
 	}
-	g.explains.recordChoice(r.req.ID, &c)
-	return pairing{Choice: c, prefill: pg[c.Prefill], decode: dg[c.Decode]}, nil
+	g.explanations.recordChoice(r.req.ID, &c)
+	return pairing{Choice: c, prefill: prefillGrants[c.Prefill], decode: decodeGrants[c.Decode]}, nil
 }
 
 // candidates returns the candidate runners for a role.
@@ -61,8 +61,8 @@
 	return g.subset(view, r.req.Kind, r.req.Model, role)
 }
 
-// states returns the states of the candidates. It excludes the runners that refused or failed
-// this request. Runners that are backed off after recent failures are excluded too, unless no
+// states returns the states of the candidates. It sets Shunned for runners that refused or failed
+// this request. For runners that are backed off after recent failures it sets Shunned unless no
 // other candidate is left.
 func (g *Gateway) states(out []route.State, grants []fleet.Grant, r *run, now time.Time) []route.State {
 	usable := false
@@ -103,8 +103,8 @@
 	key := subsetKey{kind, model, role}
 	g.subsetMu.Lock()
 	defer g.subsetMu.Unlock()
-	if g.subsetOf != view {
-		g.subsetOf, g.subsets = view, map[subsetKey][]fleet.Grant{}
+	if g.subsetView != view {
+		g.subsetView, g.subsets = view, map[subsetKey][]fleet.Grant{}
 	}
 	if s, ok := g.subsets[key]; ok {
 		return s
@@ -145,9 +145,9 @@
 	return out
 }
 
-// confirm ensures that the configuration is up to date. A gateway that was suspended or
+// confirmConfig ensures that the configuration is up to date. A gateway that was suspended or
 // partitioned asks peers before it sends work based on an old configuration.
-func (g *Gateway) confirm(ctx context.Context) error {
+func (g *Gateway) confirmConfig(ctx context.Context) error {
 	if !g.Keeper.Stale(time.Now(), staleAfter) {
 		return nil
 	}
@@ -181,21 +181,21 @@
 func (g *Gateway) oldest(now time.Time) []*fleet.Member {
 	var out []*fleet.Member
 	view := g.View()
-	keep := map[string]bool{}
+	present := map[string]bool{}
 	for _, m := range view.Members {
-		keep[m.Name] = true
+		present[m.Name] = true
 		if m.Role == platform.RoleSidecar && g.tracker.Get(m.Name, m.Domain, m.Region).Age(now) > probeMinAge {
 			out = append(out, m)
 		}
 	}
-	g.tracker.Keep(keep)
+	g.tracker.Keep(present)
 	slices.SortFunc(out, func(a, b *fleet.Member) int {
-		return int(g.age(b, now) - g.age(a, now))
+		return int(g.loadAge(b, now) - g.loadAge(a, now))
 	})
 	return out[:min(len(out), probeBatch)]
 }
 
-func (g *Gateway) age(m *fleet.Member, now time.Time) time.Duration {
+func (g *Gateway) loadAge(m *fleet.Member, now time.Time) time.Duration {
 	return min(g.tracker.Get(m.Name, m.Domain, m.Region).Age(now), math.MaxInt32)
 }
 
--- a/pkg/gateway/choose_bench_test.go
+++ b/pkg/gateway/choose_bench_test.go
@@ -27,7 +27,7 @@
 				first, per := (&fleet.Selector{}).Targets()
 				r := &run{
 					g: g, req: &Request{ID: "r", Kind: "k", Model: "m", MaxTokens: 100}, life: request.NewLife("r", true),
-					began: time.Now(), selector: &fleet.Selector{}, first: first, per: per, tokens: tokens, excluded: map[string]bool{},
+					began: time.Now(), selector: &fleet.Selector{}, targetFirst: first, targetPer: per, promptTokens: tokens, excluded: map[string]bool{},
 				}
 				r.blocks = prefix.Blocks(nil, 0, strings.Repeat("hull", tokens))
 				g.prefixes.Add(r.blocks, 3)
--- a/pkg/gateway/claims.go
+++ b/pkg/gateway/claims.go
@@ -102,13 +102,13 @@
 // owner returns the gateway that owns a shard, chosen by rendezvous hashing.
 func (g *Gateway) owner(shard int) *fleet.Member {
 	var best *fleet.Member
-	var top uint64
+	var bestHash uint64
 	for _, m := range g.View().Members {
 		if m.Role != platform.RoleGateway || m.Leaving {
 			continue
 		}
-		if h := xxhash.Sum64String(m.Name + string(rune('0'+shard))); best == nil || h > top {
-			best, top = m, h
+		if h := xxhash.Sum64String(m.Name + string(rune('0'+shard))); best == nil || h > bestHash {
+			best, bestHash = m, h
 		}
 	}
 	return best
--- a/pkg/gateway/explain.go
+++ b/pkg/gateway/explain.go
@@ -37,14 +37,14 @@
 
 // explanations holds the explanations of the most recent requests.
 type explanations struct {
-	mu    sync.Mutex
-	byID  map[string]*Explanation
-	order []string
-	next  int
+	mu   sync.Mutex
+	byID map[string]*Explanation
+	ring []string
+	next int
 }
 
 func newExplanations() *explanations {
-	return &explanations{byID: map[string]*Explanation{}, order: make([]string, maxExplanations)}
+	return &explanations{byID: map[string]*Explanation{}, ring: make([]string, maxExplanations)}
 }
 
 // get returns the entry of a request. If there is none, it adds one and evicts the oldest. x.mu
@@ -53,8 +53,8 @@
 	if e, ok := x.byID[id]; ok {
 		return e
 	}
-	delete(x.byID, x.order[x.next])
-	x.order[x.next] = id
+	delete(x.byID, x.ring[x.next])
+	x.ring[x.next] = id
 	x.next = (x.next + 1) % maxExplanations
 	e := &Explanation{Request: id}
 	x.byID[id] = e
@@ -90,7 +90,7 @@
 
 // Explain returns a copy of a request's explanation.
 func (g *Gateway) Explain(id string) (Explanation, bool) {
-	x := g.explains
+	x := g.explanations
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	e, ok := x.byID[id]
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -42,38 +42,38 @@
 // Gateway serves requests.
 type Gateway struct {
 	*node.Node
-	opt      Options
-	log      *logs.Logger
-	met      *meters
-	tracker  *route.Tracker
-	prefixes *route.Prefixes
-	explains *explanations
-	limits   *limits
-	access   *access
-	budget   *retryBudget
-	scratch  sync.Pool
-	draining atomic.Bool
+	opt          Options
+	log          *logs.Logger
+	meters       *meters
+	tracker      *route.Tracker
+	prefixes     *route.Prefixes
+	explanations *explanations
+	limits       *limits
+	access       *access
+	budget       *retryBudget
+	scratch      sync.Pool
+	draining     atomic.Bool
 
-	subsetMu sync.Mutex
-	subsetOf *fleet.View
-	subsets  map[subsetKey][]fleet.Grant
+	subsetMu   sync.Mutex
+	subsetView *fleet.View
+	subsets    map[subsetKey][]fleet.Grant
 }
 
 // New returns a gateway on the given node. Run starts it.
 func New(n *node.Node, o Options) *Gateway {
 	g := &Gateway{
 		Node: n, opt: o,
-		log:      logs.For(logs.LayerGateway),
-		met:      newMeters(),
-		tracker:  route.NewTracker(),
-		prefixes: route.NewPrefixes(prefixBlocks),
-		explains: newExplanations(),
-		limits:   newLimits(o.MaxOpen, o.MaxPerWorkspace),
-		access:   newAccess(),
-		budget:   newRetryBudget(),
+		log:          logs.For(logs.LayerGateway),
+		meters:       newMeters(),
+		tracker:      route.NewTracker(),
+		prefixes:     route.NewPrefixes(prefixBlocks),
+		explanations: newExplanations(),
+		limits:       newLimits(o.MaxOpen, o.MaxPerWorkspace),
+		access:       newAccess(),
+		budget:       newRetryBudget(),
 	}
 	g.scratch.New = func() any { return &route.Scratch{} }
-	g.met.registerGauges(g)
+	g.meters.registerGauges(g)
 	return g
 }
 
--- a/pkg/gateway/generate.go
+++ b/pkg/gateway/generate.go
@@ -23,9 +23,10 @@
 	maxOpens = 4
 	// maxChunkGap is how long a decode that has started may send no report.
 	maxChunkGap = 1500 * time.Millisecond
-	// retryPause and startedPause are the base delays before a retry.
-	retryPause   = 20 * time.Millisecond
-	startedPause = 60 * time.Millisecond
+	// retryDelay is the base delay before another attempt. startedRetryDelay is the delay before
+	// runners are tried again for a request on which work has started.
+	retryDelay        = 20 * time.Millisecond
+	startedRetryDelay = 60 * time.Millisecond
 	// startedWait limits how long a request on which work has started waits for a runner.
 	startedWait = 20 * time.Second
 )
@@ -38,10 +39,10 @@
 	life  *request.Life
 	began time.Time
 
-	selector   *fleet.Selector
-	first, per time.Duration
-	tokens     int
-	blocks     []uint64
+	selector               *fleet.Selector
+	targetFirst, targetPer time.Duration
+	promptTokens           int
+	blocks                 []uint64
 
 	// excluded holds the instances that refused or failed this request.
 	excluded map[string]bool
@@ -54,10 +55,10 @@
 	computed   []int
 	key        *keyClaim
 	retryAfter time.Duration
-	tries      int
+	attempts   int
 
 	firstAt, lastAt time.Time
-	reason          string
+	finishReason    string
 }
 
 // Generate runs a request until it has an outcome. The context must end when the client
@@ -68,7 +69,7 @@
 		return g.reject(req, err)
 	}
 	defer g.limits.Leave(req.Workspace)
-	g.Log.Add(trace.Event{Type: trace.Received, Request: req.ID, Detail: fmt.Sprintf("model=%s kind=%s tokens=%d", req.Model, req.Kind, r.tokens)})
+	g.Log.Add(trace.Event{Type: trace.Received, Request: req.ID, Detail: fmt.Sprintf("model=%s kind=%s tokens=%d", req.Model, req.Kind, r.promptTokens)})
 	err = r.loop(ctx)
 	res := r.result(err)
 	g.finish(req, &res)
@@ -96,7 +97,7 @@
 	repeatable := !req.NotRepeatable && !sel.NotRepeatable
 	r := &run{
 		g: g, req: req, sink: sink, began: time.Now(), selector: sel,
-		first: first, per: per, tokens: tokens, excluded: map[string]bool{},
+		targetFirst: first, targetPer: per, promptTokens: tokens, excluded: map[string]bool{},
 		life: request.NewLife(req.ID, repeatable),
 		key:  g.newKeyClaim(req.Workspace, req.Key, req.ID, repeatable),
 	}
@@ -107,12 +108,12 @@
 // loop makes attempts until one succeeds or no further attempt is allowed.
 func (r *run) loop(ctx context.Context) error {
 	defer r.releaseSource()
-	if err := r.g.confirm(ctx); err != nil {
+	if err := r.g.confirmConfig(ctx); err != nil {
 		return err
 	}
 	for {
-		r.tries++
-		err := r.once(ctx)
+		r.attempts++
+		err := r.runAttempt(ctx)
 		if err == nil {
 			return nil
 		}
@@ -122,7 +123,7 @@
 		if err = r.mayRetry(err); err != nil {
 			return err
 		}
-		if !sleep(ctx, r.g.jittered(retryPause<<min(r.tries, 5))) {
+		if !sleep(ctx, r.g.jittered(retryDelay<<min(r.attempts, 5))) {
 			return &ErrCallerGone{Err: ctx.Err()}
 		}
 	}
@@ -134,10 +135,10 @@
 	if !errors.As(err, &broken) {
 		return err
 	}
-	if r.tries >= maxAttempts || (!r.started() && !r.g.budget.spend()) {
-		return &ErrExhausted{Tries: r.tries, Err: err}
+	if r.attempts >= maxAttempts || (!r.started() && !r.g.budget.spend()) {
+		return &ErrExhausted{Tries: r.attempts, Err: err}
 	}
-	r.g.met.retries.Inc()
+	r.g.meters.retries.Inc()
 	return nil
 }
 
@@ -146,8 +147,8 @@
 // that the request did not run.
 func (r *run) started() bool { return len(r.computed) > 0 || r.life.MayHaveRun() }
 
-// once makes one attempt.
-func (r *run) once(ctx context.Context) error {
+// runAttempt makes one attempt.
+func (r *run) runAttempt(ctx context.Context) error {
 	n, err := r.life.Begin()
 	if err != nil {
 		return err
@@ -205,8 +206,8 @@
 	}
 	n, _ := r.life.Progress()
 	res := Result{
-		Outcome: outcome, Err: err, Reason: r.reason, PromptTokens: r.tokens, Tokens: n,
-		TargetFirst: r.first, TargetPer: r.per, Attempts: r.life.Attempts(), RetryAfter: r.retryAfter,
+		Outcome: outcome, Err: err, Reason: r.finishReason, PromptTokens: r.promptTokens, Tokens: n,
+		TargetFirst: r.targetFirst, TargetPer: r.targetPer, Attempts: r.life.Attempts(), RetryAfter: r.retryAfter,
 	}
 	if !r.firstAt.IsZero() {
 		res.FirstToken = r.firstAt.Sub(r.began)
@@ -214,16 +215,16 @@
 	if n > 1 {
 		res.PerToken = r.lastAt.Sub(r.firstAt) / time.Duration(n-1)
 	}
-	r.waste(&res)
+	r.countWaste(&res)
 	if outcome == request.NotRun {
 		r.key.releaseIfClaimed()
 	}
 	return res
 }
 
-// waste counts the tokens of prefills that did not contribute to the response: all of them if the
-// response is incomplete, otherwise all after the first prefill.
-func (r *run) waste(res *Result) {
+// countWaste counts the prompt tokens computed, and among them those that did not contribute to the
+// response: all if the response is incomplete, otherwise those computed after the first prefill.
+func (r *run) countWaste(res *Result) {
 	for i, n := range r.computed {
 		res.Prefilled += n
 		if i > 0 || res.Outcome != request.Done {
@@ -235,16 +236,16 @@
 // seed returns the sampling seed, which is the same for all attempts of a request.
 func (r *run) seed() uint64 { return xxhash.Sum64String(r.req.ID) }
 
-// timeLeft returns the time until the next token is due. Before the first token, this is the time
-// left of the target for it. Afterwards, it is the time that the target for the mean time between
-// tokens leaves, assuming that the remaining tokens take half of that target each.
+// timeLeft returns the time until the next token is due. Before the first token, it is what remains
+// of targetFirst. Afterwards, it is what remains of targetPer times MaxTokens, if each of the
+// remaining tokens takes half of targetPer.
 func (r *run) timeLeft() time.Duration {
 	if r.firstAt.IsZero() {
-		return r.first - time.Since(r.began)
+		return r.targetFirst - time.Since(r.began)
 	}
 	n, _ := r.life.Progress()
-	rest := time.Duration(r.req.MaxTokens-n) * r.per / 2
-	return time.Duration(r.req.MaxTokens)*r.per - time.Since(r.firstAt) - rest
+	rest := time.Duration(r.req.MaxTokens-n) * r.targetPer / 2
+	return time.Duration(r.req.MaxTokens)*r.targetPer - time.Since(r.firstAt) - rest
 }
 
 // sleep waits for d and reports whether the context is still open.
--- a/pkg/gateway/limits.go
+++ b/pkg/gateway/limits.go
@@ -104,26 +104,26 @@
 
 // retryBudget is a token bucket that allows retries in proportion to requests.
 type retryBudget struct {
-	mu    sync.Mutex
-	saved float64
+	mu      sync.Mutex
+	balance float64
 }
 
-func newRetryBudget() *retryBudget { return &retryBudget{saved: maxSavedRetries} }
+func newRetryBudget() *retryBudget { return &retryBudget{balance: maxSavedRetries} }
 
 // earn adds the share of a new request to the budget.
 func (b *retryBudget) earn() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.saved = min(maxSavedRetries, b.saved+retriesPerRequest)
+	b.balance = min(maxSavedRetries, b.balance+retriesPerRequest)
 }
 
 // spend takes one retry from the budget and reports whether one was left.
 func (b *retryBudget) spend() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.saved < 1 {
+	if b.balance < 1 {
 		return false
 	}
-	b.saved--
+	b.balance--
 	return true
 }
--- a/pkg/gateway/metrics.go
+++ b/pkg/gateway/metrics.go
@@ -84,13 +84,13 @@
 }
 
 // WriteMetrics writes the metrics in the Prometheus text format.
-func (g *Gateway) WriteMetrics(w io.Writer) { g.met.set.WritePrometheus(w) }
+func (g *Gateway) WriteMetrics(w io.Writer) { g.meters.set.WritePrometheus(w) }
 
 // finish records the outcome of a request in metrics, quota, explanations and logs.
 func (g *Gateway) finish(req *Request, r *Result) {
-	g.met.recordResult(r)
+	g.meters.recordResult(r)
 	g.refund(req, r.Outcome)
-	g.explains.recordResult(req.ID, r)
+	g.explanations.recordResult(req.ID, r)
 	detail := fmt.Sprintf("outcome=%s miss=%s tokens=%d", r.Outcome, missCause(r), r.Tokens)
 	if r.Err != nil {
 		detail += fmt.Sprintf(" error=%q", r.Err)
--- a/pkg/gateway/service.go
+++ b/pkg/gateway/service.go
@@ -41,29 +41,29 @@
 
 // serviceRun is one request to a plain service with all its attempts.
 type serviceRun struct {
-	g        *Gateway
-	req      *ServiceRequest
-	sink     ServiceSink
-	selector *fleet.Selector
-	life     *request.Life
-	excluded map[string]bool
-	key      *keyClaim
-	headSent bool
-	retry    time.Duration
+	g          *Gateway
+	req        *ServiceRequest
+	sink       ServiceSink
+	selector   *fleet.Selector
+	life       *request.Life
+	excluded   map[string]bool
+	key        *keyClaim
+	headSent   bool
+	retryAfter time.Duration
 }
 
 // Call runs a request to a plain service until it has an outcome.
 func (g *Gateway) Call(ctx context.Context, req *ServiceRequest, sink ServiceSink) Result {
-	as := &Request{ID: req.ID, Workspace: req.Workspace, Kind: req.Kind, Model: req.Service, Key: req.Key}
+	asRequest := &Request{ID: req.ID, Workspace: req.Workspace, Kind: req.Kind, Model: req.Service, Key: req.Key}
 	sel := g.Keeper.Document().Offer(req.Kind, req.Service, fleet.RoleServe)
 	if sel == nil {
-		return g.reject(as, &ErrUnknownModel{Model: req.Service, Kind: req.Kind})
+		return g.reject(asRequest, &ErrUnknownModel{Model: req.Service, Kind: req.Kind})
 	}
-	if err := g.charge(as, 0, 0); err != nil {
-		return g.reject(as, err)
+	if err := g.charge(asRequest, 0, 0); err != nil {
+		return g.reject(asRequest, err)
 	}
 	if err := g.limits.Enter(req.Workspace); err != nil {
-		return g.reject(as, err)
+		return g.reject(asRequest, err)
 	}
 	defer g.limits.Leave(req.Workspace)
 	g.budget.earn()
@@ -75,7 +75,7 @@
 	}
 	began := time.Now()
 	err := r.loop(ctx)
-	res := Result{Outcome: r.life.Outcome(), Err: err, Attempts: r.life.Attempts(), RetryAfter: r.retry}
+	res := Result{Outcome: r.life.Outcome(), Err: err, Attempts: r.life.Attempts(), RetryAfter: r.retryAfter}
 	res.FirstToken = time.Since(began)
 	res.TargetFirst, res.TargetPer = sel.Targets()
 	if err != nil {
@@ -84,7 +84,7 @@
 	if res.Outcome == request.NotRun {
 		r.key.releaseIfClaimed()
 	}
-	g.finish(as, &res)
+	g.finish(asRequest, &res)
 	return res
 }
 
@@ -103,7 +103,7 @@
 
 // loop tries one runner after another until one completes the request or no retry is allowed.
 func (r *serviceRun) loop(ctx context.Context) error {
-	if err := r.g.confirm(ctx); err != nil {
+	if err := r.g.confirmConfig(ctx); err != nil {
 		return err
 	}
 	var last error
@@ -112,7 +112,7 @@
 		if err != nil {
 			return errors.Join(err, last)
 		}
-		err = r.once(ctx, n)
+		err = r.runAttempt(ctx, n)
 		if err == nil {
 			return nil
 		}
@@ -133,21 +133,21 @@
 func (r *serviceRun) mayRetry(err error) bool {
 	var refused *ErrRefused
 	if errors.As(err, &refused) {
-		r.retry = max(refused.RetryAfter, minRetryAfter)
+		r.retryAfter = max(refused.RetryAfter, minRetryAfter)
 		return true
 	}
 	var broken *ErrBroken
 	return errors.As(err, &broken)
 }
 
-// once tries one runner.
-func (r *serviceRun) once(ctx context.Context, n int) error {
-	grant, err := r.pick()
+// runAttempt tries one runner.
+func (r *serviceRun) runAttempt(ctx context.Context, n int) error {
+	grant, err := r.pickRunner()
 	if err != nil {
 		return err
 	}
 	r.excluded[grant.Member.Name] = true
-	b, err := r.g.open(ctx, grant, r.open(n))
+	b, err := r.g.open(ctx, grant, r.newOpen(n))
 	if err != nil {
 		return err
 	}
@@ -177,8 +177,8 @@
 	}
 }
 
-// pick returns the runner with the lowest ratio of calls to batch size.
-func (r *serviceRun) pick() (fleet.Grant, error) {
+// pickRunner returns the runner with the lowest ratio of calls to batch size.
+func (r *serviceRun) pickRunner() (fleet.Grant, error) {
 	g := r.g
 	now := time.Now()
 	var best *fleet.Grant
@@ -199,7 +199,7 @@
 		}
 	}
 	if best == nil {
-		return fleet.Grant{}, &ErrShed{Reason: "no_runner", RetryAfter: max(r.retry, minRetryAfter)}
+		return fleet.Grant{}, &ErrShed{Reason: "no_runner", RetryAfter: max(r.retryAfter, minRetryAfter)}
 	}
 	return *best, nil
 }
@@ -208,7 +208,7 @@
 // chosen last.
 const recentFailureLoad = 1000
 
-func (r *serviceRun) open(n int) *wirepb.Open {
+func (r *serviceRun) newOpen(n int) *wirepb.Open {
 	c := &wirepb.Call{Method: r.req.Method, Path: r.req.Path, Body: r.req.Body}
 	for name, values := range r.req.Header {
 		for _, v := range values {
--- a/pkg/gateway/stream.go
+++ b/pkg/gateway/stream.go
@@ -35,16 +35,16 @@
 // deliverGenerated delivers the tokens that a decode generated before its handover and that had
 // not arrived at the gateway.
 func (a *attempt) deliverGenerated() error {
-	have, text := a.life.Progress()
-	more := int(a.export.GetOffset()) - have
-	if more <= 0 || len(a.export.GetGenerated()) < len(text) {
+	delivered, text := a.life.Progress()
+	missing := int(a.export.GetOffset()) - delivered
+	if missing <= 0 || len(a.export.GetGenerated()) < len(text) {
 		return nil
 	}
-	return a.accept(have, more, a.export.Generated[len(text):])
+	return a.acceptTokens(delivered, missing, a.export.Generated[len(text):])
 }
 
-// accept adds tokens to the response and delivers those that are next in order to the client.
-func (a *attempt) accept(offset, tokens int, text string) error {
+// acceptTokens adds tokens to the response and delivers those that are next in order to the client.
+func (a *attempt) acceptTokens(offset, tokens int, text string) error {
 	ready, err := a.life.Chunk(a.n, offset, tokens, text)
 	if err != nil {
 		return err
@@ -85,14 +85,14 @@
 	case *wirepb.Report_Imported:
 		if a.export == nil {
 			offset, _ := a.life.Progress()
-			a.computed = append(a.computed, a.tokens+offset)
+			a.computed = append(a.computed, a.promptTokens+offset)
 		}
 		a.releaseExport()
 	case *wirepb.Report_Chunk:
-		return a.chunk(x.Chunk)
+		return a.handleChunk(x.Chunk)
 	case *wirepb.Report_End:
 		a.decode.markFinished()
-		a.reason = x.End.Reason
+		a.finishReason = x.End.Reason
 		return true, a.life.End(a.n, int(x.End.Tokens))
 	case *wirepb.Report_Exported:
 		return false, a.handleHandover(x.Exported)
@@ -103,16 +103,16 @@
 	return false, nil
 }
 
-// chunk handles a chunk of tokens. After the final chunk the response is complete, even if the
-// stream breaks afterwards.
-func (a *attempt) chunk(c *wirepb.Chunk) (bool, error) {
-	if err := a.accept(int(c.Offset), int(c.Tokens), c.Text); err != nil {
+// handleChunk handles a chunk of tokens. After the final chunk the response is complete, even if
+// the stream breaks afterwards.
+func (a *attempt) handleChunk(c *wirepb.Chunk) (bool, error) {
+	if err := a.acceptTokens(int(c.Offset), int(c.Tokens), c.Text); err != nil {
 		return false, err
 	}
 	if !c.Final {
 		return false, nil
 	}
-	a.reason = c.Reason
+	a.finishReason = c.Reason
 	return true, a.life.End(a.n, int(c.Offset+c.Tokens))
 }
 
@@ -169,7 +169,7 @@
 	}
 	a.source.runner.Stalled(time.Now(), a.g.Jitter())
 	a.stalls++
-	if a.stalls > 1 || a.tokens < maxRecomputeTokens {
+	if a.stalls > 1 || a.promptTokens < maxRecomputeTokens {
 		a.excluded[a.source.member.Name] = true
 		a.releaseSource()
 	}
--- a/pkg/request/life.go
+++ b/pkg/request/life.go
@@ -51,24 +51,24 @@
 	mu       sync.Mutex
 	attempts []attempt
 	next     int
-	pending  map[int]pendingChunk
+	buffered map[int]bufferedChunk
 	outcome  Outcome
 	accepted []byte
 }
 
-// pendingChunk is a chunk that arrived out of order.
-type pendingChunk struct {
+// bufferedChunk is a chunk that arrived out of order.
+type bufferedChunk struct {
 	tokens int
 	text   string
 }
 
-// maxPending limits the out-of-order chunks kept per request.
-const maxPending = 1024
+// maxBuffered limits the out-of-order chunks kept per request.
+const maxBuffered = 1024
 
 // NewLife returns the state of a new request. If the request is not repeatable, it is sent to at
 // most one runner that may run it.
 func NewLife(id string, repeatable bool) *Life {
-	return &Life{id: id, repeatable: repeatable, pending: map[int]pendingChunk{}}
+	return &Life{id: id, repeatable: repeatable, buffered: map[int]bufferedChunk{}}
 }
 
 // ID returns the request's ID.
@@ -89,7 +89,7 @@
 	for i := range l.attempts {
 		l.attempts[i].phase = Closed
 	}
-	l.pending = map[int]pendingChunk{}
+	l.buffered = map[int]bufferedChunk{}
 	l.attempts = append(l.attempts, attempt{})
 	return len(l.attempts), nil
 }
@@ -178,10 +178,10 @@
 	if offset < l.next {
 		return "", &ErrChunk{ID: l.id, Offset: offset, Next: l.next}
 	}
-	if len(l.pending) >= maxPending {
+	if len(l.buffered) >= maxBuffered {
 		return "", &ErrChunk{ID: l.id, Offset: offset, Next: l.next}
 	}
-	l.pending[offset] = pendingChunk{tokens, text}
+	l.buffered[offset] = bufferedChunk{tokens, text}
 	return l.takeReady(), nil
 }
 
@@ -189,11 +189,11 @@
 func (l *Life) takeReady() string {
 	start := len(l.accepted)
 	for {
-		p, ok := l.pending[l.next]
+		p, ok := l.buffered[l.next]
 		if !ok {
 			return string(l.accepted[start:])
 		}
-		delete(l.pending, l.next)
+		delete(l.buffered, l.next)
 		l.next += p.tokens
 		l.accepted = append(l.accepted, p.text...)
 	}
--- a/pkg/request/life_test.go
+++ b/pkg/request/life_test.go
@@ -63,15 +63,15 @@
 type lifeMachine struct {
 	life       *request.Life
 	repeatable bool
-	answer     string
-	got        string
+	response   string
+	received   string
 	sent       map[int]int
 	last       int
 	ended      bool
 	over       bool
 }
 
-const answerTokens = 12
+const responseTokens = 12
 
 func (m *lifeMachine) begin(t *rapid.T) {
 	ran := false
@@ -110,28 +110,28 @@
 // chunk delivers any part of the response, in any order, for any attempt.
 func (m *lifeMachine) chunk(t *rapid.T) {
 	n := m.anyAttempt(t)
-	offset := rapid.IntRange(0, answerTokens-1).Draw(t, "offset")
-	tokens := rapid.IntRange(1, answerTokens-offset).Draw(t, "tokens")
-	text, err := m.life.Chunk(n, offset, tokens, m.answer[offset:offset+tokens])
+	offset := rapid.IntRange(0, responseTokens-1).Draw(t, "offset")
+	tokens := rapid.IntRange(1, responseTokens-offset).Draw(t, "tokens")
+	text, err := m.life.Chunk(n, offset, tokens, m.response[offset:offset+tokens])
 	if err != nil && text != "" {
 		t.Fatalf("a rejected chunk returned text %q", text)
 	}
 	if err == nil && (n != m.last || m.over) {
 		t.Fatalf("a chunk of attempt %d was accepted after attempt %d began", n, m.last)
 	}
-	m.got += text
+	m.received += text
 }
 
 func (m *lifeMachine) end(t *rapid.T) {
 	n := m.anyAttempt(t)
-	if m.life.End(n, answerTokens) != nil {
+	if m.life.End(n, responseTokens) != nil {
 		return
 	}
 	if m.over {
 		t.Fatalf("ended twice")
 	}
-	if m.got != m.answer {
-		t.Fatalf("done with %q of %q", m.got, m.answer)
+	if m.received != m.response {
+		t.Fatalf("done with %q of %q", m.received, m.response)
 	}
 	m.over, m.ended = true, true
 }
@@ -156,14 +156,14 @@
 
 func TestLifeMatchesModel(t *testing.T) {
 	spectest.Check(t, func(t *rapid.T) {
-		m := &lifeMachine{repeatable: rapid.Bool().Draw(t, "repeatable"), answer: "abcdefghijkl", sent: map[int]int{}}
+		m := &lifeMachine{repeatable: rapid.Bool().Draw(t, "repeatable"), response: "abcdefghijkl", sent: map[int]int{}}
 		m.life = request.NewLife("r", m.repeatable)
 		t.Repeat(map[string]func(*rapid.T){
 			"begin": m.begin, "send": m.send, "withdraw": m.withdraw, "chunk": m.chunk,
 			"end": m.end, "give up": m.giveUp,
 			"": func(t *rapid.T) {
-				if !strings.HasPrefix(m.answer, m.got) {
-					t.Fatalf("the client received %q", m.got)
+				if !strings.HasPrefix(m.response, m.received) {
+					t.Fatalf("the client received %q", m.received)
 				}
 			},
 		})
