--- a/pkg/gateway/choose_bench_test.go
+++ b/pkg/gateway/choose_bench_test.go
@@ -16,9 +16,9 @@
 	"github.com/hopwell/hopwell/pkg/wire"
 )
 
-// BenchmarkChoose measures a whole choice: reading the runners' states, the
-// prefix memory, the policy, and the note for `hopwell explain`. All runners
-// serve one model, half of them in each role.
+// BenchmarkChoose measures a complete choice: the states of the runners, the prefix cache lookup,
+// the policy, and the record for `hopwell explain`. All runners serve one model, half of them in
+// each role.
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{18, 730, 7300} {
 		for _, tokens := range []int{100, 8000} {
@@ -27,7 +27,7 @@
 				first, per := (&fleet.Selector{}).Targets()
 				r := &run{
 					g: g, req: &Request{ID: "r", Kind: "k", Model: "m", MaxTokens: 100}, life: request.NewLife("r", true),
-					began: time.Now(), selector: &fleet.Selector{}, first: first, per: per, tokens: tokens, excluded: map[string]bool{},
+					began: time.Now(), selector: &fleet.Selector{}, targetFirst: first, targetPer: per, promptTokens: tokens, excluded: map[string]bool{},
 				}
 				r.blocks = prefix.Blocks(nil, 0, strings.Repeat("hull", tokens))
 				g.prefixes.Add(r.blocks, 3)
