--- a/pkg/fleet/document.go
+++ b/pkg/fleet/document.go
@@ -11,44 +11,44 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Document is the whole configuration that operators change. Exactly one
-// document exists for each revision: it lives under one key of the platform's
-// key-value service and changes only by compare-and-swap.
+// Document is the complete configuration that operators change. Exactly one
+// document exists for each revision: it is stored under one key of the
+// platform's key-value service and changes only by compare-and-swap.
 type Document struct {
 	// Revision grows by 1 with each accepted change.
 	Revision uint64 `json:"revision"`
-	// Labels are the operators' labels, by instance. An empty value removes a
-	// label that the platform gave.
+	// Labels are the labels that operators set, by instance name. An empty value
+	// removes a label that the platform set.
 	Labels map[string]Labels `json:"labels"`
 	// Selectors are sorted by name.
 	Selectors []Selector `json:"selectors"`
 	// Workspaces are sorted by name.
 	Workspaces []Workspace `json:"workspaces,omitempty"`
-	// Evacuated are the failure domains whose runners get no more work, sorted.
+	// Evacuated lists the failure domains whose runners get no new work, sorted.
 	Evacuated []string `json:"evacuated,omitempty"`
-	// Recent lists the last changes, newest last, so that the sender of one
-	// whose answer was lost can tell whether it took effect.
+	// Recent lists the last accepted changes, newest last. A sender that lost
+	// the response to its change finds out here whether it took effect.
 	Recent []Accepted `json:"recent"`
 }
 
-// Accepted records one change in a Document.
+// Accepted records one accepted change in a Document.
 type Accepted struct {
 	ID       string `json:"id"`
 	Revision uint64 `json:"revision"`
-	// Touched names what the change wrote: "label/INSTANCE/KEY",
+	// Touched lists the items that the change wrote: "label/INSTANCE/KEY",
 	// "selector/NAME", "workspace/NAME" or "domain/NAME".
 	Touched []string `json:"touched"`
 }
 
-// recentLimit is how many accepted changes a document remembers: at 600
-// changes a day, about ten hours.
+// recentLimit is the maximum number of accepted changes that a document keeps
+// in Recent: about ten hours of changes at 600 changes per day.
 const recentLimit = 256
 
-// Change is one edit that an operator asks for.
+// Change is one edit of the document that an operator requests.
 type Change struct {
-	// ID is unique to the change; repeating it has no further effect.
+	// ID is unique to the change; sending the change again has no further effect.
 	ID string `json:"id"`
-	// Base is the revision that the operator saw.
+	// Base is the revision that the change was made from.
 	Base uint64 `json:"base"`
 	// SetLabels sets labels by instance; an empty value removes one.
 	SetLabels map[string]Labels `json:"set_labels,omitempty"`
@@ -58,14 +58,16 @@
 	// ApplyWorkspaces adds or replaces workspaces, DeleteWorkspaces removes them by name.
 	ApplyWorkspaces  []Workspace `json:"apply_workspaces,omitempty"`
 	DeleteWorkspaces []string    `json:"delete_workspaces,omitempty"`
-	// Evacuate gives the runners of failure domains no more work, Restore takes that back.
+	// Evacuate stops new work for the runners of failure domains, Restore ends
+	// an evacuation.
 	Evacuate []string `json:"evacuate,omitempty"`
 	Restore  []string `json:"restore,omitempty"`
 	// Force allows a change that leaves a request kind without a runner.
 	Force bool `json:"force,omitempty"`
 }
 
-// Touches names what the change writes, sorted.
+// Touches returns the items that the change writes, in the form of
+// Accepted.Touched, sorted.
 func (c *Change) Touches() []string {
 	var out []string
 	for in, labels := range c.SetLabels {
@@ -92,7 +94,8 @@
 	return out
 }
 
-// Decode reads a document as Encode wrote it; empty data is the first document.
+// Decode parses a document that Encode wrote. Empty data decodes to the initial
+// document at revision 0. Errors are *ErrDocument.
 func Decode(data []byte) (*Document, error) {
 	d := &Document{Labels: map[string]Labels{}}
 	if len(data) == 0 {
@@ -113,19 +116,21 @@
 	return d, nil
 }
 
-// Encode writes the document. Equal documents give equal bytes.
+// Encode returns the document as JSON. Equal documents have equal encodings.
 func (d *Document) Encode() []byte {
 	data, err := json.Marshal(d)
 	if err != nil {
-		panic(err) // Only maps, slices and strings are inside.
+		panic(err) // The fields are maps, slices, strings and finite numbers, which can all be encoded.
 	}
 	return data
 }
 
-// Hash tells two documents of one revision apart.
+// Hash returns a hash of the encoding. It differs between two documents that have
+// the same revision but different content.
 func (d *Document) Hash() uint64 { return xxhash.Sum64(d.Encode()) }
 
-// Accepted returns the revision at which a change took effect.
+// Accepted returns the revision at which the change with an ID took effect. It
+// returns false if Recent does not list the change.
 func (d *Document) Accepted(id string) (uint64, bool) {
 	for _, a := range d.Recent {
 		if a.ID == id {
@@ -135,11 +140,12 @@
 	return 0, false
 }
 
-// Apply returns the next document. A change whose base is older is rebased
-// when nothing that it touches was written since; otherwise *ErrConflict shows
-// both sides. A change ID that was accepted before returns d itself. Other
-// errors are *ErrSelector, *ErrMatch, *ErrLabel, *ErrUnknownSelector,
-// *workspace.ErrWorkspace, *ErrUnknownWorkspace and *ErrDomain.
+// Apply returns the next document. A change with an older base is rebased if
+// nothing that it touches was written since its base; otherwise Apply returns
+// *ErrConflict with both values. If the change ID was accepted before, Apply
+// returns d itself. Other errors are *ErrSelector, *ErrMatch, *ErrLabel,
+// *ErrUnknownSelector, *workspace.ErrWorkspace, *ErrUnknownWorkspace and
+// *ErrDomain.
 func (d *Document) Apply(c *Change) (*Document, error) {
 	if _, ok := d.Accepted(c.ID); ok {
 		return d, nil
@@ -159,7 +165,8 @@
 	return next, nil
 }
 
-// conflict reports what was written since the change's base.
+// conflict returns *ErrConflict if an item that the change touches was written
+// since the change's base, or if Recent does not reach back to the base.
 func (d *Document) conflict(c *Change) error {
 	if c.Base == d.Revision {
 		return nil
@@ -167,11 +174,11 @@
 	if c.Base > d.Revision {
 		return &ErrConflict{Base: c.Base, Revision: d.Revision}
 	}
-	known := d.Revision
+	oldestBase := d.Revision
 	if len(d.Recent) > 0 {
-		known = d.Recent[0].Revision - 1
+		oldestBase = d.Recent[0].Revision - 1
 	}
-	if c.Base < known {
+	if c.Base < oldestBase {
 		return &ErrConflict{Base: c.Base, Revision: d.Revision}
 	}
 	mine := c.Touches()
@@ -188,7 +195,7 @@
 	return nil
 }
 
-// show describes the present state of something touched.
+// show describes the current value of a touched item.
 func (d *Document) show(touched string) string {
 	kind, rest, _ := strings.Cut(touched, "/")
 	if kind == "selector" {
@@ -204,7 +211,7 @@
 	return d.Labels[in][key]
 }
 
-// show describes what the change would make of something touched.
+// show describes the value that the change would give a touched item.
 func (c *Change) show(touched string) string {
 	kind, rest, _ := strings.Cut(touched, "/")
 	if kind == "selector" {
@@ -220,7 +227,7 @@
 	return c.SetLabels[in][key]
 }
 
-// cutLabel splits "INSTANCE/KEY"; instance names hold no slash.
+// cutLabel splits "INSTANCE/KEY". Instance names contain no slash.
 func cutLabel(s string) (instance, key string) {
 	instance, key, _ = strings.Cut(s, "/")
 	return instance, key
@@ -236,7 +243,7 @@
 	return "deleted"
 }
 
-// showWorkspace describes a workspace; of its keys it tells the number.
+// showWorkspace describes a workspace. It shows the number of keys, not the keys.
 func showWorkspace(all []Workspace, name string) string {
 	for i := range all {
 		if w := all[i]; w.Name == name {
@@ -246,7 +253,7 @@
 	return "deleted"
 }
 
-// clone copies what edit changes.
+// clone returns a copy that edit can change without affecting d.
 func (d *Document) clone() *Document {
 	next := &Document{Revision: d.Revision, Labels: map[string]Labels{}}
 	for in, l := range d.Labels {
@@ -259,7 +266,7 @@
 	return next
 }
 
-// edit carries out a change on a fresh clone.
+// edit applies a change to d in place; d must be a fresh clone.
 func (d *Document) edit(c *Change) error {
 	for in, labels := range c.SetLabels {
 		if err := d.setLabels(in, labels); err != nil {
@@ -270,11 +277,11 @@
 		if err := s.check(); err != nil {
 			return err
 		}
-		d.remove(s.Name)
+		d.removeSelector(s.Name)
 		d.Selectors = append(d.Selectors, s)
 	}
 	for _, name := range c.Delete {
-		if !d.remove(name) {
+		if !d.removeSelector(name) {
 			return &ErrUnknownSelector{Name: name}
 		}
 	}
@@ -304,7 +311,7 @@
 	return nil
 }
 
-func (d *Document) remove(name string) bool {
+func (d *Document) removeSelector(name string) bool {
 	for i := range d.Selectors {
 		if d.Selectors[i].Name == name {
 			d.Selectors = slices.Delete(d.Selectors, i, i+1)
@@ -314,7 +321,7 @@
 	return false
 }
 
-// Models returns the models that prefill or decode selectors offer, sorted.
+// Models returns the models of all prefill and decode selectors, sorted.
 func (d *Document) Models() []string {
 	seen := map[string]bool{}
 	for _, s := range d.Selectors {
--- a/pkg/fleet/domain.go
+++ b/pkg/fleet/domain.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// ErrDomain reports that a failure domain can't be evacuated, or taken back, as asked.
+// ErrDomain reports that a failure domain can't be evacuated or restored.
 type ErrDomain struct {
 	Name, Expected string
 }
@@ -15,10 +15,11 @@
 	return fmt.Sprintf("bad domain: name=%q expected=%q", e.Name, e.Expected)
 }
 
-// evacuated reports whether the runners of a failure domain get no more work.
+// evacuated reports whether a failure domain is evacuated: its runners get no new work.
 func (d *Document) evacuated(domain string) bool { return slices.Contains(d.Evacuated, domain) }
 
-// editDomains carries out evacuations and their ends on a fresh clone.
+// editDomains applies the evacuations and restorations of a change to d in place;
+// d must be a fresh clone.
 func (d *Document) editDomains(c *Change) error {
 	for _, name := range c.Restore {
 		if !d.evacuated(name) {
@@ -38,7 +39,7 @@
 	return nil
 }
 
-// showDomain describes whether a failure domain is evacuated.
+// showDomain describes the state of a failure domain for ErrConflict.
 func showDomain(evacuated bool) string {
 	if evacuated {
 		return "evacuated"
--- a/pkg/fleet/domain_test.go
+++ b/pkg/fleet/domain_test.go
@@ -9,8 +9,9 @@
 	"github.com/hopwell/hopwell/pkg/platform"
 )
 
-// served returns the document of two domains with a decode runner each.
-func served(g *WithT) (*Document, []platform.Instance) {
+// twoDomainDocument returns a document with one decode selector, and two instances
+// in different failure domains that match it.
+func twoDomainDocument(g *WithT) (*Document, []platform.Instance) {
 	d, err := Decode(nil)
 	g.Expect(err).NotTo(HaveOccurred())
 	d, err = d.Apply(&Change{ID: "a", Apply: []Selector{{Name: "decode", Role: RoleDecode, Kind: AnyKind, Model: "m", Match: ""}}})
@@ -18,9 +19,9 @@
 	return d, []platform.Instance{{Name: "l", Role: platform.RoleSidecar, Domain: "left"}, {Name: "r", Role: platform.RoleSidecar, Domain: "right"}}
 }
 
-func TestTheRunnersOfAnEvacuatedDomainAreGrantedNothing(t *testing.T) {
+func TestEvacuatedDomainGetsNoGrants(t *testing.T) {
 	g := NewWithT(t)
-	d, instances := served(g)
+	d, instances := twoDomainDocument(g)
 	before := NewView(d, instances)
 	g.Expect(before.Grants(AnyKind, "m", RoleDecode)).To(HaveLen(2))
 	d, err := d.Apply(&Change{ID: "b", Base: 1, Evacuate: []string{"left"}})
@@ -33,15 +34,15 @@
 	g.Expect(Check(before, after)).To(Succeed())
 	all, err := d.Apply(&Change{ID: "c", Base: 2, Evacuate: []string{"right"}})
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(Check(before, NewView(all, instances))).To(BeAssignableToTypeOf(&ErrNoRunner{}), "the last one needs force")
+	g.Expect(Check(before, NewView(all, instances))).To(BeAssignableToTypeOf(&ErrNoRunner{}), "evacuating the last domain needs force")
 	back, err := d.Apply(&Change{ID: "d", Base: 2, Restore: []string{"left"}})
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(NewView(back, instances).Grants(AnyKind, "m", RoleDecode)).To(HaveLen(2))
 }
 
-func TestRacingEvacuationsOfADomainConflict(t *testing.T) {
+func TestConcurrentDomainChangesConflict(t *testing.T) {
 	g := NewWithT(t)
-	d, _ := served(g)
+	d, _ := twoDomainDocument(g)
 	d, err := d.Apply(&Change{ID: "b", Base: 1, Evacuate: []string{"left"}})
 	g.Expect(err).NotTo(HaveOccurred())
 	_, err = d.Apply(&Change{ID: "c", Base: 1, Restore: []string{"left"}})
@@ -51,7 +52,7 @@
 	g.Expect([]string{conflict.Theirs, conflict.Mine}).To(Equal([]string{"evacuated", "in use"}))
 	again, err := d.Apply(&Change{ID: "b", Base: 1, Evacuate: []string{"left"}})
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(again).To(BeIdenticalTo(d), "a change whose answer was lost has one effect")
+	g.Expect(again).To(BeIdenticalTo(d), "a repeated change has no second effect")
 	var bad *ErrDomain
 	_, err = d.Apply(&Change{ID: "e", Base: 2, Restore: []string{"right"}})
 	g.Expect(errors.As(err, &bad)).To(BeTrue())
