--- a/pkg/fleet/fleet_test.go
+++ b/pkg/fleet/fleet_test.go
@@ -37,9 +37,9 @@
 		Entry("outside a set", "gpu notin (a,c)", true),
 		Entry("existence", "gpu", true),
 		Entry("absence", "!spot", true),
-		Entry("absence of what is there", "!gpu", false),
+		Entry("absence of a key that exists", "!gpu", false),
 	)
-	DescribeTable("refuses what it can't read", func(text string) {
+	DescribeTable("rejects invalid expressions", func(text string) {
 		_, err := fleet.ParseMatch(text)
 		var bad *fleet.ErrMatch
 		Expect(errors.As(err, &bad)).To(BeTrue())
@@ -66,27 +66,27 @@
 		}
 		return true
 	}
-	It("takes no new work to an instance that a plausible list does not show", func() {
+	It("marks a responding instance that a plausible list omits as leaving", func() {
 		m := fleet.NewMembership()
 		m.Observe(list("a", "b", "c"), now)
 		m.Seen("a", 1, false, now)
 		m.Observe(list("b", "c"), now.Add(fleet.MissingGrace))
 		Expect(leaving(m, "a")).To(BeTrue())
 	})
-	It("keeps what answers when the list comes back empty", func() {
+	It("keeps a responding instance when the list is empty", func() {
 		m := fleet.NewMembership()
 		m.Observe(list("a", "b", "c"), now)
 		m.Seen("a", 1, false, now.Add(20*time.Second))
 		m.Observe(nil, now.Add(21*time.Second))
 		Expect(leaving(m, "a")).To(BeFalse())
 	})
-	It("ignores the word of a process that was replaced", func() {
+	It("ignores responses of a replaced process", func() {
 		m := fleet.NewMembership()
 		m.Observe(list("a"), now)
 		Expect(m.Seen("a", 7, false, now)).To(BeTrue())
 		Expect(m.Seen("a", 6, false, now)).To(BeFalse())
 	})
-	It("takes a new process on an instance that was leaving", func() {
+	It("clears a reported leaving when a new process starts on the instance", func() {
 		m := fleet.NewMembership()
 		m.Observe(list("a"), now)
 		m.Seen("a", 1, true, now)
@@ -96,20 +96,20 @@
 	})
 })
 
-// TestMembershipNeverTurnsLeavingBack: whatever a lagging list shows, a process
-// that is leaving gets no new work again.
-func TestMembershipNeverTurnsLeavingBack(t *testing.T) {
+// A lagging list may show a process as live after an earlier list showed it as
+// leaving. The process must then stay leaving until the membership drops it.
+func TestLeavingMemberStaysLeaving(t *testing.T) {
 	spectest.Check(t, func(t *rapid.T) {
 		m := fleet.NewMembership()
 		now := time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)
-		gone := map[string]bool{}
+		leavingListed := map[string]bool{}
 		t.Repeat(map[string]func(*rapid.T){
 			"list": func(t *rapid.T) {
 				var all []platform.Instance
 				for _, n := range []string{"a", "b", "c", "d"} {
 					if rapid.Bool().Draw(t, "shown") {
 						in := platform.Instance{Name: n, Inner: n, Leaving: rapid.IntRange(0, 4).Draw(t, "leaving") == 0}
-						gone[n] = gone[n] || in.Leaving
+						leavingListed[n] = leavingListed[n] || in.Leaving
 						all = append(all, in)
 					}
 				}
@@ -123,17 +123,18 @@
 				known := map[string]bool{}
 				for _, in := range m.Members() {
 					known[in.Name] = true
-					if gone[in.Name] && !in.Leaving {
-						t.Fatalf("%s came back", in.Name)
+					if leavingListed[in.Name] && !in.Leaving {
+						t.Fatalf("%s was leaving and is offered for new work again", in.Name)
 					}
 				}
-				maps.DeleteFunc(gone, func(n string, _ bool) bool { return !known[n] })
+				maps.DeleteFunc(leavingListed, func(n string, _ bool) bool { return !known[n] })
 			},
 		})
 	})
 }
 
-// docMachine makes operators with old views race for the document.
+// docMachine applies changes from operators whose base revisions may be out of
+// date. labels holds the values that the accepted changes set.
 type docMachine struct {
 	doc     *fleet.Document
 	history []*fleet.Document
@@ -155,7 +156,7 @@
 	touched := base.Labels[what[:1]][what[2:]] != m.doc.Labels[what[:1]][what[2:]]
 	var conflict *fleet.ErrConflict
 	if touched && !errors.As(err, &conflict) {
-		t.Fatalf("%s changed since revision %d, but the change was taken", what, base.Revision)
+		t.Fatalf("%s changed since revision %d, but the change was accepted", what, base.Revision)
 	}
 	if err != nil {
 		return
@@ -168,7 +169,7 @@
 	m.labels[what] = value
 }
 
-// repeat sends an old change again, as after a lost answer.
+// repeat applies an accepted change again, as a sender does after a lost response.
 func (m *docMachine) repeat(t *rapid.T) {
 	if len(m.changes) == 0 {
 		return
@@ -182,7 +183,9 @@
 	}
 }
 
-func TestOperatorsRace(t *testing.T) {
+// A change that was made from an old revision must not overwrite an item that
+// another operator changed since.
+func TestConcurrentOperatorChanges(t *testing.T) {
 	spectest.Check(t, func(t *rapid.T) {
 		first, err := fleet.Decode(nil)
 		if err != nil {
@@ -199,7 +202,7 @@
 				}
 				again, err := fleet.Decode(m.doc.Encode())
 				if err != nil || again.Hash() != m.doc.Hash() {
-					t.Fatalf("the document does not survive its encoding: %v", err)
+					t.Fatalf("encoding and decoding changed the document: %v", err)
 				}
 			},
 		})
--- a/pkg/fleet/fuzz_test.go
+++ b/pkg/fleet/fuzz_test.go
@@ -22,7 +22,7 @@
 		}
 		again, err := fleet.ParseMatch(m.String())
 		if err != nil || again.String() != m.String() {
-			t.Fatalf("%q was written as %q, which is not the same: %v", text, m, err)
+			t.Fatalf("%q was encoded as %q, which parses differently: %v", text, m, err)
 		}
 	})
 }
@@ -43,7 +43,7 @@
 			return
 		}
 		if again, err := fleet.Decode(d.Encode()); err != nil || again.Hash() != d.Hash() {
-			t.Fatalf("the document does not survive its encoding: %v", err)
+			t.Fatalf("encoding and decoding changed the document: %v", err)
 		}
 		fleet.NewView(d, nil)
 	})
--- a/pkg/fleet/membership.go
+++ b/pkg/fleet/membership.go
@@ -7,33 +7,38 @@
 	"github.com/hopwell/hopwell/pkg/platform"
 )
 
-// Times of the membership rules.
+// Time limits of the membership rules.
 const (
-	// MissingGrace is how long an instance that the list does not show any
-	// more, though it still answers, may keep getting work.
+	// MissingGrace is how long an instance may get new work after the last list
+	// that showed it, even if it still responds.
 	MissingGrace = 3 * time.Second
-	// AnswerGrace is how long an answer counts as a sign of life.
+	// AnswerGrace is how long after its last response an instance counts as alive.
 	AnswerGrace = 10 * time.Second
 )
 
-// Membership merges what the instance list shows with what instances
-// themselves answer. The list lags, may fail, and may come back empty or with
-// a large part missing; then instances that answer stay members.
+// Membership merges the platform's instance list with the responses of the
+// instances themselves. The list lags, may be unavailable, and may be empty or
+// lack a large part of the instances; instances that respond then stay members.
+// It is safe for concurrent use.
 type Membership struct {
 	mu      sync.Mutex
 	members map[string]*member
-	change  uint64
+	changes uint64
 }
 
-// member is an instance with what is known besides its entry.
+// member is a list entry with the state that Membership keeps for it.
 type member struct {
 	platform.Instance
-	listed time.Time
-	// answered is when it answered last, leaves what it said then of leaving.
-	answered time.Time
-	epoch    uint64
-	missing  bool
-	leaves   bool
+	// lastListed is the time of the last list that showed the instance.
+	lastListed time.Time
+	// lastResponse is the time of the last response of the instance.
+	lastResponse time.Time
+	// epoch is the newest epoch in a response, 0 before the first.
+	epoch uint64
+	// missing is set once the instance has been off the list for MissingGrace.
+	missing bool
+	// reportedLeaving is whether the last response reported the process as leaving.
+	reportedLeaving bool
 }
 
 // NewMembership returns an empty membership.
@@ -41,30 +46,32 @@
 	return &Membership{members: map[string]*member{}}
 }
 
-// Observe takes over one answer of the instance list.
+// Observe records one reading of the instance list. A reading is plausible if it
+// has at least half as many instances as there are members.
 func (m *Membership) Observe(list []platform.Instance, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	seen := map[string]bool{}
 	for _, in := range list {
 		seen[in.Name] = true
-		m.list(in, now)
+		m.recordListed(in, now)
 	}
 	plausible := 2*len(list) >= len(m.members)
 	for name, x := range m.members {
 		if seen[name] {
 			continue
 		}
-		m.miss(name, x, plausible, now)
+		m.recordMissing(name, x, plausible, now)
 	}
 }
 
-// list records one entry. Leaving never turns back for the same process.
-func (m *Membership) list(in platform.Instance, now time.Time) {
+// recordListed records one list entry. A process that was listed as leaving stays
+// leaving: only an entry with another inner address, a replacement, clears it.
+func (m *Membership) recordListed(in platform.Instance, now time.Time) {
 	x, ok := m.members[in.Name]
 	if !ok {
-		m.members[in.Name] = &member{Instance: in, listed: now}
-		m.change++
+		m.members[in.Name] = &member{Instance: in, lastListed: now}
+		m.changes++
 		return
 	}
 	replaced := x.Inner != in.Inner
@@ -72,30 +79,32 @@
 		in.Leaving, in.Deadline = true, x.Deadline
 	}
 	if replaced || x.Leaving != in.Leaving || x.Admin != in.Admin || x.missing || !sameLabels(x.Labels, in.Labels) {
-		m.change++
+		m.changes++
 	}
-	x.Instance, x.listed, x.missing = in, now, false
+	x.Instance, x.lastListed, x.missing = in, now, false
 	if replaced {
-		x.epoch, x.leaves = 0, false
+		x.epoch, x.reportedLeaving = 0, false
 	}
 }
 
-// miss records that the list did not show a member. An implausible list counts
-// only against instances that do not answer either.
-func (m *Membership) miss(name string, x *member, plausible bool, now time.Time) {
-	if now.Sub(x.answered) < AnswerGrace && !plausible {
+// recordMissing records that the list did not show a member. The member is marked
+// missing after MissingGrace, and removed once it has not responded for
+// AnswerGrace either. A list that is not plausible never removes a member, and
+// does not mark one that responded within AnswerGrace.
+func (m *Membership) recordMissing(name string, x *member, plausible bool, now time.Time) {
+	if now.Sub(x.lastResponse) < AnswerGrace && !plausible {
 		return
 	}
-	if now.Sub(x.listed) < MissingGrace {
+	if now.Sub(x.lastListed) < MissingGrace {
 		return
 	}
 	if !x.missing {
 		x.missing = true
-		m.change++
+		m.changes++
 	}
-	if now.Sub(x.answered) >= AnswerGrace && plausible {
+	if now.Sub(x.lastResponse) >= AnswerGrace && plausible {
 		delete(m.members, name)
-		m.change++
+		m.changes++
 	}
 }
 
@@ -111,10 +120,10 @@
 	return true
 }
 
-// Seen records an answer from an instance. An older epoch than the newest one
-// seen is a process that was replaced; Seen then returns false and the answer
-// must not be used. A newer epoch is a new process, for which an earlier notice
-// of leaving does not hold.
+// Seen records a response of an instance. An epoch older than the newest one
+// seen belongs to a process that was replaced: Seen then returns false, and the
+// caller must not use the response. A newer epoch belongs to a new process, to
+// which an earlier report of leaving does not apply.
 func (m *Membership) Seen(name string, epoch uint64, leaving bool, now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -126,18 +135,19 @@
 		return false
 	}
 	if epoch > x.epoch && x.epoch != 0 {
-		x.leaves = false
-		m.change++
+		x.reportedLeaving = false
+		m.changes++
 	}
-	x.epoch, x.answered = epoch, now
-	if leaving != x.leaves {
-		x.leaves = leaving
-		m.change++
+	x.epoch, x.lastResponse = epoch, now
+	if leaving != x.reportedLeaving {
+		x.reportedLeaving = leaving
+		m.changes++
 	}
 	return true
 }
 
-// Listed returns an instance's own entry as the list last showed it.
+// Listed returns the list entry of an instance, false if it is not a member. An
+// entry once listed as leaving stays leaving until the process is replaced.
 func (m *Membership) Listed(name string) (platform.Instance, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -148,23 +158,24 @@
 	return x.Instance, true
 }
 
-// Change counts the changes of the membership, so that a view is made anew
-// only when needed.
+// Change returns the number of membership changes so far. Callers rebuild a View
+// only if it differs.
 func (m *Membership) Change() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.change
+	return m.changes
 }
 
-// Members returns all known instances. Leaving is set on those that must get
-// no new work for any reason.
+// Members returns all members. Leaving is set on those that must get no new work:
+// the list or the instance itself reports them as leaving, or they are missing
+// from the list.
 func (m *Membership) Members() []platform.Instance {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	out := make([]platform.Instance, 0, len(m.members))
 	for _, x := range m.members {
 		in := x.Instance
-		in.Leaving = in.Leaving || x.missing || x.leaves
+		in.Leaving = in.Leaving || x.missing || x.reportedLeaving
 		out = append(out, in)
 	}
 	return out
