--- a/pkg/fleet/errors.go
+++ b/pkg/fleet/errors.go
@@ -2,11 +2,11 @@
 
 import "fmt"
 
-// ErrMatch reports that a label expression can't be read.
+// ErrMatch reports that a match expression can't be parsed.
 type ErrMatch struct {
-	// Text is the whole expression, Part the test that is wrong.
+	// Text is the whole expression, Part the invalid test in it.
 	Text, Part string
-	// Expected says what would be right.
+	// Expected describes what would be valid.
 	Expected string
 }
 
@@ -15,7 +15,7 @@
 	return fmt.Sprintf("bad match expression: text=%q part=%q expected=%q", e.Text, e.Part, e.Expected)
 }
 
-// ErrSelector reports that a selector's field is wrong.
+// ErrSelector reports an invalid field of a selector.
 type ErrSelector struct {
 	Name, Field, Expected string
 }
@@ -25,7 +25,7 @@
 	return fmt.Sprintf("bad selector: name=%q field=%q expected=%q", e.Name, e.Field, e.Expected)
 }
 
-// ErrUnknownSelector reports that no selector has that name.
+// ErrUnknownSelector reports that the document has no selector with a name.
 type ErrUnknownSelector struct {
 	Name string
 }
@@ -35,7 +35,7 @@
 	return fmt.Sprintf("no such selector: name=%q", e.Name)
 }
 
-// ErrLabel reports that a label is wrong.
+// ErrLabel reports an invalid label, or a label of an invalid instance name.
 type ErrLabel struct {
 	Instance, Key, Value, Expected string
 }
@@ -45,16 +45,17 @@
 	return fmt.Sprintf("bad label: instance=%q key=%q value=%q expected=%q", e.Instance, e.Key, e.Value, e.Expected)
 }
 
-// ErrConflict reports that somebody else changed the same thing since the
-// operator looked. Both sides are shown.
+// ErrConflict reports that a change can't be rebased: another change wrote the
+// same item after the change's base, or Document.Recent does not cover the base.
 type ErrConflict struct {
-	// Base is the revision that the operator saw, Revision the present one.
+	// Base is the revision that the change was made from, Revision the current one.
 	Base, Revision uint64
-	// Touched is what both wrote; empty when Base is too old to tell.
+	// Touched is the item that both changes write. It is empty if Base is too old to
+	// tell, or newer than Revision.
 	Touched string
 	// By is the ID of the other change.
 	By string
-	// Theirs and Mine are the two values.
+	// Theirs is the current value of the item, Mine the value in the rejected change.
 	Theirs, Mine string
 }
 
@@ -64,7 +65,7 @@
 		e.Base, e.Revision, e.Touched, e.By, e.Theirs, e.Mine)
 }
 
-// ErrDocument reports that a stored document can't be read.
+// ErrDocument reports that a stored document can't be decoded.
 type ErrDocument struct {
 	Err error
 }
@@ -75,7 +76,7 @@
 // Unwrap returns the cause.
 func (e *ErrDocument) Unwrap() error { return e.Err }
 
-// ErrDuration reports that a text is no duration.
+// ErrDuration reports a text that can't be parsed as a duration.
 type ErrDuration struct {
 	Text string
 }
@@ -85,10 +86,11 @@
 	return fmt.Sprintf("bad duration: text=%q expected=%q", e.Text, e.Expected())
 }
 
-// Expected says what would be right.
+// Expected describes what would be valid.
 func (e *ErrDuration) Expected() string { return "a number with a unit, as 63ms or 1.4s" }
 
-// ErrNoRunner reports that a change would leave a request kind without a runner.
+// ErrNoRunner reports that a change would leave a request kind without a runner
+// for a model and role.
 type ErrNoRunner struct {
 	Kind, Model string
 	Role        Role
--- a/pkg/fleet/labels.go
+++ b/pkg/fleet/labels.go
@@ -1,7 +1,7 @@
-// Package fleet says which instances may serve what. It holds the operators'
-// configuration document (labels and selectors), the rules by which the
-// document changes, and the view of the live fleet under it. All of it is pure:
-// time and I/O belong to the callers.
+// Package fleet determines which instances may serve which requests. It holds
+// the operators' configuration document, the rules by which the document
+// changes, the membership of the fleet, and the view that combines members and
+// document. It reads no clock and does no I/O: its callers pass in times and data.
 package fleet
 
 import (
@@ -12,24 +12,25 @@
 // Labels are an instance's labels, key to value.
 type Labels map[string]string
 
-// Labels that every instance has, whatever operators set.
+// Keys of the labels that every instance has. Operators can't change them.
 const (
 	LabelInstance = "instance"
 	LabelDomain   = "domain"
 	LabelRegion   = "region"
 )
 
-// LabelLeaving, set to "true" by operators, takes an instance out of all
-// selectors: it gets no new work.
+// LabelLeaving is the key of the label by which operators take an instance out
+// of service. An instance with the value "true" gets no new work under any
+// selector.
 const LabelLeaving = "leaving"
 
-// Leaving reports whether operators take the instance out of service.
+// Leaving reports whether LabelLeaving takes the instance out of service.
 func (l Labels) Leaving() bool { return l[LabelLeaving] == "true" }
 
-// maxName bounds names, label keys and label values, in bytes.
+// maxName is the maximum length of names, label keys and label values, in bytes.
 const maxName = 63
 
-// validName reports whether s can be a name, a label's key or its value.
+// validName reports whether s is valid as a name, label key or label value.
 func validName(s string) bool {
 	if s == "" || len(s) > maxName {
 		return false
@@ -50,14 +51,15 @@
 	return strings.ContainsRune("-_./:", r)
 }
 
-// ValidInstance reports whether s can be an instance's, failure domain's or
-// region's name.
+// ValidInstance reports whether s is valid as the name of an instance, failure
+// domain or region.
 func ValidInstance(s string) bool { return validName(s) && !strings.Contains(s, "/") }
 
-// ValidLabel reports whether an instance's settings may give this label.
+// ValidLabel reports whether key and value are valid for a label in an instance's
+// settings.
 func ValidLabel(key, value string) bool { return validName(key) && validName(value) }
 
-// merge lays over on top of base. An empty value in over removes a key.
+// merge returns base overlaid with over. An empty value in over removes the key.
 func merge(base, over Labels) Labels {
 	out := maps.Clone(base)
 	if out == nil {
--- a/pkg/fleet/match.go
+++ b/pkg/fleet/match.go
@@ -5,18 +5,18 @@
 	"strings"
 )
 
-// Op is the kind of one test on labels.
+// Op is the operator of a Test.
 type Op int
 
-// The tests of the selector language.
+// Operators of match expressions.
 const (
 	// OpEquals is written key=value.
 	OpEquals Op = iota
-	// OpDiffers is written key!=value; a missing key differs.
+	// OpDiffers is written key!=value. It matches if the key is missing.
 	OpDiffers
 	// OpIn is written key in (a,b).
 	OpIn
-	// OpNotIn is written key notin (a,b); a missing key is in no set.
+	// OpNotIn is written key notin (a,b). It matches if the key is missing.
 	OpNotIn
 	// OpExists is written key.
 	OpExists
@@ -31,7 +31,7 @@
 	Values []string
 }
 
-// Match is a conjunction of tests. The empty one matches every instance.
+// Match is a conjunction of tests. The empty Match matches every instance.
 type Match []Test
 
 // Matches reports whether labels pass all tests.
@@ -58,8 +58,8 @@
 	}
 }
 
-// ParseMatch reads an expression such as "pool=prefill, gpu in (a,b), !spot".
-// It fails with *ErrMatch.
+// ParseMatch parses an expression such as "pool=prefill, gpu in (a,b), !spot".
+// Errors are *ErrMatch.
 func ParseMatch(text string) (Match, error) {
 	var m Match
 	for _, part := range splitTests(text) {
@@ -72,7 +72,7 @@
 	return m, nil
 }
 
-// splitTests cuts at the commas outside parentheses.
+// splitTests splits an expression at the commas outside parentheses.
 func splitTests(text string) []string {
 	if strings.TrimSpace(text) == "" {
 		return nil
@@ -137,7 +137,7 @@
 	return t, nil
 }
 
-// String writes the expression as ParseMatch reads it.
+// String returns the expression in the syntax of ParseMatch.
 func (m Match) String() string {
 	parts := make([]string, len(m))
 	for i, t := range m {
@@ -146,7 +146,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// String writes one test as ParseMatch reads it.
+// String returns the test in the syntax of ParseMatch.
 func (t Test) String() string {
 	switch t.Op {
 	case OpEquals:
