--- a/pkg/fleet/view.go
+++ b/pkg/fleet/view.go
@@ -11,18 +11,19 @@
 // Member is an instance with its labels under a document.
 type Member struct {
 	platform.Instance
-	// Labels are the platform's, overlaid by the operators', and those that
-	// every instance has.
+	// Labels are the labels that the platform set, overlaid with those that
+	// operators set, plus the labels that every instance has.
 	Labels Labels
 }
 
-// Grant says that a member may do some work under a selector.
+// Grant is the permission of a member to serve requests under a selector.
 type Grant struct {
 	Member   *Member
 	Selector *Selector
 }
 
-// View is the fleet under one document: immutable, safe for all to share.
+// View combines a document with the members of the fleet. It is immutable except
+// for its cache, and safe for concurrent use.
 type View struct {
 	Doc     *Document
 	Members []*Member
@@ -37,11 +38,11 @@
 	role        Role
 }
 
-// maxGrantCache bounds the cached answers of one view, since request kinds
-// come from callers.
+// maxGrantCache bounds the cached results of one view. Clients choose the request
+// kinds, so that the number of keys has no other bound.
 const maxGrantCache = 4096
 
-// NewView puts a document and instances together.
+// NewView returns the view of instances under a document.
 func NewView(doc *Document, instances []platform.Instance) *View {
 	v := &View{Doc: doc, grants: map[grantKey][]Grant{}}
 	for _, in := range instances {
@@ -51,7 +52,7 @@
 	for i := range doc.Selectors {
 		m, err := ParseMatch(doc.Selectors[i].Match)
 		if err != nil {
-			m = Match{{Key: doc.Selectors[i].Match, Op: OpExists}} // Decode has checked it: this matches nothing.
+			m = Match{{Key: doc.Selectors[i].Match, Op: OpExists}} // Decode rejects such expressions. No label has this key, so nothing matches.
 		}
 		v.matches = append(v.matches, m)
 	}
@@ -65,8 +66,9 @@
 	return l
 }
 
-// Grants returns the members that may do the role for such requests, leaving
-// ones excepted, in name order. The caller must not change the result.
+// Grants returns a grant for each member that may serve requests of a kind and
+// model in a role, in name order. It leaves out members that are leaving or in an
+// evacuated domain. The caller must not change the result.
 func (v *View) Grants(kind, model string, role Role) []Grant {
 	key := grantKey{kind, model, role}
 	v.mu.RLock()
@@ -75,7 +77,7 @@
 	if ok {
 		return g
 	}
-	g = v.compute(key)
+	g = v.computeGrants(key)
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if len(v.grants) < maxGrantCache {
@@ -84,18 +86,19 @@
 	return g
 }
 
-// rolePrefillOnly is the key of PrefillOnly's cached answers.
+// rolePrefillOnly is the role under which PrefillOnly's results are cached.
 const rolePrefillOnly Role = "prefill_only"
 
-// PrefillOnly returns the members that may prefill such requests and may not
-// decode them; all that may prefill where there are none of those. Members in
-// both roles prefill for their own decodes only, when the others have no time.
+// PrefillOnly returns grants for the members that may prefill requests of a kind
+// and model but not decode them. If there are none, it returns all members that
+// may prefill. Members with both roles prefill only for requests that they decode
+// themselves, when the prefill-only members have no capacity in time.
 func (v *View) PrefillOnly(kind, model string) []Grant {
 	return v.Grants(kind, model, rolePrefillOnly)
 }
 
-// prefillOnly computes PrefillOnly.
-func (v *View) prefillOnly(kind, model string) []Grant {
+// computePrefillOnly computes the result of PrefillOnly.
+func (v *View) computePrefillOnly(kind, model string) []Grant {
 	all := v.Grants(kind, model, RolePrefill)
 	var out []Grant
 	for _, g := range all {
@@ -109,9 +112,9 @@
 	return out
 }
 
-func (v *View) compute(key grantKey) []Grant {
+func (v *View) computeGrants(key grantKey) []Grant {
 	if key.role == rolePrefillOnly {
-		return v.prefillOnly(key.kind, key.model)
+		return v.computePrefillOnly(key.kind, key.model)
 	}
 	var out []Grant
 	for _, m := range v.Members {
@@ -125,38 +128,40 @@
 	return out
 }
 
-// Select returns the selector that gives labels the role, nil for none. A
-// selector for the request's own kind goes before one for every kind.
+// Select returns the selector that grants the role to an instance with these
+// labels, or nil. A selector for the kind itself takes precedence over one for
+// AnyKind.
 func (v *View) Select(kind, model string, role Role, labels Labels) *Selector {
-	return v.Doc.prefer(kind, model, role, func(i int) bool { return v.matches[i].Matches(labels) })
+	return v.Doc.preferredSelector(kind, model, role, func(i int) bool { return v.matches[i].Matches(labels) })
 }
 
-// Offer returns the selector under which such requests are served, nil for none,
-// whatever instances there are.
+// Offer returns the selector under which requests of a kind and model are served
+// in a role, or nil. It does not consider which instances match.
 func (d *Document) Offer(kind, model string, role Role) *Selector {
-	return d.prefer(kind, model, role, func(int) bool { return true })
+	return d.preferredSelector(kind, model, role, func(int) bool { return true })
 }
 
-// prefer returns the first selector for such requests that passes, by its index:
-// one for their own kind before one for every kind.
-func (d *Document) prefer(kind, model string, role Role, passes func(i int) bool) *Selector {
-	var general *Selector
+// preferredSelector returns the first selector for requests of a kind, model and role
+// whose index passes. A selector for the kind itself takes precedence over one for
+// AnyKind.
+func (d *Document) preferredSelector(kind, model string, role Role, passes func(i int) bool) *Selector {
+	var wildcard *Selector
 	for i := range d.Selectors {
 		s := &d.Selectors[i]
-		if !s.serves(kind, model, role) || !passes(i) {
+		if !s.matchesRequest(kind, model, role) || !passes(i) {
 			continue
 		}
 		if s.Kind != AnyKind {
 			return s
 		}
-		if general == nil {
-			general = s
+		if wildcard == nil {
+			wildcard = s
 		}
 	}
-	return general
+	return wildcard
 }
 
-// Find returns the member with a name, nil for none.
+// Find returns the member with a name, or nil.
 func (v *View) Find(name string) *Member {
 	i, ok := slices.BinarySearchFunc(v.Members, name, func(m *Member, n string) int { return strings.Compare(m.Name, n) })
 	if !ok {
@@ -165,7 +170,7 @@
 	return v.Members[i]
 }
 
-// Work lists the selectors that match a member, in name order.
+// Work returns the selectors that match a member's labels, in name order.
 func (v *View) Work(m *Member) []*Selector {
 	var out []*Selector
 	for i := range v.Doc.Selectors {
@@ -176,11 +181,12 @@
 	return out
 }
 
-// Evacuated reports whether a member's failure domain gets no more work.
+// Evacuated reports whether a member's failure domain is evacuated.
 func (v *View) Evacuated(m *Member) bool { return v.Doc.evacuated(m.Domain) }
 
-// Check returns *ErrNoRunner when after has no live member for a request kind
-// that before has one for.
+// Check compares the views before and after a change. It returns *ErrNoRunner if
+// the change leaves the kind, model and role of a selector in before without a
+// grant, and before has one for them.
 func Check(before, after *View) error {
 	for i := range before.Doc.Selectors {
 		s := &before.Doc.Selectors[i]
