--- a/pkg/fleet/workspace.go
+++ b/pkg/fleet/workspace.go
@@ -9,23 +9,24 @@
 	"github.com/hopwell/hopwell/pkg/workspace"
 )
 
-// Workspace is a workspace in a Document. With none in it nobody is asked for a key.
+// Workspace is a workspace in a Document. If a document has none, clients need no key.
 type Workspace struct {
 	Name string `json:"name"`
-	// Keys are the digests of its keys, in hex: the keys themselves are not kept.
+	// Keys are the digests of the workspace's keys, in hex. The keys themselves are not stored.
 	Keys []string `json:"keys"`
-	// Priority ranks its requests, 0 first; absent for that of the selectors.
+	// Priority ranks the workspace's requests, 0 first; if absent, the selectors' priority
+	// applies.
 	Priority *int `json:"priority,omitempty"`
-	// Unit is "tokens" or "requests"; Rate is how many it may use a second, 0 for any
-	// number, Burst how many more at once. PlainTokens is what a request without a number
-	// of tokens counts.
+	// Unit is "tokens" or "requests". Rate is how many units the workspace may use per
+	// second, 0 for no limit. Burst is how many more it may use at once. PlainTokens is the
+	// cost of a request without a number of tokens, in tokens.
 	Unit        workspace.Unit `json:"unit"`
 	Rate        float64        `json:"rate"`
 	Burst       float64        `json:"burst"`
 	PlainTokens float64        `json:"plain_tokens"`
 }
 
-// ErrUnknownWorkspace reports that a change names a workspace that the document does not have.
+// ErrUnknownWorkspace reports that a change deletes a workspace that the document does not have.
 type ErrUnknownWorkspace struct {
 	Name string
 }
@@ -33,7 +34,7 @@
 // Error implements error.
 func (e *ErrUnknownWorkspace) Error() string { return "no such workspace: workspace=" + e.Name }
 
-// Directory returns the directory of a document's workspaces, nil if it has none. It fails with
+// Directory returns the directory of a document's workspaces, nil if it has none. Errors are
 // *workspace.ErrWorkspace.
 func (d *Document) Directory() (*workspace.Directory, error) {
 	if len(d.Workspaces) == 0 {
@@ -41,7 +42,7 @@
 	}
 	list := make([]workspace.Workspace, 0, len(d.Workspaces))
 	for i := range d.Workspaces {
-		w, err := d.Workspaces[i].entry()
+		w, err := d.Workspaces[i].convert()
 		if err != nil {
 			return nil, err
 		}
@@ -50,8 +51,8 @@
 	return workspace.NewDirectory(list)
 }
 
-// entry converts a workspace. It fails with *workspace.ErrWorkspace.
-func (w *Workspace) entry() (workspace.Workspace, error) {
+// convert returns w as a workspace of a directory. Errors are *workspace.ErrWorkspace.
+func (w *Workspace) convert() (workspace.Workspace, error) {
 	out := workspace.Workspace{
 		Name: w.Name, Priority: w.Priority,
 		Limit: workspace.Limit{Unit: w.Unit, Rate: w.Rate, Burst: w.Burst, PlainTokens: w.PlainTokens},
@@ -68,13 +69,13 @@
 	return out, nil
 }
 
-// KeyText returns the text by which a document keeps a key.
+// KeyText returns the text that a document stores for a key: the hex digest of the key.
 func KeyText(key string) string {
 	digest := workspace.DigestOf(key)
 	return hex.EncodeToString(digest[:])
 }
 
-// Workspace returns a document's workspace, false if it has none of the name.
+// Workspace returns the workspace with a name, false if the document has none.
 func (d *Document) Workspace(name string) (Workspace, bool) {
 	for i := range d.Workspaces {
 		if d.Workspaces[i].Name == name {
@@ -84,7 +85,8 @@
 	return Workspace{}, false
 }
 
-// editWorkspaces carries out a change of workspaces on a fresh clone.
+// editWorkspaces applies the workspace part of a change to d in place; d must be a fresh
+// clone.
 func (d *Document) editWorkspaces(c *Change) error {
 	for _, name := range c.DeleteWorkspaces {
 		if !d.removeWorkspace(name) {
