--- a/pkg/config/check.go
+++ b/pkg/config/check.go
@@ -14,16 +14,16 @@
 	"github.com/hopwell/hopwell/pkg/sidecar"
 )
 
-// Bounds of the settings.
+// Limits of the values in settings.
 const (
 	minLease = time.Second
 	maxLease = 30 * time.Second
 	maxCount = 1 << 20
 )
 
-// check returns the first fault of a gateway's settings.
-func (g *Gateway) check() *fault {
-	return first(
+// check returns the first invalid field of a gateway's settings, or nil.
+func (g *Gateway) check() *invalidField {
+	return firstInvalid(
 		g.Instance.check(),
 		checkURL("platform", g.Platform),
 		checkAddress("listen.callers", g.Listen.Callers),
@@ -39,9 +39,9 @@
 	)
 }
 
-// check returns the first fault of a sidecar's settings.
-func (s *Sidecar) check() *fault {
-	return first(
+// check returns the first invalid field of a sidecar's settings, or nil.
+func (s *Sidecar) check() *invalidField {
+	return firstInvalid(
 		s.Instance.check(),
 		checkURL("platform", s.Platform),
 		checkAddress("listen.inner", s.Listen.Inner),
@@ -55,9 +55,9 @@
 	)
 }
 
-func (s *Sidecar) checkRunner() *fault {
+func (s *Sidecar) checkRunner() *invalidField {
 	if (s.Engine == "") == (s.Service == "") {
-		return &fault{"engine", "either engine or service, the URL of the runner"}
+		return &invalidField{"engine", "exactly one of engine and service, with the URL of the runner"}
 	}
 	if s.Engine != "" {
 		return checkURL("engine", s.Engine)
@@ -65,8 +65,8 @@
 	return checkURL("service", s.Service)
 }
 
-func (i *Instance) check() *fault {
-	return first(
+func (i *Instance) check() *invalidField {
+	return firstInvalid(
 		checkName("instance.name", i.Name),
 		checkName("instance.domain", i.Domain),
 		checkName("instance.region", i.Region),
@@ -74,28 +74,28 @@
 	)
 }
 
-func (d *Drain) check() *fault {
-	return first(
+func (d *Drain) check() *invalidField {
+	return firstInvalid(
 		checkDuration("drain.balancer_wait", d.BalancerWait, 0, time.Hour),
 		checkDuration("drain.longest", d.Longest, time.Second, 24*time.Hour),
 	)
 }
 
-func (g *Guesses) check() *fault {
+func (g *Guesses) check() *invalidField {
 	if g.PrefillRate <= 0 {
-		return &fault{"guesses.prefill_rate", "a number above 0, in tokens a second"}
+		return &invalidField{"guesses.prefill_rate", "a number above 0, in tokens per second"}
 	}
 	if g.LinkRate <= 0 {
-		return &fault{"guesses.link_rate", "a number above 0, in bytes a second"}
+		return &invalidField{"guesses.link_rate", "a number above 0, in bytes per second"}
 	}
-	return first(
+	return firstInvalid(
 		checkDuration("guesses.step_base", g.StepBase, time.Microsecond, time.Second),
 		checkDuration("guesses.step_slope", g.StepSlope, 0, time.Second),
 	)
 }
 
-func first(faults ...*fault) *fault {
-	for _, f := range faults {
+func firstInvalid(fields ...*invalidField) *invalidField {
+	for _, f := range fields {
 		if f != nil {
 			return f
 		}
@@ -103,63 +103,63 @@
 	return nil
 }
 
-func checkName(field, v string) *fault {
+func checkName(field, v string) *invalidField {
 	if !fleet.ValidInstance(v) {
-		return &fault{field, "a name of letters, digits and -_.:, at most 63"}
+		return &invalidField{field, "a name of letters, digits and -_.:, at most 63 characters"}
 	}
 	return nil
 }
 
-func checkLabels(l map[string]string) *fault {
+func checkLabels(l map[string]string) *invalidField {
 	for k, v := range l {
 		if !fleet.ValidLabel(k, v) {
-			return &fault{"instance.labels." + k, "a key and a value of letters, digits and -_./:"}
+			return &invalidField{"instance.labels." + k, "a key and a value of letters, digits and -_./:"}
 		}
 	}
 	return nil
 }
 
-func checkURL(field, v string) *fault {
+func checkURL(field, v string) *invalidField {
 	u, err := url.Parse(v)
 	if err != nil || (u.Scheme != "http" && u.Scheme != "https") || u.Host == "" {
-		return &fault{field, "a URL as http://10.0.0.1:7400"}
+		return &invalidField{field, "a URL such as http://10.0.0.1:7400"}
 	}
 	return nil
 }
 
-func checkAddress(field, v string) *fault {
+func checkAddress(field, v string) *invalidField {
 	host, port, err := net.SplitHostPort(v)
 	if err != nil || net.ParseIP(host) == nil {
-		return &fault{field, "an IP number and port as 10.0.0.1:7480"}
+		return &invalidField{field, "an IP address and port such as 10.0.0.1:7480"}
 	}
 	if n, err := strconv.Atoi(port); err != nil || n < 0 || n > 65535 {
-		return &fault{field, "a port from 0 to 65535"}
+		return &invalidField{field, "a port from 0 to 65535"}
 	}
 	return nil
 }
 
-func checkOneOf(field, v string, names []string) *fault {
+func checkOneOf(field, v string, names []string) *invalidField {
 	if !slices.Contains(names, v) {
-		return &fault{field, "one of " + strings.Join(names, ", ")}
+		return &invalidField{field, "one of " + strings.Join(names, ", ")}
 	}
 	return nil
 }
 
-func checkDuration(field string, v fleet.Duration, low, high time.Duration) *fault {
+func checkDuration(field string, v fleet.Duration, low, high time.Duration) *invalidField {
 	if v.D() < low || v.D() > high {
-		return &fault{field, "a duration from " + low.String() + " to " + high.String()}
+		return &invalidField{field, "a duration from " + low.String() + " to " + high.String()}
 	}
 	return nil
 }
 
-func checkCount(field string, v int) *fault {
+func checkCount(field string, v int) *invalidField {
 	if v < 1 || v > maxCount {
-		return &fault{field, "a number from 1 to " + strconv.Itoa(maxCount)}
+		return &invalidField{field, "a number from 1 to " + strconv.Itoa(maxCount)}
 	}
 	return nil
 }
 
-func checkLog(v string) *fault {
+func checkLog(v string) *invalidField {
 	if v == "" {
 		return nil
 	}
--- a/pkg/config/config_test.go
+++ b/pkg/config/config_test.go
@@ -20,7 +20,7 @@
 		_, err = ParseSidecar("s.yaml", []byte(SidecarDefault))
 		Expect(err).NotTo(HaveOccurred())
 	})
-	DescribeTable("say what is wrong and where", func(old, new string, line int, field string) {
+	DescribeTable("are rejected with the field and line of the fault", func(old, new string, line int, field string) {
 		_, err := ParseGateway("g.yaml", []byte(strings.Replace(GatewayDefault, old, new, 1)))
 		var bad *ErrSettings
 		Expect(errors.As(err, &bad)).To(BeTrue(), "%v", err)
@@ -33,22 +33,22 @@
 		Entry("an unknown policy", "policy: hopwell", "policy: best", 25, "policy"),
 		Entry("a bad duration", "lease: 4s", "lease: soon", 28, "lease"),
 		Entry("a lease out of range", "lease: 4s", "lease: 4h", 28, "lease"),
-		Entry("a host name for an address", "127.0.0.1:7481", "localhost:7481", 20, "listen.inner"),
+		Entry("a host name instead of an IP address", "127.0.0.1:7481", "localhost:7481", 20, "listen.inner"),
 		Entry("a port out of range", "127.0.0.1:7481", "127.0.0.1:70000", 20, "listen.inner"),
 		Entry("a wrong type", "open_requests: 5000", "open_requests: many", 31, "many"),
-		Entry("a missing name, at the keys beside it", "  name: gateway-1\n", "", 7, "instance.name"),
+		Entry("a missing name, reported at the line of its siblings", "  name: gateway-1\n", "", 7, "instance.name"),
 	)
-	It("that are no YAML are refused", func() {
+	It("that are not valid YAML are rejected", func() {
 		_, err := ParseGateway("g.yaml", []byte("instance: ["))
 		Expect(err).To(BeAssignableToTypeOf(&ErrSettings{}))
 	})
-	It("want one runner for a sidecar", func() {
+	It("with both an engine and a service are rejected for a sidecar", func() {
 		_, err := ParseSidecar("s.yaml", []byte(strings.Replace(SidecarDefault, "# service:", "service:", 1)))
 		var bad *ErrSettings
 		Expect(errors.As(err, &bad)).To(BeTrue())
 		Expect(bad.Field).To(Equal("engine"))
 	})
-	It("are told apart by their keys", func() {
+	It("of gateways and sidecars are distinguished by their keys", func() {
 		Expect(Kind([]byte(GatewayDefault))).To(Equal("gateway"))
 		Expect(Kind([]byte(SidecarDefault))).To(Equal("sidecar"))
 	})
@@ -60,7 +60,7 @@
 	f.Add([]byte("instance: {name: a"))
 	f.Add([]byte("- name: x\n  match: a in (b)\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		for _, err := range []error{second(ParseGateway("f", data)), second(ParseSidecar("f", data)), second(ParseSelectors("f", data))} {
+		for _, err := range []error{errorOf(ParseGateway("f", data)), errorOf(ParseSidecar("f", data)), errorOf(ParseSelectors("f", data))} {
 			var bad *ErrSettings
 			if err != nil && !errors.As(err, &bad) {
 				t.Fatalf("untyped error %T: %v", err, err)
@@ -69,4 +69,4 @@
 	})
 }
 
-func second[T any](_ T, err error) error { return err }
+func errorOf[T any](_ T, err error) error { return err }
--- a/pkg/config/defaults.go
+++ b/pkg/config/defaults.go
@@ -2,9 +2,9 @@
 
 import _ "embed"
 
-// GatewayDefault, SidecarDefault and IngressDefault are annotated settings files
-// with the defaults, as `hopwelld config` prints them. Defaults are read from them, so
-// that what is printed is what holds.
+// GatewayDefault, SidecarDefault and IngressDefault are annotated settings files with the
+// defaults. `hopwelld config` prints them. The defaults are parsed from the same files, so
+// that the printed defaults are always those in force.
 var (
 	//go:embed gateway.yaml
 	GatewayDefault string
--- a/pkg/config/ingress.go
+++ b/pkg/config/ingress.go
@@ -11,31 +11,35 @@
 
 // IngressListen gives the addresses that an ingress listens on.
 type IngressListen struct {
-	// Callers is the public address, Health that of the page for the balancer.
+	// Callers is the public address for clients, Health the address of the health page for the
+	// balancer.
 	Callers string `yaml:"callers"`
 	Health  string `yaml:"health"`
-	// Metrics and Peers belong on the operators' network only.
+	// Metrics and Peers must be reachable from the operators' network only.
 	Metrics string `yaml:"metrics"`
 	Peers   string `yaml:"peers"`
 }
 
-// RetryBudget bounds the requests that go to a second runner.
+// RetryBudget limits the requests of a service that are sent to a second runner, at all gateways
+// together: in each Window, to the fraction Share of the requests plus Slack requests.
 type RetryBudget struct {
 	Share  float64        `yaml:"share"`
 	Slack  float64        `yaml:"slack"`
 	Window fleet.Duration `yaml:"window"`
 }
 
-// Changes says by when what operators or runners write to the store is in force at all gateways.
+// Changes limits the time until a change that operators or runners write to the store is in force
+// at all gateways.
 type Changes struct {
-	// ConfigWithin is for a configuration, DrainWithin for a runner that leaves, EvacuateWithin for
-	// a failure domain that is evacuated.
+	// ConfigWithin applies to a new configuration, DrainWithin to a leaving runner, EvacuateWithin
+	// to the evacuation of a failure domain.
 	ConfigWithin   fleet.Duration `yaml:"config_within"`
 	DrainWithin    fleet.Duration `yaml:"drain_within"`
 	EvacuateWithin fleet.Duration `yaml:"evacuate_within"`
 }
 
-// Bound returns the shortest of these times, and of that for revoked keys where they count.
+// Bound returns the shortest of these times. If w.FailClosed is set, it also includes
+// w.RevokeWithin.
 func (c *Changes) Bound(w Workspaces) time.Duration {
 	bound := min(c.ConfigWithin.D(), c.DrainWithin.D(), c.EvacuateWithin.D())
 	if w.FailClosed {
@@ -44,33 +48,35 @@
 	return bound
 }
 
-// ColdRunners says how many requests in one second a runner gets that is still cold, over all
-// gateways: what its service says, times Overshoot, and Slack more.
+// ColdRunners limits the requests that a cold runner gets in one second from all gateways
+// together: to the rate that its service states, times Overshoot, plus Slack requests.
 type ColdRunners struct {
 	Overshoot float64 `yaml:"overshoot"`
 	Slack     float64 `yaml:"slack"`
 }
 
-// Workspaces says how strictly keys and limits of workspaces are kept.
+// Workspaces sets how strictly the keys and limits of workspaces are enforced.
 type Workspaces struct {
-	// FailClosed refuses requests with a key that may have been taken away: when the
-	// store was last known to be as it is here longer ago than RevokeWithin allows.
+	// FailClosed makes the gateway refuse requests whose key may have been revoked: when its
+	// configuration was last confirmed to match the store longer ago than RevokeWithin allows.
 	FailClosed   bool           `yaml:"fail_closed"`
 	RevokeWithin fleet.Duration `yaml:"revoke_within"`
 	Quota        Quota          `yaml:"quota"`
 }
 
-// Quota says how much more than its limit a workspace may use in a window, over all
-// gateways.
+// Quota is how much more than its limit a workspace may use in a window, at all gateways
+// together.
 type Quota struct {
 	Window fleet.Duration `yaml:"window"`
-	// Overshoot is a part of what the limit allows in the window, Slack an amount beside
-	// it, in units of the limit.
+	// Overshoot is a fraction of what the limit allows in the window. Slack is an additional
+	// amount, in units of the limit.
 	Overshoot float64 `yaml:"overshoot"`
 	Slack     float64 `yaml:"slack"`
 }
 
-// IngressLimits bounds what an ingress takes on.
+// IngressLimits limits the load that an ingress accepts: the number of open requests, the memory
+// of the process in MB, the time to read a request's header, and the time that a connection may
+// be idle.
 type IngressLimits struct {
 	OpenRequests int            `yaml:"open_requests"`
 	MemoryMB     int            `yaml:"memory_mb"`
@@ -81,12 +87,12 @@
 // Ingress is the settings file of `hopwelld ingress`.
 type Ingress struct {
 	Instance Instance `yaml:"instance"`
-	// Regions names the region of each failure domain.
+	// Regions maps each failure domain to its region.
 	Regions map[string]string `yaml:"regions"`
 	Store   string            `yaml:"store"`
-	// Seeds are addresses of other gateways, which a process asks that starts while
-	// the store does not answer. Only the hosts count: all listen for each other on
-	// the same port.
+	// Seeds are addresses of other gateways. A process that starts while the store does not
+	// respond queries them instead. Only the hosts are used, because all gateways listen for
+	// peers on the same port.
 	Seeds       []string       `yaml:"seeds"`
 	Listen      IngressListen  `yaml:"listen"`
 	RetryBudget RetryBudget    `yaml:"retry_budget"`
@@ -100,14 +106,14 @@
 
 // LoadIngress reads and checks an ingress's settings file.
 func LoadIngress(file string) (*Ingress, error) {
-	data, err := read(file)
+	data, err := readFile(file)
 	if err != nil {
 		return nil, err
 	}
 	return ParseIngress(file, data)
 }
 
-// ParseIngress reads and checks an ingress's settings; file is for errors.
+// ParseIngress parses and checks an ingress's settings. file is the name in errors.
 func ParseIngress(file string, data []byte) (*Ingress, error) {
 	var c Ingress
 	must(yaml.Unmarshal([]byte(IngressDefault), &c))
@@ -115,12 +121,12 @@
 	if err := decode(file, data, &c); err != nil {
 		return nil, err
 	}
-	return &c, place(file, data, c.check())
+	return &c, settingsError(file, data, c.check())
 }
 
-// check returns the first fault of an ingress's settings.
-func (c *Ingress) check() *fault {
-	return first(
+// check returns the first invalid field of an ingress's settings, or nil.
+func (c *Ingress) check() *invalidField {
+	return firstInvalid(
 		c.Instance.check(),
 		checkAddress("store", c.Store),
 		c.checkSeeds(),
@@ -141,7 +147,7 @@
 	)
 }
 
-func (c *Ingress) checkSeeds() *fault {
+func (c *Ingress) checkSeeds() *invalidField {
 	for i, seed := range c.Seeds {
 		if f := checkAddress(fmt.Sprintf("seeds[%d]", i), seed); f != nil {
 			return f
@@ -150,55 +156,55 @@
 	return nil
 }
 
-func (b *RetryBudget) check() *fault {
+func (b *RetryBudget) check() *invalidField {
 	if b.Share < 0 || b.Share > 1 {
-		return &fault{"retry_budget.share", "a number from 0 to 1"}
+		return &invalidField{"retry_budget.share", "a number from 0 to 1"}
 	}
 	if b.Slack < 0 {
-		return &fault{"retry_budget.slack", "a number of 0 or more"}
+		return &invalidField{"retry_budget.slack", "a number of 0 or more"}
 	}
 	return checkDuration("retry_budget.window", b.Window, time.Second, time.Hour)
 }
 
-// minChange is the shortest time that may be asked for a change. Below relay.ShortestBound it holds
-// as long as no relay is lost.
-const minChange = 100 * time.Millisecond
+// minChangeBound is the shortest time limit that Changes accepts. A limit below
+// relay.ShortestBound is met only as long as no relay is lost.
+const minChangeBound = 100 * time.Millisecond
 
-func (c *Changes) check() *fault {
-	return first(
-		checkDuration("changes.config_within", c.ConfigWithin, minChange, time.Hour),
-		checkDuration("changes.drain_within", c.DrainWithin, minChange, time.Hour),
-		checkDuration("changes.evacuate_within", c.EvacuateWithin, minChange, time.Hour),
+func (c *Changes) check() *invalidField {
+	return firstInvalid(
+		checkDuration("changes.config_within", c.ConfigWithin, minChangeBound, time.Hour),
+		checkDuration("changes.drain_within", c.DrainWithin, minChangeBound, time.Hour),
+		checkDuration("changes.evacuate_within", c.EvacuateWithin, minChangeBound, time.Hour),
 	)
 }
 
-func (c *ColdRunners) check() *fault {
+func (c *ColdRunners) check() *invalidField {
 	if c.Overshoot < 0 {
-		return &fault{"cold_runners.overshoot", "a number of 0 or more"}
+		return &invalidField{"cold_runners.overshoot", "a number of 0 or more"}
 	}
 	if c.Slack < 0 {
-		return &fault{"cold_runners.slack", "a number of 0 or more"}
+		return &invalidField{"cold_runners.slack", "a number of 0 or more"}
 	}
 	return nil
 }
 
-// minRevoke is the shortest time in which a revoked key can be refused everywhere: what
-// relays confirm is up to 2.5 s old.
-const minRevoke = 3 * time.Second
+// minRevokeWithin is the shortest time in which a revoked key can be refused at all gateways:
+// a confirmation from a relay is up to 2.5 s old.
+const minRevokeWithin = 3 * time.Second
 
-func (w *Workspaces) check() *fault {
-	return first(
-		checkDuration("workspaces.revoke_within", w.RevokeWithin, minRevoke, time.Hour),
+func (w *Workspaces) check() *invalidField {
+	return firstInvalid(
+		checkDuration("workspaces.revoke_within", w.RevokeWithin, minRevokeWithin, time.Hour),
 		w.Quota.check(),
 	)
 }
 
-func (q *Quota) check() *fault {
+func (q *Quota) check() *invalidField {
 	if q.Overshoot < 0 || q.Overshoot > 1 {
-		return &fault{"workspaces.quota.overshoot", "a number from 0 to 1"}
+		return &invalidField{"workspaces.quota.overshoot", "a number from 0 to 1"}
 	}
 	if q.Slack < 0 {
-		return &fault{"workspaces.quota.slack", "a number of 0 or more"}
+		return &invalidField{"workspaces.quota.slack", "a number of 0 or more"}
 	}
 	return checkDuration("workspaces.quota.window", q.Window, time.Second, time.Hour)
 }
--- a/pkg/config/ingress_test.go
+++ b/pkg/config/ingress_test.go
@@ -12,8 +12,8 @@
 	"github.com/hopwell/hopwell/platform"
 )
 
-// filled returns the deploy template as the platform fills it.
-func filled(t *testing.T) string {
+// filledTemplate returns the deployment template, filled in with the platform's example values.
+func filledTemplate(t *testing.T) string {
 	data, err := os.ReadFile("../../deploy/ingress.yaml")
 	if err != nil {
 		t.Fatal(err)
@@ -25,9 +25,9 @@
 	return text
 }
 
-func TestTheDeployTemplateIsReadWhole(t *testing.T) {
+func TestDeployTemplateParses(t *testing.T) {
 	g := NewWithT(t)
-	text := filled(t)
+	text := filledTemplate(t)
 	g.Expect(text).NotTo(ContainSubstring("{{"))
 	c, err := config.ParseIngress("deploy/ingress.yaml", []byte(text))
 	g.Expect(err).NotTo(HaveOccurred())
@@ -36,8 +36,9 @@
 	g.Expect(c.Listen.Peers).To(Equal("10.1.0.38:7395"))
 }
 
-// A deployment without keys and quotas leaves their gaps empty.
-func TestTheDeployTemplateIsReadWithoutWorkspaces(t *testing.T) {
+// The platform leaves the fields for keys and quotas empty if a deployment has none. The template
+// must still parse, and the defaults must apply.
+func TestDeployTemplateParsesWithoutWorkspaces(t *testing.T) {
 	g := NewWithT(t)
 	data, err := os.ReadFile("../../deploy/ingress.yaml")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -53,9 +54,9 @@
 	g.Expect(c.Workspaces.Quota.Window.D()).To(Equal(8*time.Second), "the default")
 }
 
-func TestTheDeployTemplateFillsWorkspaces(t *testing.T) {
+func TestDeployTemplateSetsWorkspaces(t *testing.T) {
 	g := NewWithT(t)
-	c, err := config.ParseIngress("deploy/ingress.yaml", []byte(filled(t)))
+	c, err := config.ParseIngress("deploy/ingress.yaml", []byte(filledTemplate(t)))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(c.Workspaces.FailClosed).To(BeTrue())
 	g.Expect(c.Workspaces.RevokeWithin.D()).To(Equal(5 * time.Second))
@@ -63,13 +64,13 @@
 	g.Expect(c.Workspaces.Quota.Overshoot).To(Equal(0.1))
 }
 
-func TestTheIngressDefaultsAreGood(t *testing.T) {
+func TestIngressDefaultsAreValid(t *testing.T) {
 	g := NewWithT(t)
 	_, err := config.ParseIngress("default", []byte(config.IngressDefault))
 	g.Expect(err).NotTo(HaveOccurred())
 }
 
-func TestWhatIsWrongInIngressSettingsIsNamedWithItsPlace(t *testing.T) {
+func TestInvalidIngressSettingsReportFieldAndLine(t *testing.T) {
 	for _, c := range []struct {
 		from, to, field string
 		line            int
@@ -88,7 +89,7 @@
 		{"overshoot: 0.1", "overshoot: 2", "workspaces.quota.overshoot", 28},
 	} {
 		g := NewWithT(t)
-		text := strings.Replace(filled(t), c.from, c.to, 1)
+		text := strings.Replace(filledTemplate(t), c.from, c.to, 1)
 		g.Expect(text).To(ContainSubstring(c.to))
 		_, err := config.ParseIngress("f.yaml", []byte(text))
 		g.Expect(err).To(BeAssignableToTypeOf(&config.ErrSettings{}), c.to)
--- a/pkg/config/load.go
+++ b/pkg/config/load.go
@@ -14,11 +14,11 @@
 	"github.com/hopwell/hopwell/pkg/fleet"
 )
 
-// ErrSettings reports what is wrong in a settings file, and where.
+// ErrSettings reports an invalid settings file, with the position and field of the fault.
 type ErrSettings struct {
 	File         string
 	Line, Column int
-	// Field is the path of the key, as listen.inner.
+	// Field is the path of the key, such as listen.inner.
 	Field    string
 	Expected string
 }
@@ -42,21 +42,21 @@
 // Unwrap returns the cause.
 func (e *ErrFile) Unwrap() error { return e.Err }
 
-// fault is a failed check before its place in the file is known.
-type fault struct {
+// invalidField is a failed check without a position in the file. settingsError adds the position.
+type invalidField struct {
 	field, expected string
 }
 
 // LoadGateway reads and checks a gateway's settings file.
 func LoadGateway(file string) (*Gateway, error) {
-	data, err := read(file)
+	data, err := readFile(file)
 	if err != nil {
 		return nil, err
 	}
 	return ParseGateway(file, data)
 }
 
-// ParseGateway reads and checks a gateway's settings; file is for errors.
+// ParseGateway parses and checks a gateway's settings. file is the name in errors.
 func ParseGateway(file string, data []byte) (*Gateway, error) {
 	var g Gateway
 	must(yaml.Unmarshal([]byte(GatewayDefault), &g))
@@ -64,19 +64,19 @@
 	if err := decode(file, data, &g); err != nil {
 		return nil, err
 	}
-	return &g, place(file, data, g.check())
+	return &g, settingsError(file, data, g.check())
 }
 
 // LoadSidecar reads and checks a sidecar's settings file.
 func LoadSidecar(file string) (*Sidecar, error) {
-	data, err := read(file)
+	data, err := readFile(file)
 	if err != nil {
 		return nil, err
 	}
 	return ParseSidecar(file, data)
 }
 
-// ParseSidecar reads and checks a sidecar's settings; file is for errors.
+// ParseSidecar parses and checks a sidecar's settings. file is the name in errors.
 func ParseSidecar(file string, data []byte) (*Sidecar, error) {
 	var s Sidecar
 	must(yaml.Unmarshal([]byte(SidecarDefault), &s))
@@ -84,11 +84,12 @@
 	if err := decode(file, data, &s); err != nil {
 		return nil, err
 	}
-	return &s, place(file, data, s.check())
+	return &s, settingsError(file, data, s.check())
 }
 
-// Kind tells from a file's keys whether it is for "gateway", "sidecar" or
-// "ingress".
+// Kind returns the command that a settings file is for, "gateway", "sidecar" or "ingress",
+// from the keys in it. Without a key of a sidecar or an ingress, and for invalid YAML, it returns
+// "gateway".
 func Kind(data []byte) string {
 	var keys map[string]any
 	if yaml.Unmarshal(data, &keys) != nil {
@@ -107,7 +108,7 @@
 	return "gateway"
 }
 
-func read(file string) ([]byte, error) {
+func readFile(file string) ([]byte, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return nil, &ErrFile{File: file, Err: err}
@@ -115,14 +116,14 @@
 	return data, nil
 }
 
-// must guards the embedded defaults, which tests check.
+// must panics on an error in the embedded defaults. Tests check that there is none.
 func must(err error) {
 	if err != nil {
 		panic(err)
 	}
 }
 
-// decode reads YAML strictly: unknown and doubled keys are errors.
+// decode parses YAML strictly: unknown and duplicate keys are errors. Errors are *ErrSettings.
 func decode(file string, data []byte, into any) error {
 	if len(bytes.TrimSpace(data)) == 0 {
 		return &ErrSettings{File: file, Line: 1, Column: 1, Field: ".", Expected: "settings"}
@@ -135,7 +136,7 @@
 	var duration *fleet.ErrDuration
 	if errors.As(err, &duration) {
 		out.Expected = duration.Expected()
-		out.locate(data, duration.Text)
+		out.locateValue(data, duration.Text)
 		return out
 	}
 	if at, ok := err.(yaml.Error); ok {
@@ -147,7 +148,7 @@
 	return out
 }
 
-// errParser reports that the YAML library gave up on a text.
+// errParser reports that the YAML library panicked on a text.
 type errParser struct {
 	Cause any
 }
@@ -155,7 +156,8 @@
 // Error implements error.
 func (e *errParser) Error() string { return fmt.Sprintf("readable YAML (%v)", e.Cause) }
 
-// decodeYAML calls the library, which panics on some texts (as on "!0 0").
+// decodeYAML calls the YAML library and converts its panics to errors. The library panics on
+// some texts, such as "!0 0".
 func decodeYAML(data []byte, into any) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -165,8 +167,8 @@
 	return yaml.NewDecoder(bytes.NewReader(data), yaml.Strict()).Decode(into)
 }
 
-// locate finds the first key whose value is a text.
-func (e *ErrSettings) locate(data []byte, text string) {
+// locateValue sets the position and field of e to those of the first key with the value text.
+func (e *ErrSettings) locateValue(data []byte, text string) {
 	for _, t := range lexer.Tokenize(string(data)) {
 		if t.Value != text || t.Prev == nil || t.Prev.Prev == nil {
 			continue
@@ -176,20 +178,20 @@
 	}
 }
 
-// place finds where in the file a fault is.
-func place(file string, data []byte, f *fault) error {
+// settingsError returns *ErrSettings for f with its position in the file, or nil if f is nil.
+func settingsError(file string, data []byte, f *invalidField) error {
 	if f == nil {
 		return nil
 	}
 	out := &ErrSettings{File: file, Line: 1, Column: 1, Field: f.field, Expected: f.expected}
-	if n := find(data, f.field); n != nil && n.GetToken() != nil {
+	if n := findNode(data, f.field); n != nil && n.GetToken() != nil {
 		out.Line, out.Column = n.GetToken().Position.Line, n.GetToken().Position.Column
 	}
 	return out
 }
 
-// find returns the node of a field, or of the nearest key above it.
-func find(data []byte, field string) ast.Node {
+// findNode returns the YAML node of a field, or of its nearest parent that exists, or nil.
+func findNode(data []byte, field string) ast.Node {
 	tree, err := parser.ParseBytes(data, 0)
 	if err != nil {
 		return nil
@@ -206,8 +208,8 @@
 	return nil
 }
 
-// ParseSelectors reads a list of selectors strictly; file is for errors. The
-// values are checked where the change is carried out.
+// ParseSelectors parses a list of selectors strictly. file is the name in errors. The values are
+// not checked here but when the change is applied.
 func ParseSelectors(file string, data []byte) ([]fleet.Selector, error) {
 	var list []fleet.Selector
 	return list, decode(file, data, &list)
--- a/pkg/config/settings.go
+++ b/pkg/config/settings.go
@@ -1,13 +1,14 @@
-// Package config holds the settings of hopwell's processes: YAML files, read
-// strictly. Whatever is wrong is reported with file, line, column, field and
-// what was expected.
+// Package config parses the settings of hopwell's processes from YAML files. It
+// parses strictly, and reports each error with file, line, column, field and the
+// expected value.
 package config
 
 import (
 	"github.com/hopwell/hopwell/pkg/fleet"
 )
 
-// Instance says who and where a process is. It comes from settings only.
+// Instance gives the name, location and labels of the instance that a process
+// runs on. They come from the settings only.
 type Instance struct {
 	Name   string            `yaml:"name"`
 	Domain string            `yaml:"domain"`
@@ -17,26 +18,27 @@
 
 // Listen gives the addresses that a process listens on.
 type Listen struct {
-	// Callers is the gateway's public address.
+	// Callers is the gateway's public address for clients.
 	Callers string `yaml:"callers"`
-	// Inner and Admin belong on the operators' network only.
+	// Inner and Admin must be reachable from the operators' network only.
 	Inner string `yaml:"inner"`
 	Admin string `yaml:"admin"`
 }
 
-// Limits bounds what callers may ask of a gateway.
+// Limits limits the requests that a gateway accepts from clients: the open
+// requests in total and per workspace, and the tokens in a prompt.
 type Limits struct {
 	OpenRequests             int `yaml:"open_requests"`
 	OpenRequestsPerWorkspace int `yaml:"open_requests_per_workspace"`
 	PromptTokens             int `yaml:"prompt_tokens"`
 }
 
-// Drain gives the times of a planned stop.
+// Drain gives the time limits of a planned stop.
 type Drain struct {
-	// BalancerWait is how long the balancer may take to see the failing health
-	// page.
+	// BalancerWait is how long the balancer may take to observe that the health
+	// page fails.
 	BalancerWait fleet.Duration `yaml:"balancer_wait"`
-	// Longest bounds the wait for running work.
+	// Longest is the maximum time to wait for running requests.
 	Longest fleet.Duration `yaml:"longest"`
 }
 
@@ -52,7 +54,10 @@
 	Log      string         `yaml:"log"`
 }
 
-// Guesses are a sidecar's first values for what it learns later.
+// Guesses are the initial values of what a sidecar measures later: PrefillRate
+// in tokens per second, and the time of a decode step, which is StepBase plus
+// StepSlope per stream. LinkRate is the rate in bytes per second at which KV
+// caches leave the engine.
 type Guesses struct {
 	PrefillRate float64        `yaml:"prefill_rate"`
 	StepBase    fleet.Duration `yaml:"step_base"`
