--- a/pkg/config/ingress.go
+++ b/pkg/config/ingress.go
@@ -20,8 +20,8 @@
 	Peers   string `yaml:"peers"`
 }
 
-// RetryBudget limits the requests of a service that are sent to a second runner, at all gateways
-// together: in each Window, to the fraction Share of the requests plus Slack requests.
+// RetryBudget bounds how many requests of a service all gateways together send to a second runner:
+// in each Window, the fraction Share of the requests plus Slack requests.
 type RetryBudget struct {
 	Share  float64        `yaml:"share"`
 	Slack  float64        `yaml:"slack"`
@@ -48,8 +48,8 @@
 	return bound
 }
 
-// ColdRunners limits the requests that a cold runner gets in one second from all gateways
-// together: to the rate that its service states, times Overshoot, plus Slack requests.
+// ColdRunners bounds how many requests a cold runner gets in one second from all gateways
+// together: the number that its service states, times Overshoot, plus Slack.
 type ColdRunners struct {
 	Overshoot float64 `yaml:"overshoot"`
 	Slack     float64 `yaml:"slack"`
@@ -74,7 +74,7 @@
 	Slack     float64 `yaml:"slack"`
 }
 
-// IngressLimits limits the load that an ingress accepts: the number of open requests, the memory
+// IngressLimits bounds the load that an ingress accepts: the number of open requests, the memory
 // of the process in MB, the time to read a request's header, and the time that a connection may
 // be idle.
 type IngressLimits struct {
--- a/pkg/config/settings.go
+++ b/pkg/config/settings.go
@@ -25,7 +25,7 @@
 	Admin string `yaml:"admin"`
 }
 
-// Limits limits the requests that a gateway accepts from clients: the open
+// Limits bounds the requests that a gateway accepts from clients: the open
 // requests in total and per workspace, and the tokens in a prompt.
 type Limits struct {
 	OpenRequests             int `yaml:"open_requests"`
--- a/pkg/fleet/document.go
+++ b/pkg/fleet/document.go
@@ -26,8 +26,8 @@
 	Workspaces []Workspace `json:"workspaces,omitempty"`
 	// Evacuated lists the failure domains whose runners get no new work, sorted.
 	Evacuated []string `json:"evacuated,omitempty"`
-	// Recent lists the last accepted changes, newest last. A sender that lost
-	// the response to its change finds out here whether it took effect.
+	// Recent lists the last accepted changes, newest last. It shows a sender that
+	// did not receive the response to its change whether the change took effect.
 	Recent []Accepted `json:"recent"`
 }
 
@@ -141,11 +141,11 @@
 }
 
 // Apply returns the next document. A change with an older base is rebased if
-// nothing that it touches was written since its base; otherwise Apply returns
-// *ErrConflict with both values. If the change ID was accepted before, Apply
-// returns d itself. Other errors are *ErrSelector, *ErrMatch, *ErrLabel,
-// *ErrUnknownSelector, *workspace.ErrWorkspace, *ErrUnknownWorkspace and
-// *ErrDomain.
+// nothing that it touches was written since its base. Otherwise Apply returns
+// *ErrConflict, with both values if Recent covers the base. If the change ID was
+// accepted before, Apply returns d itself. Other errors are *ErrSelector,
+// *ErrMatch, *ErrLabel, *ErrUnknownSelector, *workspace.ErrWorkspace,
+// *ErrUnknownWorkspace and *ErrDomain.
 func (d *Document) Apply(c *Change) (*Document, error) {
 	if _, ok := d.Accepted(c.ID); ok {
 		return d, nil
@@ -166,7 +166,7 @@
 }
 
 // conflict returns *ErrConflict if an item that the change touches was written
-// since the change's base, or if Recent does not reach back to the base.
+// since the change's base, or if Recent does not cover the base.
 func (d *Document) conflict(c *Change) error {
 	if c.Base == d.Revision {
 		return nil
--- a/pkg/fleet/errors.go
+++ b/pkg/fleet/errors.go
@@ -35,7 +35,7 @@
 	return fmt.Sprintf("no such selector: name=%q", e.Name)
 }
 
-// ErrLabel reports an invalid label, or a label of an invalid instance name.
+// ErrLabel reports an invalid label, or a label for an invalid instance name.
 type ErrLabel struct {
 	Instance, Key, Value, Expected string
 }
--- a/pkg/fleet/labels.go
+++ b/pkg/fleet/labels.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// Labels are an instance's labels, key to value.
+// Labels are the labels of an instance, by key.
 type Labels map[string]string
 
 // Keys of the labels that every instance has. Operators can't change them.
--- a/pkg/fleet/membership.go
+++ b/pkg/fleet/membership.go
@@ -146,8 +146,8 @@
 	return true
 }
 
-// Listed returns the list entry of an instance, false if it is not a member. An
-// entry once listed as leaving stays leaving until the process is replaced.
+// Listed returns the entry of an instance as the list last showed it, false if the
+// instance is not a member. Leaving stays set until the process is replaced.
 func (m *Membership) Listed(name string) (platform.Instance, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/pkg/fleet/view.go
+++ b/pkg/fleet/view.go
@@ -39,7 +39,7 @@
 }
 
 // maxGrantCache bounds the cached results of one view. Clients choose the request
-// kinds, so that the number of keys has no other bound.
+// kinds, so the number of keys has no other bound.
 const maxGrantCache = 4096
 
 // NewView returns the view of instances under a document.
@@ -185,8 +185,8 @@
 func (v *View) Evacuated(m *Member) bool { return v.Doc.evacuated(m.Domain) }
 
 // Check compares the views before and after a change. It returns *ErrNoRunner if
-// the change leaves the kind, model and role of a selector in before without a
-// grant, and before has one for them.
+// a selector of before has a kind, model and role for which before grants a member
+// and after grants none.
 func Check(before, after *View) error {
 	for i := range before.Doc.Selectors {
 		s := &before.Doc.Selectors[i]
--- a/pkg/fleet/workspace.go
+++ b/pkg/fleet/workspace.go
@@ -26,7 +26,7 @@
 	PlainTokens float64        `json:"plain_tokens"`
 }
 
-// ErrUnknownWorkspace reports that a change deletes a workspace that the document does not have.
+// ErrUnknownWorkspace reports that the document has no workspace with a name.
 type ErrUnknownWorkspace struct {
 	Name string
 }
