--- a/pkg/config/settings.go
+++ b/pkg/config/settings.go
@@ -56,8 +56,8 @@
 
 // Guesses are the initial values of what a sidecar measures later: PrefillRate
 // in tokens per second, and the time of a decode step, which is StepBase plus
-// StepSlope per stream. LinkRate is the rate in bytes per second at which KV
-// caches leave the engine.
+// StepSlope per stream. LinkRate, the rate in bytes per second at which KV
+// caches leave the engine, is not measured.
 type Guesses struct {
 	PrefillRate float64        `yaml:"prefill_rate"`
 	StepBase    fleet.Duration `yaml:"step_base"`
