--- a/pkg/claim/claim.go
+++ b/pkg/claim/claim.go
@@ -1,9 +1,9 @@
-// Package claim makes sure that the key of a request that must not be repeated
-// belongs to one request in the whole fleet, across gateways, crashes and
-// outages. Claims live in the platform's key-value service. Many claims share
-// one write, so that the write rate does not grow with the traffic, and every
-// claim of a shard goes through a compare-and-swap of the shard's one head key,
-// so that it stays right whoever writes.
+// Package claim ensures that the idempotency key of a request that must not be
+// repeated is claimed by at most one request in the fleet, across gateways,
+// crashes and outages. Claims are stored in the platform's key-value service.
+// They are written in groups, so that the write rate does not grow with the
+// traffic. All claims of a shard are committed by compare-and-swap on the shard's
+// single head key, so they stay correct with concurrent writers.
 package claim
 
 import (
@@ -16,24 +16,25 @@
 )
 
 const (
-	// Shards is the number of head keys. It is the same in all processes.
+	// Shards is the number of head keys. It must be the same in all processes.
 	Shards = 4
-	// Keep is how long a key stays claimed.
+	// Keep is the time for which a key stays claimed.
 	Keep = time.Hour
-	// Interval is the least time between two writes of one shard: 4 shards
-	// write at most 40 times a second.
+	// Interval is the minimum time between the starts of two group commits of
+	// one shard: 4 shards write at most 40 times per second.
 	Interval = 100 * time.Millisecond
-	// sealEntries is the number of claims in the head above which they move
-	// into a sealed block.
+	// sealEntries is the number of claims in a head above which the older ones
+	// are moved to a sealed block.
 	sealEntries = 1200
-	// releaseRetry is the wait before a failed release is tried again.
+	// releaseRetry is the delay between attempts of a failed release.
 	releaseRetry = time.Second
 )
 
-// Key names what may run once: a workspace's idempotency key, hashed.
+// Key is the hash of an idempotency key and its workspace. At most one request
+// may run under it.
 type Key [16]byte
 
-// NewKey hashes a caller's key within its workspace.
+// NewKey hashes a client's idempotency key together with its workspace.
 func NewKey(workspace, key string) Key {
 	var out Key
 	for i, seed := range []uint64{0, 1} {
@@ -47,13 +48,14 @@
 // Shard returns the shard that the key belongs to.
 func (k Key) Shard() int { return int(k[0]) % Shards }
 
-// Claimer claims keys. A Store is one; so is a client of another process's.
+// Claimer claims keys. It is implemented by Store and by clients of a Store in
+// another process.
 type Claimer interface {
-	// Claim gives the key to the request unless another one has it, and returns
-	// the holder. *ErrUnsettled means that the claim may have been made.
+	// Claim claims the key for the request unless another request holds it, and
+	// returns the holder. After *ErrUnsettled the claim may have been committed.
 	Claim(ctx context.Context, k Key, request string) (holder string, err error)
-	// Release gives a key back that the request holds, since it certainly did
-	// not run and never will.
+	// Release releases a key that the request holds. The caller must be certain
+	// that the request did not run and never will.
 	Release(ctx context.Context, k Key, request string) error
 }
 
@@ -62,7 +64,7 @@
 	shards [Shards]*shard
 }
 
-// NewStore returns a store; it does nothing until it is asked.
+// NewStore returns a store. It makes no calls before the first operation.
 func NewStore(kv platform.KV) *Store {
 	s := &Store{}
 	for i := range s.shards {
@@ -76,8 +78,8 @@
 	return s.shards[k.Shard()].do(ctx, op{key: k, request: request})
 }
 
-// Release implements Claimer. While the key-value service is down it goes on
-// trying until the context ends.
+// Release implements Claimer. It retries until it succeeds or the context ends,
+// so that a release outlasts an outage of the key-value service.
 func (s *Store) Release(ctx context.Context, k Key, request string) error {
 	for {
 		_, err := s.shards[k.Shard()].do(ctx, op{key: k, request: request, release: true})
--- a/pkg/claim/claim_test.go
+++ b/pkg/claim/claim_test.go
@@ -15,13 +15,13 @@
 	"github.com/hopwell/hopwell/pkg/spectest"
 )
 
-// claimMachine makes several processes claim a few keys over a key-value service
-// that goes down and loses answers.
+// claimMachine models several processes that claim a few keys in a key-value
+// service with outages and lost responses.
 type claimMachine struct {
 	kv     *fake.KV
 	stores []*Store
-	// holder is who was told that it has a key; maybe are requests whose claim was
-	// not settled.
+	// holder maps each key to the request that a response named as its holder.
+	// maybe contains the requests whose claim has an unknown outcome.
 	holder map[Key]string
 	maybe  map[Key]map[string]bool
 	next   int
@@ -54,17 +54,18 @@
 	m.maybe[k][id] = true
 }
 
-// granted checks an answer: a key that somebody was told to hold stays that
-// one's, and nobody else holds one but those whose claim was not settled.
+// granted checks the holder that a claim returned. Once a response has named the
+// holder of a key, it must not change. Before that, the holder must be the request
+// itself or one whose claim has an unknown outcome.
 func (m *claimMachine) granted(t *rapid.T, k Key, id, got string) {
 	if have := m.holder[k]; have != "" {
 		if got != have {
-			t.Fatalf("%s holds the key, %s was told %s", have, id, got)
+			t.Fatalf("%s holds the key, but the claim of %s returned holder %s", have, id, got)
 		}
 		return
 	}
 	if got != id && !m.maybe[k][got] {
-		t.Fatalf("%s was told that %s holds the key, which never claimed it", id, got)
+		t.Fatalf("the claim of %s returned holder %s, which never claimed the key", id, got)
 	}
 	m.holder[k] = got
 }
@@ -85,7 +86,7 @@
 	m.maybe[k] = nil
 }
 
-// race makes all stores claim one key at the same time.
+// race claims one key from all stores concurrently.
 func (m *claimMachine) race(t *rapid.T) {
 	k := m.key(t)
 	var wg sync.WaitGroup
@@ -126,7 +127,7 @@
 				"lose":    func(t *rapid.T) { m.kv.LoseAnswers(rapid.IntRange(1, 3).Draw(t, "n")) },
 				"restart": func(t *rapid.T) { m.stores[rapid.IntRange(0, 2).Draw(t, "i")] = NewStore(m.kv) },
 			})
-			time.Sleep(time.Minute) // Until all shards are at rest.
+			time.Sleep(time.Minute) // Until all shards are idle.
 		})
 	})
 }
@@ -149,13 +150,13 @@
 		}
 		wg.Wait()
 		_, writes := kv.Calls()
-		g.Expect(writes).To(BeNumerically("<", 600), "10 s at 40 writes a second, and the blocks")
+		g.Expect(writes).To(BeNumerically("<", 600), "10 s at 40 writes per second, plus the sealed blocks")
 		second := NewStore(kv)
 		for i := 0; i < n; i += 997 {
 			holder, err := second.Claim(context.Background(), NewKey("w", fmt.Sprint(i)), "other")
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(holder).To(Equal(fmt.Sprint(i)))
 		}
-		time.Sleep(time.Minute) // Until all shards are at rest.
+		time.Sleep(time.Minute) // Until all shards are idle.
 	})
 }
--- a/pkg/claim/errors.go
+++ b/pkg/claim/errors.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// ErrUnsettled reports that the key-value service gave no answer, so that the
-// claim may or may not have been made.
+// ErrUnsettled reports that the outcome of a claim or release is unknown, because
+// no response of the key-value service arrived.
 type ErrUnsettled struct {
 	Shard int
 	Err   error
@@ -17,7 +17,7 @@
 // Unwrap returns the cause.
 func (e *ErrUnsettled) Unwrap() error { return e.Err }
 
-// ErrHeld reports that another request has the key.
+// ErrHeld reports that another request holds the key.
 type ErrHeld struct {
 	Holder string
 }
--- a/pkg/claim/shard.go
+++ b/pkg/claim/shard.go
@@ -19,7 +19,7 @@
 	callTime    = time.Second
 )
 
-// op is one claim or release that waits for its commit.
+// op is a claim or release that waits to be committed.
 type op struct {
 	key     Key
 	request string
@@ -42,7 +42,7 @@
 	busy    bool
 	last    time.Time
 
-	// What follows belongs to the one commit that runs.
+	// The fields below are accessed only by the goroutine that runs work.
 	version uint64
 	head    *wirepb.ClaimHead
 	blocks  map[uint64]map[Key]string
@@ -58,8 +58,8 @@
 	return fmt.Sprintf("hopwell/claims/%d/%d", shard, block)
 }
 
-// do adds an operation to the next group and waits for it. An operation whose
-// caller stopped waiting may still take effect.
+// do adds an operation to the next group and waits for its result. The operation
+// may still take effect after the context of its caller ends.
 func (s *shard) do(ctx context.Context, o op) (string, error) {
 	o.answer = make(chan result, 1)
 	s.mu.Lock()
@@ -77,8 +77,8 @@
 	}
 }
 
-// work commits groups until none waits. The first one goes at once; others
-// wait until Interval has passed since the last.
+// work commits groups until no operation is pending. Each commit starts at least
+// Interval after the previous one; after a longer idle time it starts at once.
 func (s *shard) work() {
 	for {
 		time.Sleep(time.Until(s.last.Add(Interval)))
@@ -96,7 +96,7 @@
 	}
 }
 
-// commit settles one group.
+// commit commits a group and sends the result of each operation to its caller.
 func (s *shard) commit(group []op) {
 	var err error
 	for range commitTries {
@@ -110,8 +110,8 @@
 		}
 		s.head = nil
 		if !platform.IsConflict(err) {
-			// The answer was lost. The next try reads the head and sees what
-			// took effect; if even that fails, nothing can be told.
+			// The response was lost, so the swap may have taken effect. Reload the
+			// head to find out; the outcome stays unknown if that fails too.
 			if loadErr := s.load(); loadErr != nil {
 				break
 			}
@@ -122,10 +122,10 @@
 	}
 }
 
-// try applies the group to the head as it is known and swaps it. A group that
-// changes nothing needs no write. But that somebody else holds a key, or that
-// nobody holds one that is given back, is only believed of a head that was just
-// read: another process may have changed it.
+// try applies the group to the cached head and writes the result by
+// compare-and-swap. A group that changes nothing needs no write. Two results need
+// a head that was just read, since another process may have changed it: that
+// another request holds a key, and that a release has nothing to remove.
 func (s *shard) try(group []op) ([]result, error) {
 	fresh := s.head == nil
 	if fresh {
@@ -150,8 +150,8 @@
 	return results, s.swap(next)
 }
 
-// applyAll carries out a group on a head. Refused says that a key was not given,
-// or was not there to be given back.
+// applyAll applies a group to a head. Refused reports whether any key was held by
+// another request, or any release found nothing to remove.
 func (s *shard) applyAll(head *wirepb.ClaimHead, group []op) (results []result, changed, refused bool) {
 	results = make([]result, len(group))
 	for i, o := range group {
@@ -164,8 +164,8 @@
 	return results, changed, refused
 }
 
-// apply carries out one operation on a head. An entry whose request is the
-// operation's own is from an earlier try of it.
+// apply applies one operation to a head. An entry with the operation's own request
+// ID was written by an earlier attempt of the operation.
 func (s *shard) apply(head *wirepb.ClaimHead, o op) (holder string, wrote bool) {
 	for i, e := range head.Entries {
 		if Key(e.Key) != o.key {
@@ -189,10 +189,10 @@
 	return o.request, true
 }
 
-// seal moves a head's older entries into a new block and forgets blocks past
-// Keep. The block goes first: until the head names it, it means nothing. Its
-// number is random, so that a block whose writer then lost the race for the
-// head is in nobody's way.
+// seal moves the older entries of a head to a new block and drops blocks older
+// than Keep. The block is written before the head: it has no effect until the
+// head refers to it. Its number is random, so that a block left over by a writer
+// whose swap of the head failed does not collide with another one.
 func (s *shard) seal(head *wirepb.ClaimHead) error {
 	cut := len(head.Entries) - sealEntries/4
 	block := &wirepb.ClaimHead{Entries: head.Entries[:cut]}
@@ -213,7 +213,7 @@
 	return nil
 }
 
-// live returns the blocks that still count.
+// live returns the blocks whose newest claim is younger than Keep.
 func live(blocks []*wirepb.ClaimBlock, now time.Time) []*wirepb.ClaimBlock {
 	var out []*wirepb.ClaimBlock
 	for _, b := range blocks {
@@ -239,7 +239,7 @@
 	return nil
 }
 
-// load reads the head and the blocks that it names and that are not known yet.
+// load reads the head and those of its blocks that are not cached.
 func (s *shard) load() error {
 	ctx, cancel := context.WithTimeout(context.Background(), callTime)
 	defer cancel()
@@ -281,6 +281,7 @@
 	return nil
 }
 
+// index maps the keys of a block to the request IDs that hold them.
 func index(block *wirepb.ClaimHead) map[Key]string {
 	m := make(map[Key]string, len(block.Entries))
 	for _, e := range block.Entries {
--- a/pkg/engine/dial.go
+++ b/pkg/engine/dial.go
@@ -5,8 +5,8 @@
 	"net"
 )
 
-// neverConnected reports whether an error happened before any byte could have
-// been sent: the connection was never made.
+// neverConnected reports whether the connection could not be established, so that
+// no byte of the request was sent.
 func neverConnected(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
--- a/pkg/engine/engine.go
+++ b/pkg/engine/engine.go
@@ -1,8 +1,8 @@
-// Package engine says what hopwell needs of a runner: a model engine or a plain
-// service. The sidecar beside a runner is the only process that calls it.
+// Package engine defines the interfaces of a runner, which is a model engine or a
+// plain service. Only the sidecar of a runner calls it.
 //
-// The HTTP clients in this package speak to real runners; package fake holds
-// the stand-ins.
+// The HTTP clients in this package call real runners. Package fake contains the
+// test doubles.
 package engine
 
 import (
@@ -11,90 +11,90 @@
 	"time"
 )
 
-// Prefill is one order to compute the KV cache of a prompt.
+// Prefill is a call to compute the KV cache of a prompt.
 type Prefill struct {
-	// ID names the work on the engine: request ID, attempt and role.
+	// ID identifies the work on the engine: request ID, attempt and role.
 	ID string `json:"id"`
-	// Model, Version and Adapter name what computes it.
+	// Model, Version and Adapter select the model to run.
 	Model   string `json:"model"`
 	Version string `json:"version,omitempty"`
 	Adapter string `json:"adapter,omitempty"`
-	// Prompt is the whole text, with any tokens generated already at its end.
+	// Prompt is the whole prompt, followed by the text generated so far.
 	Prompt string `json:"prompt"`
 	// Tokens is the length of Prompt in tokens.
 	Tokens int `json:"tokens"`
-	// Priority orders work on the engine; larger runs first.
+	// Priority orders work on the engine; higher values run first.
 	Priority int `json:"priority"`
 }
 
-// Export names a KV cache that an engine holds for another one to import.
+// Export identifies a KV cache that an engine holds for another one to import.
 type Export struct {
-	// Handle is the engine's name of it.
+	// Handle is the engine's ID of the export.
 	Handle string `json:"handle"`
-	// Address is where the importing engine fetches it.
+	// Address is the address from which the importing engine fetches it.
 	Address string `json:"address"`
-	// Bytes is its size.
+	// Bytes is the size of the KV cache.
 	Bytes int64 `json:"bytes"`
-	// Tokens is how many tokens it covers, Cached how many of them were not
-	// computed now because the engine still had them.
+	// Tokens is the number of tokens that the KV cache covers. Cached is the
+	// number of those that the engine took from its prefix cache.
 	Tokens int `json:"tokens"`
 	Cached int `json:"cached"`
-	// Generated is the text decoded so far and Offset its tokens. Both are
-	// empty after a prefill and set after a handover.
+	// Generated is the text decoded so far and Offset its length in tokens. Both
+	// are empty after a prefill and set after a handover.
 	Generated string `json:"generated,omitempty"`
 	Offset    int    `json:"offset,omitempty"`
 }
 
-// Decode is one order to generate tokens.
+// Decode is a call to generate tokens.
 type Decode struct {
-	// ID names the work on the engine: request ID, attempt and role.
+	// ID identifies the work on the engine: request ID, attempt and role.
 	ID string `json:"id"`
-	// Model, Version and Adapter name what computes it.
+	// Model, Version and Adapter select the model to run.
 	Model   string `json:"model"`
 	Version string `json:"version,omitempty"`
 	Adapter string `json:"adapter,omitempty"`
-	// Prompt is the text of the request without what was generated.
+	// Prompt is the prompt of the request, without generated text.
 	Prompt string `json:"prompt"`
-	// PromptTokens is its length.
+	// PromptTokens is the length of Prompt in tokens.
 	PromptTokens int `json:"prompt_tokens"`
-	// Source is the KV cache to import; nil makes the engine prefill by itself.
+	// Source is the KV cache to import. If nil, the engine runs the prefill itself.
 	Source *Export `json:"source,omitempty"`
-	// Generated is the answer so far and Offset its tokens; the first token
-	// that comes back follows them.
+	// Generated is the response so far and Offset its length in tokens. The first
+	// token returned continues it.
 	Generated string `json:"generated,omitempty"`
 	Offset    int    `json:"offset,omitempty"`
-	// MaxTokens bounds the whole answer, Offset included.
+	// MaxTokens limits the length of the whole response, including Offset.
 	MaxTokens int `json:"max_tokens"`
-	// Seed makes sampling repeatable, so that a resumed answer continues the
-	// same one.
+	// Seed makes sampling deterministic, so that a resumed response continues
+	// the original one.
 	Seed uint64 `json:"seed"`
-	// Priority orders work on the engine; larger runs first.
+	// Priority orders work on the engine; higher values run first.
 	Priority int `json:"priority"`
 }
 
-// Token is one step of an answer.
+// Token is one token of a response.
 type Token struct {
-	// Offset counts the tokens before this one, from 0.
+	// Offset is the number of tokens before this one.
 	Offset int `json:"offset"`
-	// Text is what it adds to the answer.
+	// Text is the text that the token adds to the response.
 	Text string `json:"text"`
-	// Final is set on the last one, with the reason in OpenAI's words
+	// Final is set on the last token, with Reason in the terms of the OpenAI API
 	// ("stop", "length").
 	Final  bool   `json:"final,omitempty"`
 	Reason string `json:"reason,omitempty"`
 }
 
-// Holding is one piece of engine memory held for a request.
+// Holding is an allocation of KV memory for a request.
 type Holding struct {
-	// ID is the work's name as its order gave it.
+	// ID is the work's ID as given in its Prefill or Decode.
 	ID string `json:"id"`
 	// What is "prefill", "export", or "decode".
 	What string `json:"what"`
-	// Bytes is the KV cache it takes.
+	// Bytes is the size of the allocation.
 	Bytes int64 `json:"bytes"`
 }
 
-// Load is an engine's own report. It lags behind.
+// Load is the load that an engine reports. It lags behind the actual load.
 type Load struct {
 	Running      int   `json:"running"`
 	BatchLimit   int   `json:"batch_limit"`
@@ -102,13 +102,13 @@
 	KVTotal      int64 `json:"kv_total"`
 	QueuedTokens int   `json:"queued_tokens"`
 	KVPerToken   int64 `json:"kv_per_token"`
-	// Fence is the highest fence whose order the engine accepted.
+	// Fence is the highest fence of an assignment that the engine accepted.
 	Fence Fence `json:"fence"`
-	// Assigned is what the engine now runs.
+	// Assigned is the present assignment.
 	Assigned Assignment `json:"assigned"`
 }
 
-// Assignment is what an engine should run.
+// Assignment is the role, model, version and adapter that an engine runs.
 type Assignment struct {
 	Role    string `json:"role"`
 	Model   string `json:"model"`
@@ -116,7 +116,8 @@
 	Adapter string `json:"adapter"`
 }
 
-// Fence orders assignments: by sidecar epoch, then by configuration revision.
+// Fence is a fencing token that orders assignments by sidecar epoch, then by
+// configuration revision.
 type Fence struct {
 	Epoch    uint64 `json:"epoch"`
 	Revision uint64 `json:"revision"`
@@ -130,50 +131,52 @@
 	return f.Revision < g.Revision
 }
 
-// CacheEvent tells that a prefix block entered or left an engine's cache.
+// CacheEvent reports that a prefix block was added to or evicted from an engine's
+// prefix cache.
 type CacheEvent struct {
 	Sequence uint64 `json:"sequence"`
 	Block    uint64 `json:"block"`
 	Evicted  bool   `json:"evicted"`
 }
 
-// Engine is a model engine. All calls end early when their context does, and
-// the engine then keeps nothing for them.
+// Engine is a model engine. A call whose context ends is cancelled, and the engine
+// then frees all memory that it held for the call.
 //
-// Errors are *ErrEngine for an answer the engine gave and *ErrUnreachable when
-// none came.
+// Errors are *ErrEngine if the engine responded with an error, and
+// *ErrUnreachable if no complete response arrived.
 type Engine interface {
-	// Prefill computes and holds a KV cache. The engine drops it by itself
-	// after a few seconds unless it is imported or released.
+	// Prefill computes and holds a KV cache. The engine frees it after a few
+	// seconds unless it is imported or released earlier.
 	Prefill(ctx context.Context, p Prefill) (Export, error)
-	// Decode imports what Source names, calls imported once that is done, and
-	// then token for every token in order. It returns after the final one.
+	// Decode imports the KV cache given by Source, calls imported when that is
+	// complete, and then calls token for each token in order. It returns after
+	// the final token.
 	Decode(ctx context.Context, d Decode, imported func(), token func(Token) error) error
 	// Handover stops a running decode and exports its KV cache.
 	Handover(ctx context.Context, id string) (Export, error)
-	// Release drops an export; a missing one is no error.
+	// Release frees an export. A missing export is not an error.
 	Release(ctx context.Context, handle string) error
-	// Cancel ends the work with that ID and frees its memory; missing work is
-	// no error.
+	// Cancel ends the work with the given ID and frees its memory. Missing work
+	// is not an error.
 	Cancel(ctx context.Context, id string) error
 	// Held lists all memory held for requests.
 	Held(ctx context.Context) ([]Holding, error)
 	// Load reports the engine's load, with a lag.
 	Load(ctx context.Context) (Load, error)
-	// Events returns cache events after a sequence number; some may be missing.
+	// Events returns the cache events after a sequence number. Some may be missing.
 	Events(ctx context.Context, after uint64) ([]CacheEvent, error)
-	// Assign orders a role, model, version and adapter. An engine that checks
-	// fences refuses an older one with ErrEngine and code "fenced".
+	// Assign sets the role, model, version and adapter of the engine. An engine
+	// that checks fences refuses an older fence with *ErrEngine and CodeFenced.
 	Assign(ctx context.Context, f Fence, a Assignment) error
 }
 
-// Service is a plain service: anything that answers HTTP.
+// Service is a plain service: any HTTP server.
 type Service interface {
-	// Call sends one request and returns its answer, whose body the caller
-	// closes.
+	// Call sends a request and returns the response. The caller must close the
+	// response body.
 	Call(ctx context.Context, r *http.Request) (*http.Response, error)
 }
 
-// PrefillTime is the time after which an engine drops an export that nobody
-// imported, as the brief's "kept for only a few seconds".
+// PrefillTime is the time after which an engine frees an export that was not
+// imported. The requirements say only that it is "kept for only a few seconds".
 const PrefillTime = 5 * time.Second
--- a/pkg/engine/errors.go
+++ b/pkg/engine/errors.go
@@ -4,27 +4,27 @@
 
 // Codes of ErrEngine.
 const (
-	// CodeFull says that the KV memory or the batch is full.
+	// CodeFull reports that the KV memory or the batch is full.
 	CodeFull = "full"
-	// CodeGone says that the named export or work does not exist any more.
+	// CodeGone reports that the given export or work no longer exists.
 	CodeGone = "gone"
-	// CodeFenced says that a newer fence was accepted before.
+	// CodeFenced reports that the engine has already accepted a newer fence.
 	CodeFenced = "fenced"
-	// CodeStalled says that a transfer made no progress.
+	// CodeStalled reports that a transfer made no progress.
 	CodeStalled = "stalled"
-	// CodeModel says that the engine does not run the named model.
+	// CodeModel reports that the engine does not run the requested model.
 	CodeModel = "model"
-	// CodeMoved says that the work was handed over while it ran.
+	// CodeMoved reports that the work was handed over while it was running.
 	CodeMoved = "moved"
-	// CodeBroken says that the engine failed by itself.
+	// CodeBroken reports an internal failure of the engine.
 	CodeBroken = "broken"
 )
 
-// ErrEngine is an error that the engine answered with.
+// ErrEngine is an error response of the engine.
 type ErrEngine struct {
 	// Code is one of the Code constants.
 	Code string `json:"code"`
-	// Detail is for people.
+	// Detail is a description for operators.
 	Detail string `json:"detail"`
 }
 
@@ -33,11 +33,11 @@
 	return fmt.Sprintf("engine refused: code=%s detail=%q", e.Code, e.Detail)
 }
 
-// ErrUnreachable reports that a runner gave no complete answer.
+// ErrUnreachable reports that no complete response of a runner arrived.
 type ErrUnreachable struct {
-	// Address is the runner's.
+	// Address is the address of the runner.
 	Address string
-	// Sent is false when the request certainly never reached the runner.
+	// Sent is false only if the request certainly never reached the runner.
 	Sent bool
 	// Err is the cause.
 	Err error
--- a/pkg/engine/fuzz_test.go
+++ b/pkg/engine/fuzz_test.go
@@ -25,7 +25,7 @@
 			t.Fatalf("untyped error %T", err)
 		}
 		if err == nil && !final {
-			t.Fatal("a stream without its final token was taken for a whole one")
+			t.Fatal("a stream without its final token was accepted as complete")
 		}
 	})
 }
--- a/pkg/engine/http.go
+++ b/pkg/engine/http.go
@@ -12,8 +12,8 @@
 	"net/url"
 )
 
-// Paths of a model engine's HTTP API. Bodies are JSON; a decode answers with one
-// Step for each line.
+// Paths of a model engine's HTTP API. Bodies are JSON. The response to a decode is
+// a stream with one Step per line.
 const (
 	PathPrefill  = "/engine/prefill"
 	PathDecode   = "/engine/decode"
@@ -26,13 +26,13 @@
 	PathAssign   = "/engine/assign"
 )
 
-// Step is one line of a decode's answer.
+// Step is one line of the response to a decode.
 type Step struct {
-	// Imported is set on the line that tells that the KV cache is there.
+	// Imported is set on the line that reports the import of the KV cache.
 	Imported bool `json:"imported,omitempty"`
 	// Token is the next token.
 	Token *Token `json:"token,omitempty"`
-	// Err ends the answer early.
+	// Err is set if the engine ended the response with an error.
 	Err *ErrEngine `json:"error,omitempty"`
 }
 
@@ -42,22 +42,24 @@
 	Assignment Assignment `json:"assignment"`
 }
 
-// maxLine bounds one line of a decode's answer, in bytes.
+// maxLine is the maximum size in bytes of a line of a decode response and of an
+// error response.
 const maxLine = 1 << 20
 
-// Client speaks a model engine's HTTP API. It uses net/http, since nbhttp's
-// client hands over an answer only when it is complete.
+// Client implements Engine over a model engine's HTTP API. It uses net/http,
+// because nbhttp's client returns a response only when it is complete.
 type Client struct {
 	base string
 	http *http.Client
 }
 
-// NewClient returns a client of the engine at a base URL.
+// NewClient returns a client for the engine at a base URL.
 func NewClient(base string) *Client {
 	return &Client{base: base, http: &http.Client{Transport: transport()}}
 }
 
-// idleConns is how many unused connections to its one runner a sidecar keeps.
+// idleConns is the maximum number of idle connections that a sidecar keeps to its
+// runner.
 const idleConns = 64
 
 func transport() *http.Transport {
@@ -66,7 +68,7 @@
 	return t
 }
 
-// post sends an order and returns its open answer.
+// post sends body as JSON and returns the response with its body open.
 func (c *Client) post(ctx context.Context, path string, body any) (*http.Response, error) {
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -80,8 +82,8 @@
 	return c.do(r)
 }
 
-// do sends a request. An answer that is no success is *ErrEngine where its body
-// says so.
+// do sends a request. It returns *ErrEngine for a response other than 200, with
+// CodeBroken if the body contains no error code.
 func (c *Client) do(r *http.Request) (*http.Response, error) {
 	resp, err := c.http.Do(r)
 	if err != nil {
@@ -98,7 +100,7 @@
 	return nil, refused
 }
 
-// exchange sends an order and reads its whole answer into a value.
+// exchange sends body as JSON and decodes the response into a value.
 func (c *Client) exchange(ctx context.Context, path string, body, into any) error {
 	resp, err := c.post(ctx, path, body)
 	if err != nil {
@@ -152,7 +154,7 @@
 	return err
 }
 
-// errStream reports that a decode's answer broke off or can't be read.
+// errStream reports that the response to a decode is truncated or malformed.
 type errStream struct {
 	Err error
 }
@@ -160,7 +162,7 @@
 // Error implements error.
 func (e *errStream) Error() string { return fmt.Sprintf("bad engine stream: cause=%v", e.Err) }
 
-// ReadSteps reads a decode's answer, line by line, until its final token.
+// ReadSteps reads the response to a decode, line by line, up to its final token.
 func ReadSteps(r io.Reader, imported func(), token func(Token) error) error {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, maxLine)
@@ -234,7 +236,7 @@
 	http *http.Client
 }
 
-// NewServiceClient returns a client of the service at a base URL.
+// NewServiceClient returns a client for the service at a base URL.
 func NewServiceClient(base string) (*ServiceClient, error) {
 	u, err := url.Parse(base)
 	if err != nil {
@@ -245,8 +247,8 @@
 	}}}, nil
 }
 
-// serviceTransport never sends a call a second time: net/http repeats a request
-// whose reused connection broke, unless its connections are not reused.
+// serviceTransport returns a transport that never sends a call twice. It disables
+// keep-alives, because net/http retries a request if a reused connection fails.
 func serviceTransport() *http.Transport {
 	t := transport()
 	t.DisableKeepAlives = true
--- a/pkg/gossip/agent.go
+++ b/pkg/gossip/agent.go
@@ -10,11 +10,11 @@
 	"github.com/hopwell/hopwell/pkg/platform"
 )
 
-// DocumentKey is the key of the configuration document.
+// DocumentKey is the key of the configuration document in the key-value service.
 const DocumentKey = "hopwell/config"
 
-// Times and numbers of the spread. At 1,150 processes a watch of 20 s costs the
-// key-value service 58 reads a second.
+// Timeouts, intervals and fan-out of the distribution. A watch of 20 s in each of
+// 1,150 processes costs the key-value service 58 reads per second.
 const (
 	watchTime     = 20 * time.Second
 	watchRetry    = time.Second
@@ -25,16 +25,16 @@
 	startPeers    = 5
 )
 
-// Peers reaches other processes of the fleet.
+// Peers sends calls to the other processes of the fleet.
 type Peers interface {
 	// Addresses returns the inner addresses of all other known processes.
 	Addresses() []string
-	// Exchange tells a peer our digest, with the document when it is wanted
-	// there, and returns the peer's digest, with its document if that is newer.
+	// Exchange sends our digest to a peer, and our document unless it is nil. It
+	// returns the peer's digest, and the peer's document if that is newer.
 	Exchange(ctx context.Context, address string, mine Digest, document []byte) (Digest, []byte, error)
 }
 
-// Agent keeps a Keeper up to date.
+// Agent keeps the document of a Keeper up to date.
 type Agent struct {
 	keeper *Keeper
 	kv     platform.KV
@@ -45,13 +45,13 @@
 	rng *rand.Rand
 }
 
-// NewAgent joins a keeper to the key-value service and to peers. The seed
-// decides which peers are asked.
+// NewAgent returns an agent that updates the keeper from the key-value service
+// and from peers. The seed is for the random choice of peers and the jitter.
 func NewAgent(k *Keeper, kv platform.KV, peers Peers, seed uint64) *Agent {
 	return &Agent{keeper: k, kv: kv, peers: peers, log: logs.For(logs.LayerFleet), rng: rand.New(rand.NewPCG(seed, 0))}
 }
 
-// Run works until the context ends.
+// Run runs the agent until the context ends.
 func (a *Agent) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Go(func() { a.watch(ctx) })
@@ -60,8 +60,9 @@
 	wg.Wait()
 }
 
-// watch follows the key-value service. In an outage it asks ever less often:
-// whoever finds the service back first tells the others.
+// watch watches the document in the key-value service, with exponential backoff
+// during an outage. Backoff is enough, since the first process that reaches the
+// service again pushes a new document to its peers.
 func (a *Agent) watch(ctx context.Context) {
 	var version uint64
 	retry := watchRetry
@@ -77,7 +78,8 @@
 	}
 }
 
-// take offers a document and records the comparison.
+// take offers a document to the keeper and confirms the present one unless the
+// offer fails.
 func (a *Agent) take(data []byte) {
 	if _, err := a.keeper.Offer(data); err != nil {
 		a.log.Warn("document refused", err)
@@ -86,7 +88,7 @@
 	a.keeper.Confirm(time.Now())
 }
 
-// pause waits for about d.
+// pause waits for d with a jitter of ±25 %, or until the context ends.
 func (a *Agent) pause(ctx context.Context, d time.Duration) {
 	a.mu.Lock()
 	jitter := time.Duration(a.rng.Int64N(int64(d) / 2))
@@ -97,7 +99,7 @@
 	}
 }
 
-// spread tells some peers at once about each new document.
+// spread pushes each newly adopted document to fanOut peers at once.
 func (a *Agent) spread(ctx context.Context) {
 	for {
 		changed := a.keeper.Changed()
@@ -110,8 +112,8 @@
 	}
 }
 
-// Push exchanges with up to n random peers at the same time and returns how
-// many answered.
+// Push calls Exchange for up to n random peers concurrently and returns the number
+// of successful exchanges.
 func (a *Agent) Push(ctx context.Context, n int) int {
 	targets := a.pick(n)
 	done := make(chan bool, len(targets))
@@ -127,9 +129,9 @@
 	return answered
 }
 
-// compare exchanges with a random peer now and then. At the start it asks
-// several, so that a process that begins in an outage learns the newest
-// document that any of them has.
+// compare exchanges with a random peer about every exchangeEvery. Until it has a
+// document it exchanges with startPeers peers, so that a process that starts
+// during an outage gets the newest document that any of them has.
 func (a *Agent) compare(ctx context.Context) {
 	for ctx.Err() == nil {
 		n := 1
@@ -153,7 +155,8 @@
 	return all[:min(n, len(all))]
 }
 
-// Exchange compares documents with one peer; whoever is behind gets the other's.
+// Exchange compares revisions with one peer. The side with the older document
+// receives the newer one.
 func (a *Agent) Exchange(ctx context.Context, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, callTime)
 	defer cancel()
@@ -174,8 +177,8 @@
 	return err
 }
 
-// Answer is the other side of Exchange: it takes over what a peer sent and
-// returns what the peer lacks.
+// Answer handles an Exchange that a peer started: it offers the peer's document to
+// the keeper and returns our document if the peer's is older.
 func (a *Agent) Answer(theirs Digest, document []byte) (Digest, []byte) {
 	if document != nil {
 		a.take(document)
--- a/pkg/gossip/change.go
+++ b/pkg/gossip/change.go
@@ -9,19 +9,19 @@
 	"github.com/hopwell/hopwell/pkg/platform"
 )
 
-// Bounds of one change.
+// Limits of one change.
 const (
 	changeTries   = 8
 	changeBackoff = 50 * time.Millisecond
 	writeTime     = 2 * time.Second
 )
 
-// Change carries out an operator's edit: it commits by compare-and-swap, hands
-// the new document to peers, and only then returns. An answer that was lost is
-// settled by reading the document back and looking for the change's ID.
+// Change applies an operator's change to the document: it commits by
+// compare-and-swap, pushes the new document to peers, and then returns. After a
+// lost response it reads the document again and searches it for the change's ID.
 //
-// Errors are those of fleet.Document.Apply, what check returns, and
-// *ErrUnsettled when it can't be told whether the change took effect.
+// It returns the errors of fleet.Document.Apply, of check and of the key-value
+// service, and *ErrUnsettled if it is unknown whether the change took effect.
 func (a *Agent) Change(ctx context.Context, c *fleet.Change, check func(before, after *fleet.Document) error) (*fleet.Document, error) {
 	sent := false
 	var last error
@@ -45,13 +45,14 @@
 	return nil, &ErrUnsettled{ID: c.ID, Err: last}
 }
 
-// transient reports whether another try may help.
+// transient reports whether a retry may succeed.
 func transient(err error) bool {
 	var down *platform.ErrUnavailable
 	return errors.As(err, &down) || platform.IsConflict(err)
 }
 
-// tryChange reads, edits and swaps once. Wrote says that a swap was sent.
+// tryChange makes one attempt to read, change and swap the document. Wrote reports
+// whether a swap was sent that may have taken effect.
 func (a *Agent) tryChange(ctx context.Context, c *fleet.Change, check func(before, after *fleet.Document) error) (next *fleet.Document, wrote bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, writeTime)
 	defer cancel()
--- a/pkg/gossip/errors.go
+++ b/pkg/gossip/errors.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// ErrFork reports that two different documents carry one revision.
+// ErrFork reports two different documents with the same revision. Mine and Theirs
+// are their hashes.
 type ErrFork struct {
 	Revision     uint64
 	Mine, Theirs uint64
@@ -13,8 +14,8 @@
 	return fmt.Sprintf("two documents of one revision: revision=%d mine=%x theirs=%x", e.Revision, e.Mine, e.Theirs)
 }
 
-// ErrUnsettled reports that a change may or may not have been accepted, since the
-// key-value service gave no answer. Repeating it with the same ID is safe.
+// ErrUnsettled reports that it is unknown whether a change was committed, because
+// no response of the key-value service arrived. A retry with the same ID is safe.
 type ErrUnsettled struct {
 	ID  string
 	Err error
--- a/pkg/gossip/keeper.go
+++ b/pkg/gossip/keeper.go
@@ -1,8 +1,8 @@
-// Package gossip brings every accepted configuration into force in all
-// processes. Each process watches the platform's key-value service and, so that
-// an outage of that service changes nothing, also tells its peers: at once when
-// it learns something new, and now and then to one at random. A process only
-// ever goes from a revision to a newer one.
+// Package gossip distributes every accepted configuration document to all
+// processes. Each process watches the platform's key-value service. To keep
+// working during an outage of that service it also exchanges documents with its
+// peers: with a few at once after it adopts a new document, and with a random one
+// periodically. The revision in a process never decreases.
 package gossip
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/hopwell/hopwell/pkg/fleet"
 )
 
-// Digest names a document.
+// Digest identifies a document.
 type Digest struct {
 	Revision uint64
 	Hash     uint64
@@ -29,15 +29,16 @@
 	changed   chan struct{}
 }
 
-// NewKeeper holds no document yet.
+// NewKeeper returns a keeper without a document.
 func NewKeeper() *Keeper {
 	doc, _ := fleet.Decode(nil)
 	return &Keeper{doc: doc, changed: make(chan struct{})}
 }
 
-// Offer adopts a document if it is newer than the present one and reports
-// whether it was. Two different documents of one revision can't both come from
-// a compare-and-swap; the first one then stays and Offer fails with *ErrFork.
+// Offer adopts a document if it is newer than the present one and reports whether
+// it did. Two different documents with the same revision can't both come from a
+// compare-and-swap. In that case Offer keeps the present document and returns
+// *ErrFork.
 func (k *Keeper) Offer(data []byte) (bool, error) {
 	doc, err := fleet.Decode(data)
 	if err != nil {
@@ -66,36 +67,37 @@
 	k.confirmed = now
 }
 
-// Stale reports whether no comparison happened for longer than limit: the
-// process may have been paused or cut off, and should not act on what it knows.
+// Stale reports whether there is no document, or the last comparison is older than
+// limit. The process may then have been suspended or partitioned, and should not
+// act on its document.
 func (k *Keeper) Stale(now time.Time, limit time.Duration) bool {
 	k.mu.RLock()
 	defer k.mu.RUnlock()
 	return !k.known || now.Sub(k.confirmed) > limit
 }
 
-// Document returns the present document; it must not be changed.
+// Document returns the present document. The caller must not modify it.
 func (k *Keeper) Document() *fleet.Document {
 	k.mu.RLock()
 	defer k.mu.RUnlock()
 	return k.doc
 }
 
-// Digest returns the present document's name, and whether there is one at all.
+// Digest returns the present document's digest, and whether there is a document.
 func (k *Keeper) Digest() (Digest, bool) {
 	k.mu.RLock()
 	defer k.mu.RUnlock()
 	return k.digest, k.known
 }
 
-// Encoded returns the present document as it travels.
+// Encoded returns the present document in its wire format.
 func (k *Keeper) Encoded() []byte {
 	k.mu.RLock()
 	defer k.mu.RUnlock()
 	return k.encoded
 }
 
-// Changed returns a channel that is closed at the next adoption.
+// Changed returns a channel that is closed when the next document is adopted.
 func (k *Keeper) Changed() <-chan struct{} {
 	k.mu.RLock()
 	defer k.mu.RUnlock()
--- a/pkg/gossip/keeper_test.go
+++ b/pkg/gossip/keeper_test.go
@@ -13,13 +13,13 @@
 	"github.com/hopwell/hopwell/pkg/spectest"
 )
 
-// mesh joins agents by calls that may be cut.
+// mesh connects agents by direct calls. A link can be cut in one direction.
 type mesh struct {
 	agents []*Agent
 	cut    map[[2]int]bool
 }
 
-// end is one agent's way to the others.
+// end implements Peers for one agent of a mesh.
 type end struct {
 	m *mesh
 	i int
@@ -45,8 +45,8 @@
 	return d, doc, nil
 }
 
-// TestRevisionsOnlyGrowAndMeet: agents that receive documents in any order, and
-// are cut off from each other, never go back, and agree once they can talk.
+// Agents receive documents in any order while links are cut. No agent may return
+// to an older revision, and all must converge once the links are restored.
 func TestRevisionsOnlyGrowAndMeet(t *testing.T) {
 	spectest.Check(t, func(t *rapid.T) {
 		m := &mesh{cut: map[[2]int]bool{}}
@@ -67,9 +67,9 @@
 				history = append(history, doc.Encode())
 				m.agents[agent(t)].take(doc.Encode())
 			},
-			"old news": func(t *rapid.T) { m.agents[agent(t)].take(rapid.SampledFrom(history).Draw(t, "document")) },
-			"cut":      func(t *rapid.T) { m.cut[[2]int{agent(t), agent(t)}] = rapid.Bool().Draw(t, "cut") },
-			"exchange": func(t *rapid.T) { _ = m.agents[agent(t)].Exchange(context.Background(), fmt.Sprint(agent(t))) },
+			"old document": func(t *rapid.T) { m.agents[agent(t)].take(rapid.SampledFrom(history).Draw(t, "document")) },
+			"cut":          func(t *rapid.T) { m.cut[[2]int{agent(t), agent(t)}] = rapid.Bool().Draw(t, "cut") },
+			"exchange":     func(t *rapid.T) { _ = m.agents[agent(t)].Exchange(context.Background(), fmt.Sprint(agent(t))) },
 			"": func(t *rapid.T) {
 				for i, a := range m.agents {
 					d, _ := a.keeper.Digest()
--- a/pkg/prefix/prefix.go
+++ b/pkg/prefix/prefix.go
@@ -1,5 +1,5 @@
-// Package prefix splits prompts into blocks whose chained hashes name the
-// prompt's prefixes, as the prefix caches of model engines do.
+// Package prefix splits prompts into blocks and computes chained hashes that
+// identify the prompt's prefixes, like the prefix caches of model engines.
 package prefix
 
 import "github.com/cespare/xxhash/v2"
@@ -8,7 +8,7 @@
 	// BlockBytes is the length of one block of prompt text in bytes.
 	BlockBytes = 1024
 	// TokenBytes is the assumed length of one token in bytes. Engines count
-	// tokens exactly; hopwell runs no tokenizer and only estimates.
+	// tokens exactly, but hopwell has no tokenizer and estimates them.
 	TokenBytes = 4
 	// BlockTokens is the length of one block in tokens.
 	BlockTokens = BlockBytes / TokenBytes
@@ -19,9 +19,9 @@
 	return (len(text) + TokenBytes - 1) / TokenBytes
 }
 
-// Blocks appends to dst one hash for each whole block of text and returns it.
-// The hash of a block covers the block and all before it. The salt keeps
-// models, versions and adapters apart.
+// Blocks appends one hash per whole block of text to dst and returns the result.
+// The hash of a block covers the block and all preceding ones. The salt
+// distinguishes models, versions and adapters.
 func Blocks(dst []uint64, salt uint64, text string) []uint64 {
 	var d xxhash.Digest
 	d.ResetWithSeed(salt)
@@ -33,7 +33,8 @@
 	return dst
 }
 
-// Salt hashes what decides whether two caches may be shared.
+// Salt hashes the model, version and adapter: only prompts for which all three
+// are equal can share a prefix cache.
 func Salt(model, version, adapter string) uint64 {
 	return xxhash.Sum64String(model + "\x00" + version + "\x00" + adapter)
 }
--- a/pkg/route/baselines.go
+++ b/pkg/route/baselines.go
@@ -2,7 +2,7 @@
 
 import "sync/atomic"
 
-// RoundRobin takes the next prefill and the next decode runner in turn.
+// RoundRobin selects the prefill and decode runners in round-robin order.
 type RoundRobin struct {
 	prefill, decode atomic.Uint64
 }
@@ -12,7 +12,8 @@
 	return choosePair(s, func(all []State) int { return turn(all, &b.prefill) }, func(all []State) int { return turn(all, &b.decode) })
 }
 
-// turn returns the next usable candidate after the last one, or -1.
+// turn advances the counter and returns the index of the first usable
+// candidate from there on, or -1 if there is none.
 func turn(all []State, last *atomic.Uint64) int {
 	n := int(last.Add(1) % uint64(max(len(all), 1)))
 	for i := range all {
@@ -23,7 +24,7 @@
 	return -1
 }
 
-// LeastLoaded takes the prefill runner with the least queued work and the
+// LeastLoaded selects the prefill runner with the least queued work and the
 // decode runner with the fewest streams.
 type LeastLoaded struct{}
 
@@ -40,12 +41,13 @@
 	return usable(all, func(x *State) float64 { return float64(x.Running + x.Reserved) })
 }
 
-// CacheAware is the rule of "sgl-model-gateway and cache-aware routing" (SGLang
-// manual, edition 2026.10): the longest prefix match wins above a match rate of
-// 0.3, the least loaded runner below it or when the load is imbalanced.
+// CacheAware implements the rule of "sgl-model-gateway and cache-aware routing"
+// (SGLang manual, edition 2026.10). It selects the runner with the longest prefix
+// match if the match rate is above 0.3, and the least loaded runner otherwise or
+// when the load is imbalanced.
 type CacheAware struct{}
 
-// The thresholds of the CacheAware rule, as its source gives them.
+// Thresholds of the CacheAware rule, from the SGLang manual.
 const (
 	cacheThreshold      = 0.3
 	balanceAbsThreshold = 64
@@ -75,7 +77,7 @@
 	return least
 }
 
-// choosePair puts two independent choices together.
+// choosePair selects the prefill and the decode runner independently.
 func choosePair(s *Scratch, prefill, decode func([]State) int) (Choice, error) {
 	p := prefill(s.Prefills)
 	if p < 0 {
--- a/pkg/route/errors.go
+++ b/pkg/route/errors.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// ErrNoRunner reports that no runner is left that may serve the request.
+// ErrNoRunner reports that no candidate may serve the request.
 type ErrNoRunner struct {
 	// Role is "prefill", "decode" or "serve".
 	Role string
@@ -16,7 +16,8 @@
 
 // ErrLate reports that no pair of runners can meet the targets.
 type ErrLate struct {
-	// Estimate is the best first-token time, Target the wanted one, in seconds.
+	// Estimate is the shortest estimated time to the first token and Target the
+	// requested one, in seconds.
 	Estimate, Target float64
 }
 
@@ -25,12 +26,13 @@
 	return fmt.Sprintf("no pair meets the target: estimate=%.3fs target=%.3fs", e.Estimate, e.Target)
 }
 
-// RetryAfter is when it is worth while to ask again.
+// RetryAfter returns the delay after which a retry may succeed: the time by
+// which the estimate exceeds the target.
 func (e *ErrLate) RetryAfter() time.Duration {
 	return time.Duration(max(e.Estimate-e.Target, 0) * float64(time.Second))
 }
 
-// ErrPolicy reports that no policy has that name.
+// ErrPolicy reports an unknown policy name.
 type ErrPolicy struct {
 	Name string
 }
--- a/pkg/route/hopwell.go
+++ b/pkg/route/hopwell.go
@@ -10,32 +10,37 @@
 	"github.com/hopwell/hopwell/pkg/admission"
 )
 
-// Penalties of the choice, and the bounds on its cost.
+// Penalties of the cost function, and the bound on the pairs it is computed for.
 const (
-	// shortlist is how many prefill and decode candidates are paired.
+	// shortlist is the maximum number of prefill candidates, and of decode
+	// candidates, that are combined into pairs.
 	shortlist = 6
 	// domainDelay and regionDelay are the assumed one-way delays between
 	// failure domains and between regions, in seconds.
 	domainDelay = 0.001
 	regionDelay = 0.030
-	// stepWeight is what slowing a batch down costs against first-token time.
+	// stepWeight is the weight of the decode step time relative to the
+	// first-token time. It penalizes slowing down a batch.
 	stepWeight = 8
-	// latePerToken is the cost of a decode runner whose step would miss the
-	// target, for each multiple of the target.
+	// latePerToken is the penalty, in seconds, for a decode step time above the
+	// target, per multiple of the target by which it is exceeded.
 	latePerToken = 10
-	// shedFactor is by how much the best estimate must miss the target before
-	// the gateway refuses without asking any sidecar.
+	// shedFactor is the ratio of estimated to target first-token time above
+	// which the gateway rejects a request without calling any sidecar. The
+	// target is taken to be at least the first-token time of an idle pair.
 	shedFactor = 2
-	// affinityBonus is what the runner that all gateways agree on for a cold
-	// prefix is preferred by, in seconds.
+	// affinityBonus is the largest cost, in seconds, that rendezvous hashing adds
+	// to a candidate for an uncached prefix. The runner that all gateways prefer
+	// for the prefix gets the smallest share of it.
 	affinityBonus = 0.02
 )
 
-// Hopwell is hopwell's own policy: it estimates for each pair the time to the
-// first token and between tokens and takes the cheapest.
+// Hopwell is the default policy. It estimates the time to the first token and
+// the time between tokens for each shortlisted pair and selects the pair with
+// the lowest cost.
 type Hopwell struct{}
 
-// scored is one candidate of the first pass.
+// scored is a candidate with its cost in the first pass, before pairing.
 type scored struct {
 	index int
 	cost  float64
@@ -59,7 +64,7 @@
 	return c, nil
 }
 
-// score fills the shortlist of candidates with the least cost.
+// score appends the candidates with the lowest cost to out, at most shortlist.
 func score(out []scored, all []State, cost func(*State) float64) []scored {
 	for i := range all {
 		if all[i].Shunned {
@@ -71,7 +76,8 @@
 	return out[:min(len(out), shortlist)]
 }
 
-// prefillCost is the time until the KV cache is ready to leave.
+// prefillCost estimates the time until the KV cache is ready for transfer, plus
+// the network delay and the affinity cost.
 func prefillCost(r *Request, p *State) float64 {
 	if r.Exported {
 		return 0
@@ -79,8 +85,9 @@
 	return queueTime(r, p) + computeTime(r, p) + distance(r, p) + coldCost(r, p)
 }
 
-// queueTime is the wait for work that goes before the request. Runners order
-// their queue by deadline, so a request due soon waits for urgent work only.
+// queueTime estimates the wait for work that is queued ahead of the request.
+// Runners order their queue by deadline, so a request that is due soon waits for
+// urgent work only.
 func queueTime(r *Request, p *State) float64 {
 	ahead := p.Queued
 	if r.FirstToken <= admission.UrgentWithin.Seconds() {
@@ -103,8 +110,9 @@
 	return 0
 }
 
-// coldCost spreads cold prefixes so that gateways agree without a shared
-// state: each prefix has one preferred runner, by rendezvous hashing.
+// coldCost distributes uncached prefixes over the runners. Rendezvous hashing
+// gives each prefix one preferred runner, so that all gateways prefer the same
+// one without shared state.
 func coldCost(r *Request, p *State) float64 {
 	if len(r.Blocks) == 0 || p.Cached > 0 {
 		return 0
@@ -112,7 +120,7 @@
 	return affinityBonus * rendezvous(r.Blocks[0], p.Hash)
 }
 
-// rendezvous returns a number in [0, 1) that depends on both arguments.
+// rendezvous hashes a block and a runner to a number in [0, 1).
 func rendezvous(block, runner uint64) float64 {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:8], block)
@@ -120,7 +128,8 @@
 	return float64(xxhash.Sum64(b[:])>>11) / (1 << 53)
 }
 
-// decodeCost is the wait for a slot and the cost of a larger batch.
+// decodeCost adds up the wait for a decode slot, the network delay and the
+// penalties for the step time.
 func decodeCost(r *Request, d *State) float64 {
 	step := stepTime(d)
 	cost := slotTime(r, d) + stepWeight*step + distance(r, d)
@@ -134,7 +143,8 @@
 	return d.StepBase + d.StepSlope*float64(d.Running+d.Reserved+1)
 }
 
-// slotTime is how long the runner has no room for the answer.
+// slotTime estimates the wait until the runner has a batch slot and KV memory
+// for the response.
 func slotTime(r *Request, d *State) float64 {
 	bytes := float64(r.PromptTokens+r.MaxTokens) * d.KVPerToken
 	if d.Running+d.Reserved < d.Batch && bytes <= d.KVFree {
@@ -143,7 +153,7 @@
 	return max(d.SlotWait, d.StepBase)
 }
 
-// pair weighs the shortlisted pairs.
+// pair estimates all shortlisted pairs and selects the one with the lowest cost.
 func pair(r *Request, s *Scratch) Choice {
 	c := Choice{Candidates: len(s.Prefills) * len(s.Decodes)}
 	for _, p := range s.pre {
@@ -155,7 +165,7 @@
 	return c
 }
 
-// weigh keeps the best candidates in order of cost.
+// weigh inserts a pair into the list of the best pairs, which is sorted by cost.
 func (c *Choice) weigh(s *Scratch, p, d int, e Estimate) {
 	at := c.N
 	for at > 0 && e.Cost < c.Weighed[at-1].Estimate.Cost {
@@ -172,7 +182,7 @@
 	c.Weighed[at] = Weighed{Prefill: s.Prefills[p].Name, Decode: s.Decodes[d].Name, Estimate: e}
 }
 
-// estimate adds up the times of a pair.
+// estimate computes the expected times and the cost of a pair.
 func estimate(r *Request, p, d *State) Estimate {
 	e := Estimate{PerToken: stepTime(d), Step: stepTime(d), Cached: p.Cached}
 	if !r.Exported {
@@ -190,7 +200,8 @@
 	return e
 }
 
-// transferTime is the KV cache's time on the prefill runner's link.
+// transferTime estimates the transfer time of the KV cache over the prefill
+// runner's link, which the running transfers share.
 func transferTime(r *Request, p, d *State) float64 {
 	if p.LinkRate <= 0 {
 		return 0
@@ -198,7 +209,8 @@
 	return float64(r.PromptTokens) * d.KVPerToken * (1 + p.Transfers) / p.LinkRate
 }
 
-// idle is the first-token time that the pair would need with no other work.
+// idle estimates the first-token time of the pair if both runners had no other
+// work.
 func idle(r *Request, p, d *State) float64 {
 	alone := *p
 	alone.Queued, alone.Urgent, alone.Transfers = 0, 0, 0
--- a/pkg/route/policy.go
+++ b/pkg/route/policy.go
@@ -1,13 +1,14 @@
 package route
 
-// Policy chooses a pair of runners from the candidates in a scratch. It fails
-// with *ErrNoRunner or *ErrLate. Implementations are safe for concurrent use
-// as long as no two calls share a scratch.
+// Policy selects a pair of runners from the candidates in a Scratch. Choose
+// returns *ErrNoRunner or *ErrLate on failure. Implementations are safe for concurrent use
+// as long as concurrent calls use different
+// Scratches.
 type Policy interface {
 	Choose(r *Request, s *Scratch) (Choice, error)
 }
 
-// The names of the policies.
+// Policy names.
 const (
 	NameHopwell     = "hopwell"
 	NameRoundRobin  = "round_robin"
@@ -15,10 +16,10 @@
 	NameCacheAware  = "cache_aware"
 )
 
-// Names lists all policies.
+// Names lists the names of all policies.
 var Names = []string{NameHopwell, NameRoundRobin, NameLeastLoaded, NameCacheAware}
 
-// New returns the policy with a name, or *ErrPolicy.
+// New returns the policy with the given name, or *ErrPolicy if there is none.
 func New(name string) (Policy, error) {
 	switch name {
 	case NameHopwell:
@@ -33,8 +34,8 @@
 	return nil, &ErrPolicy{Name: name}
 }
 
-// usable returns the index of the best candidate that is not shunned, by a
-// cost, or -1.
+// usable returns the index of the candidate with the lowest cost that is not
+// excluded, or -1 if there is none.
 func usable(all []State, cost func(*State) float64) int {
 	best, bestCost := -1, 0.0
 	for i := range all {
--- a/pkg/route/prefixes.go
+++ b/pkg/route/prefixes.go
@@ -5,16 +5,18 @@
 )
 
 const (
-	// prefixShards is the number of locks that the blocks spread over.
+	// prefixShards is the number of shards, each with its own lock, that the
+	// blocks are distributed over.
 	prefixShards = 64
-	// holders is how many runners one block remembers.
+	// holders is the maximum number of runners recorded per block.
 	holders = 4
 )
 
-// Prefixes remembers which runners probably have which prefix blocks cached:
-// from where prompts were sent, corrected by the engines' cache events. Each
-// shard keeps two generations of a bounded size; when the young one is full it
-// becomes the old one, and what nobody asked for is forgotten.
+// Prefixes records which runners probably have which prefix blocks cached. It
+// infers this from the runners that prompts were sent to, and corrects it with
+// the engines' cache events. Each shard keeps two generations of bounded size.
+// When the young generation is full it replaces the old one, which drops the
+// blocks that were not updated since.
 type Prefixes struct {
 	limit  int
 	shards [prefixShards]prefixShard
@@ -25,7 +27,8 @@
 	young, old map[uint64]holderSet
 }
 
-// holderSet holds runner IDs, 0 for none.
+// holderSet contains runner IDs, the most recently added first; 0 marks an unused
+// entry.
 type holderSet [holders]int32
 
 func (h *holderSet) add(id int32) {
@@ -48,7 +51,7 @@
 	}
 }
 
-// NewPrefixes remembers at most about 2×blocks blocks.
+// NewPrefixes returns an empty Prefixes that records at most about 2×blocks blocks.
 func NewPrefixes(blocks int) *Prefixes {
 	p := &Prefixes{limit: max(1, blocks/prefixShards)}
 	for i := range p.shards {
@@ -60,14 +63,14 @@
 
 func (p *Prefixes) shard(block uint64) *prefixShard { return &p.shards[block%prefixShards] }
 
-// Add records that a runner got a prompt with these blocks.
+// Add records that a prompt with these blocks was sent to a runner.
 func (p *Prefixes) Add(blocks []uint64, runner int) {
 	for _, b := range blocks {
 		p.update(b, func(h *holderSet) { h.add(int32(runner)) })
 	}
 }
 
-// Evicted records that a runner dropped a block.
+// Evicted records that a runner evicted a block from its prefix cache.
 func (p *Prefixes) Evicted(block uint64, runner int) {
 	p.update(block, func(h *holderSet) { h.remove(int32(runner)) })
 }
@@ -98,9 +101,9 @@
 	return s.old[block]
 }
 
-// Fill sets Cached of all candidates: the tokens of the leading blocks that the
-// runner is thought to have, always short of the whole prompt. It stops at the
-// first block that none has.
+// Fill sets Cached of each candidate to the number of tokens in the leading
+// blocks that the runner probably has cached, at most promptTokens-1. It stops
+// at the first block that no candidate has.
 func (p *Prefixes) Fill(blocks []uint64, blockTokens, promptTokens int, all []State) {
 	for n, b := range blocks {
 		h := p.find(b)
--- a/pkg/route/route_test.go
+++ b/pkg/route/route_test.go
@@ -14,7 +14,7 @@
 
 func TestRoute(t *testing.T) { spectest.Run(t, "route") }
 
-// idleState is a runner with nothing to do.
+// idleState returns the state of an idle runner.
 func idleState(i int) State {
 	return State{
 		ID: i, Hash: uint64(i) * 7919, Name: fmt.Sprint(i), Domain: fmt.Sprint(i % 3), Region: "r",
@@ -47,7 +47,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(c.Prefill).To(Equal(2))
 	})
-	ginkgo.It("leaves a cached prefix whose runner is too busy", func() {
+	ginkgo.It("gives up a cached prefix if its runner is overloaded", func() {
 		s := scratch(3, 2)
 		s.Prefills[2].Cached, s.Prefills[2].Queued, s.Prefills[2].Urgent = 3000, 20000, 20000
 		r := check()
@@ -56,13 +56,13 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(c.Prefill).NotTo(Equal(2))
 	})
-	ginkgo.It("does not wait behind long work that will let it pass", func() {
+	ginkgo.It("does not count queued work that is less urgent than the request", func() {
 		s := scratch(1, 1)
 		s.Prefills[0].Queued = 50000
 		_, err := Hopwell{}.Choose(check(), s)
 		Expect(err).NotTo(HaveOccurred())
 	})
-	ginkgo.It("refuses at once when no pair can come near the target", func() {
+	ginkgo.It("sheds a request if every pair misses the target by far", func() {
 		s := scratch(2, 1)
 		for i := range s.Prefills {
 			s.Prefills[i].Queued, s.Prefills[i].Urgent = 50000, 50000
@@ -72,14 +72,14 @@
 		Expect(errors.As(err, &late)).To(BeTrue())
 		Expect(late.RetryAfter()).To(BeNumerically(">", time.Second))
 	})
-	ginkgo.It("keeps off decode runners whose steps would be too slow", func() {
+	ginkgo.It("avoids decode runners whose step time exceeds the target", func() {
 		s := scratch(1, 2)
 		s.Decodes[0].StepBase = 0.1
 		c, err := Hopwell{}.Choose(check(), s)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(c.Decode).To(Equal(1))
 	})
-	ginkgo.It("gives each cold prefix one runner, the same at all gateways", func() {
+	ginkgo.It("distributes uncached prefixes over all runners", func() {
 		seen := map[int]int{}
 		for b := range uint64(300) {
 			s := scratch(6, 1)
@@ -97,7 +97,7 @@
 			Expect(n).To(BeNumerically(">", 25))
 		}
 	})
-	ginkgo.It("says which role has no runner left", func() {
+	ginkgo.It("reports which role has no usable runner", func() {
 		s := scratch(1, 1)
 		s.Decodes[0].Shunned = true
 		_, err := Hopwell{}.Choose(check(), s)
@@ -107,7 +107,7 @@
 
 var _ = ginkgo.Describe("the tracker", func() {
 	now := time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)
-	ginkgo.It("brings a report forward in time and adds what was sent since", func() {
+	ginkgo.It("subtracts work done since the report and adds work sent since", func() {
 		r := NewTracker().Get("a", "d", "r")
 		r.Reported(Report{Rate: 1000, Queued: 500, Urgent: 500, Batch: 4}, now)
 		r.Sent(300, 1, 0)
@@ -115,7 +115,7 @@
 		Expect(s.Queued).To(BeNumerically("~", 700, 1))
 		Expect(s.Reserved).To(Equal(1))
 	})
-	ginkgo.It("backs off longer with each failure, until a report comes", func() {
+	ginkgo.It("doubles the backoff with each failure and ends it at a report", func() {
 		r := NewTracker().Get("a", "d", "r")
 		r.Failed(now, 1)
 		Expect(r.Suspect(now.Add(backoffMin - 1))).To(BeTrue())
@@ -124,7 +124,7 @@
 		r.Reported(Report{}, now)
 		Expect(r.Suspect(now)).To(BeFalse())
 	})
-	ginkgo.It("leaves a stalled link alone though its sidecar reports", func() {
+	ginkgo.It("excludes a runner with a stalled link even if its sidecar reports", func() {
 		r := NewTracker().Get("a", "d", "r")
 		r.Stalled(now, 0)
 		r.Reported(Report{Rate: 1}, now)
@@ -134,8 +134,8 @@
 	})
 })
 
-var _ = ginkgo.Describe("the prefix memory", func() {
-	ginkgo.It("knows the leading blocks of each runner", func() {
+var _ = ginkgo.Describe("the prefix records", func() {
+	ginkgo.It("counts the leading blocks cached on each runner", func() {
 		p := NewPrefixes(1000)
 		p.Add([]uint64{1, 2, 3}, 7)
 		p.Add([]uint64{1}, 8)
@@ -144,7 +144,7 @@
 		p.Fill([]uint64{1, 2, 3}, 256, 10000, all)
 		Expect([]int{all[0].Cached, all[1].Cached, all[2].Cached}).To(Equal([]int{512, 256, 0}))
 	})
-	ginkgo.It("stays within its bound", func() {
+	ginkgo.It("keeps at most about twice the configured number of blocks", func() {
 		p := NewPrefixes(1000)
 		for b := range uint64(100000) {
 			p.Add([]uint64{b}, 1)
--- a/pkg/route/tracker.go
+++ b/pkg/route/tracker.go
@@ -7,7 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Report is a sidecar's word on its runner's load, converted from the wire.
+// Report is the load of a runner as reported by its sidecar, converted from the
+// wire format.
 type Report struct {
 	Running, Reserved, Batch      int
 	KVUsed, KVTotal, KVPerToken   float64
@@ -17,16 +18,17 @@
 	LinkRate                      float64
 }
 
-// Back-off after failures: doubles from backoffMin to backoffMax.
+// The backoff after failures doubles from backoffMin to backoffMax.
 const (
 	backoffMin = 250 * time.Millisecond
 	backoffMax = 8 * time.Second
 )
 
-// stallBackoff is the least time for which a stalled link is left alone.
+// stallBackoff is the minimum time without new prefills for a runner whose link
+// stalled.
 const stallBackoff = time.Second
 
-// Guesses for a runner that has not reported yet.
+// Values assumed for a runner until its first report.
 const (
 	guessRate      = 8000
 	guessBatch     = 16
@@ -36,7 +38,7 @@
 	guessKVFree    = 1 << 33
 )
 
-// Runner is one runner's state as this gateway knows it, under its own lock.
+// Runner is this gateway's view of one runner. It is safe for concurrent use.
 type Runner struct {
 	id             int
 	hash           uint64
@@ -47,22 +49,24 @@
 	report   Report
 	at       time.Time
 	inFlight int
-	// sentTokens and sentStreams are what this gateway sent since the report.
+	// sentTokens, sentStreams and sentBytes count the work that this gateway
+	// sent since the last report.
 	sentTokens  float64
 	sentStreams int
 	sentBytes   float64
 	failures    int
 	until       time.Time
-	// stalls and stalledUntil are those of the runner's link, which a sign of
-	// life does not clear.
+	// stalls and stalledUntil describe the runner's link. A report does not reset
+	// them: a sidecar may still report while the link is stalled.
 	stalls       int
 	stalledUntil time.Time
 }
 
-// trackerShards is the number of locks that the runners' names spread over.
+// trackerShards is the number of shards, each with its own lock, that the runners
+// are distributed over by name.
 const trackerShards = 16
 
-// Tracker knows the runners of a fleet.
+// Tracker contains the runners of a fleet, by instance.
 type Tracker struct {
 	shards [trackerShards]trackerShard
 
@@ -84,7 +88,7 @@
 	return t
 }
 
-// Get returns the runner on an instance, making it if need be.
+// Get returns the runner on an instance and adds it if it is new.
 func (t *Tracker) Get(name, domain, region string) *Runner {
 	s := &t.shards[xxhash.Sum64String(name)%trackerShards]
 	s.mu.RLock()
@@ -111,7 +115,7 @@
 	return t.next
 }
 
-// Keep forgets the runners whose instance is not among names.
+// Keep removes the runners whose instance is not in names.
 func (t *Tracker) Keep(names map[string]bool) {
 	for i := range t.shards {
 		s := &t.shards[i]
@@ -125,13 +129,14 @@
 	}
 }
 
-// ID returns the runner's small number.
+// ID returns the runner's number, which is unique within its Tracker.
 func (r *Runner) ID() int { return r.id }
 
-// Name returns the runner's instance.
+// Name returns the name of the runner's instance.
 func (r *Runner) Name() string { return r.name }
 
-// Reported takes over a sidecar's report. It is also a sign of life.
+// Reported stores a sidecar's report. A report shows that the runner is alive,
+// so it also ends the backoff after failures.
 func (r *Runner) Reported(p Report, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -140,14 +145,14 @@
 	r.failures, r.until = 0, time.Time{}
 }
 
-// Age returns how old the newest report is; large when there was none.
+// Age returns the age of the last report. It is very large if there was none.
 func (r *Runner) Age(now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return now.Sub(r.at)
 }
 
-// Sent records work that this gateway sent after the newest report.
+// Sent records work that this gateway sent after the last report.
 func (r *Runner) Sent(tokens int, streams int, bytes float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -164,8 +169,9 @@
 	r.inFlight--
 }
 
-// Failed records that the runner could not be reached or broke off, and keeps new
-// work away from it for a time. The jitter is in [0, 1).
+// Failed records that the runner was unreachable or the connection broke, and
+// starts a backoff during which the runner gets no new work. The jitter is in
+// [0, 1).
 func (r *Runner) Failed(now time.Time, jitter float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -173,14 +179,15 @@
 	r.failures++
 }
 
-// backoff doubles with each failure; the jitter is in [0, 1).
+// backoff returns a wait that doubles with each failure. The jitter, in [0, 1),
+// scales it between half and all of its value.
 func backoff(failures int, jitter float64) time.Duration {
 	wait := min(backoffMin<<min(failures, 8), backoffMax)
 	return wait/2 + time.Duration(jitter*float64(wait/2))
 }
 
-// Stalled records that a transfer out of the runner made no progress, and keeps
-// new prefills away from it for a time.
+// Stalled records that a transfer from the runner made no progress, and starts a
+// backoff during which the runner gets no new prefills.
 func (r *Runner) Stalled(now time.Time, jitter float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -191,21 +198,23 @@
 	r.stalls++
 }
 
-// Moved records that a transfer out of the runner was completed.
+// Moved records that a transfer from the runner was completed, and ends the
+// backoff after stalls.
 func (r *Runner) Moved() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.stalls, r.stalledUntil = 0, time.Time{}
 }
 
-// Suspect reports whether the runner is backed off after failures.
+// Suspect reports whether the runner is in backoff after failures.
 func (r *Runner) Suspect(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return now.Before(r.until)
 }
 
-// State returns what is known now, with the report brought forward in time.
+// State returns the runner's estimated state now: the last report, minus the
+// work done since, plus the work that this gateway sent since.
 func (r *Runner) State(now time.Time) State {
 	r.mu.Lock()
 	defer r.mu.Unlock()
