--- a/pkg/claim/claim.go
+++ b/pkg/claim/claim.go
@@ -23,9 +23,9 @@
 	// Interval is the minimum time between the starts of two group commits of
 	// one shard: 4 shards write at most 40 times per second.
 	Interval = 100 * time.Millisecond
-	// sealEntries is the number of claims in a head above which the older ones
-	// are moved to a sealed block.
-	sealEntries = 1200
+	// maxHeadEntries is the number of claims in a head above which the older
+	// ones are moved to a sealed block.
+	maxHeadEntries = 1200
 	// releaseRetry is the delay between attempts of a failed release.
 	releaseRetry = time.Second
 )
@@ -75,14 +75,14 @@
 
 // Claim implements Claimer.
 func (s *Store) Claim(ctx context.Context, k Key, request string) (string, error) {
-	return s.shards[k.Shard()].do(ctx, op{key: k, request: request})
+	return s.shards[k.Shard()].submit(ctx, op{key: k, request: request})
 }
 
 // Release implements Claimer. It retries until it succeeds or the context ends,
 // so that a release outlasts an outage of the key-value service.
 func (s *Store) Release(ctx context.Context, k Key, request string) error {
 	for {
-		_, err := s.shards[k.Shard()].do(ctx, op{key: k, request: request, release: true})
+		_, err := s.shards[k.Shard()].submit(ctx, op{key: k, request: request, release: true})
 		if err == nil {
 			return nil
 		}
--- a/pkg/claim/claim_test.go
+++ b/pkg/claim/claim_test.go
@@ -21,10 +21,10 @@
 	kv     *fake.KV
 	stores []*Store
 	// holder maps each key to the request that a response named as its holder.
-	// maybe contains the requests whose claim has an unknown outcome.
-	holder map[Key]string
-	maybe  map[Key]map[string]bool
-	next   int
+	// unsettledIDs contains the requests whose claim has an unknown outcome.
+	holder       map[Key]string
+	unsettledIDs map[Key]map[string]bool
+	next         int
 }
 
 func (m *claimMachine) key(t *rapid.T) Key {
@@ -41,30 +41,30 @@
 	id := fmt.Sprintf("r%d", m.next)
 	got, err := s.Claim(context.Background(), k, id)
 	if err != nil {
-		m.unsettled(k, id)
+		m.recordUnsettled(k, id)
 		return
 	}
-	m.granted(t, k, id, got)
+	m.checkHolder(t, k, id, got)
 }
 
-func (m *claimMachine) unsettled(k Key, id string) {
-	if m.maybe[k] == nil {
-		m.maybe[k] = map[string]bool{}
+func (m *claimMachine) recordUnsettled(k Key, id string) {
+	if m.unsettledIDs[k] == nil {
+		m.unsettledIDs[k] = map[string]bool{}
 	}
-	m.maybe[k][id] = true
+	m.unsettledIDs[k][id] = true
 }
 
-// granted checks the holder that a claim returned. Once a response has named the
-// holder of a key, it must not change. Before that, the holder must be the request
-// itself or one whose claim has an unknown outcome.
-func (m *claimMachine) granted(t *rapid.T, k Key, id, got string) {
+// checkHolder checks the holder that a claim returned. Once a response has named
+// the holder of a key, it must not change. Before that, the holder must be the
+// request itself or one whose claim has an unknown outcome.
+func (m *claimMachine) checkHolder(t *rapid.T, k Key, id, got string) {
 	if have := m.holder[k]; have != "" {
 		if got != have {
 			t.Fatalf("%s holds the key, but the claim of %s returned holder %s", have, id, got)
 		}
 		return
 	}
-	if got != id && !m.maybe[k][got] {
+	if got != id && !m.unsettledIDs[k][got] {
 		t.Fatalf("the claim of %s returned holder %s, which never claimed the key", id, got)
 	}
 	m.holder[k] = got
@@ -83,7 +83,7 @@
 		t.Fatalf("release: %v", err)
 	}
 	m.holder[k] = ""
-	m.maybe[k] = nil
+	m.unsettledIDs[k] = nil
 }
 
 // race claims one key from all stores concurrently.
@@ -99,25 +99,25 @@
 	wg.Wait()
 	for i := range got {
 		if errs[i] != nil {
-			m.unsettled(k, ids[i])
+			m.recordUnsettled(k, ids[i])
 		}
 	}
 	for i := range got {
 		if errs[i] == nil && got[i] == ids[i] {
-			m.granted(t, k, ids[i], got[i])
+			m.checkHolder(t, k, ids[i], got[i])
 		}
 	}
 	for i := range got {
 		if errs[i] == nil {
-			m.granted(t, k, ids[i], got[i])
+			m.checkHolder(t, k, ids[i], got[i])
 		}
 	}
 }
 
-func TestOneHolderForEachKey(t *testing.T) {
+func TestKeyHasAtMostOneHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		spectest.Check(t, func(t *rapid.T) {
-			m := &claimMachine{kv: fake.NewKV(), holder: map[Key]string{}, maybe: map[Key]map[string]bool{}}
+			m := &claimMachine{kv: fake.NewKV(), holder: map[Key]string{}, unsettledIDs: map[Key]map[string]bool{}}
 			for range 3 {
 				m.stores = append(m.stores, NewStore(m.kv))
 			}
@@ -132,7 +132,7 @@
 	})
 }
 
-func TestManyClaimsShareFewWritesAndSurviveSealing(t *testing.T) {
+func TestClaimsAreGroupedAndKeptAfterSealing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		kv := fake.NewKV()
--- a/pkg/claim/shard.go
+++ b/pkg/claim/shard.go
@@ -15,8 +15,8 @@
 
 // Bounds of one commit.
 const (
-	commitTries = 6
-	callTime    = time.Second
+	maxCommitAttempts = 6
+	callTimeout       = time.Second
 )
 
 // op is a claim or release that waits to be committed.
@@ -24,7 +24,7 @@
 	key     Key
 	request string
 	release bool
-	answer  chan result
+	reply   chan result
 }
 
 type result struct {
@@ -37,12 +37,12 @@
 	number int
 	kv     platform.KV
 
-	mu      sync.Mutex
-	waiting []op
-	busy    bool
-	last    time.Time
+	mu         sync.Mutex
+	pending    []op
+	committing bool
+	lastCommit time.Time
 
-	// The fields below are accessed only by the goroutine that runs work.
+	// The fields below are accessed only by the goroutine that runs commitPending.
 	version uint64
 	head    *wirepb.ClaimHead
 	blocks  map[uint64]map[Key]string
@@ -58,40 +58,41 @@
 	return fmt.Sprintf("hopwell/claims/%d/%d", shard, block)
 }
 
-// do adds an operation to the next group and waits for its result. The operation
+// submit adds an operation to the next group and waits for its result. The operation
 // may still take effect after the context of its caller ends.
-func (s *shard) do(ctx context.Context, o op) (string, error) {
-	o.answer = make(chan result, 1)
+func (s *shard) submit(ctx context.Context, o op) (string, error) {
+	o.reply = make(chan result, 1)
 	s.mu.Lock()
-	s.waiting = append(s.waiting, o)
-	if !s.busy {
-		s.busy = true
-		go s.work()
+	s.pending = append(s.pending, o)
+	if !s.committing {
+		s.committing = true
+		go s.commitPending()
 	}
 	s.mu.Unlock()
 	select {
-	case r := <-o.answer:
+	case r := <-o.reply:
 		return r.holder, r.err
 	case <-ctx.Done():
 		return "", &ErrUnsettled{Shard: s.number, Err: ctx.Err()}
 	}
 }
 
-// work commits groups until no operation is pending. Each commit starts at least
-// Interval after the previous one; after a longer idle time it starts at once.
-func (s *shard) work() {
+// commitPending commits groups until no operation is pending. Each commit starts
+// at least Interval after the previous one; after a longer idle time it starts at
+// once.
+func (s *shard) commitPending() {
 	for {
-		time.Sleep(time.Until(s.last.Add(Interval)))
+		time.Sleep(time.Until(s.lastCommit.Add(Interval)))
 		s.mu.Lock()
-		group := s.waiting
-		s.waiting = nil
+		group := s.pending
+		s.pending = nil
 		if len(group) == 0 {
-			s.busy = false
+			s.committing = false
 			s.mu.Unlock()
 			return
 		}
 		s.mu.Unlock()
-		s.last = time.Now()
+		s.lastCommit = time.Now()
 		s.commit(group)
 	}
 }
@@ -99,12 +100,12 @@
 // commit commits a group and sends the result of each operation to its caller.
 func (s *shard) commit(group []op) {
 	var err error
-	for range commitTries {
+	for range maxCommitAttempts {
 		var results []result
-		results, err = s.try(group)
+		results, err = s.tryCommit(group)
 		if err == nil {
 			for i, o := range group {
-				o.answer <- results[i]
+				o.reply <- results[i]
 			}
 			return
 		}
@@ -118,15 +119,15 @@
 		}
 	}
 	for _, o := range group {
-		o.answer <- result{err: &ErrUnsettled{Shard: s.number, Err: err}}
+		o.reply <- result{err: &ErrUnsettled{Shard: s.number, Err: err}}
 	}
 }
 
-// try applies the group to the cached head and writes the result by
+// tryCommit applies a group to the cached head and writes the result by
 // compare-and-swap. A group that changes nothing needs no write. Two results need
 // a head that was just read, since another process may have changed it: that
 // another request holds a key, and that a release has nothing to remove.
-func (s *shard) try(group []op) ([]result, error) {
+func (s *shard) tryCommit(group []op) ([]result, error) {
 	fresh := s.head == nil
 	if fresh {
 		if err := s.load(); err != nil {
@@ -137,12 +138,12 @@
 	results, changed, refused := s.applyAll(next, group)
 	if refused && !fresh {
 		s.head = nil
-		return s.try(group)
+		return s.tryCommit(group)
 	}
 	if !changed {
 		return results, nil
 	}
-	if len(next.Entries) > sealEntries {
+	if len(next.Entries) > maxHeadEntries {
 		if err := s.seal(next); err != nil {
 			return nil, err
 		}
@@ -158,8 +159,8 @@
 		holder, wrote := s.apply(head, o)
 		results[i].holder = holder
 		changed = changed || wrote
-		idle := o.release && !wrote
-		refused = refused || idle || holder != "" && holder != o.request
+		nothingReleased := o.release && !wrote
+		refused = refused || nothingReleased || holder != "" && holder != o.request
 	}
 	return results, changed, refused
 }
@@ -194,27 +195,27 @@
 // head refers to it. Its number is random, so that a block left over by a writer
 // whose swap of the head failed does not collide with another one.
 func (s *shard) seal(head *wirepb.ClaimHead) error {
-	cut := len(head.Entries) - sealEntries/4
+	cut := len(head.Entries) - maxHeadEntries/4
 	block := &wirepb.ClaimHead{Entries: head.Entries[:cut]}
 	data, err := proto.Marshal(block)
 	if err != nil {
 		return err
 	}
 	number := rand.Uint64()
-	ctx, cancel := context.WithTimeout(context.Background(), callTime)
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	if _, err := s.kv.Swap(ctx, blockKey(s.number, number), 0, data, 2*Keep); err != nil {
 		return err
 	}
 	now := time.Now()
 	head.Entries = head.Entries[cut:]
-	head.Blocks = append(live(head.Blocks, now), &wirepb.ClaimBlock{Number: number, NewestUnix: now.Unix()})
-	s.blocks[number] = index(block)
+	head.Blocks = append(unexpired(head.Blocks, now), &wirepb.ClaimBlock{Number: number, NewestUnix: now.Unix()})
+	s.blocks[number] = holdersByKey(block)
 	return nil
 }
 
-// live returns the blocks whose newest claim is younger than Keep.
-func live(blocks []*wirepb.ClaimBlock, now time.Time) []*wirepb.ClaimBlock {
+// unexpired returns the blocks whose newest claim is younger than Keep.
+func unexpired(blocks []*wirepb.ClaimBlock, now time.Time) []*wirepb.ClaimBlock {
 	var out []*wirepb.ClaimBlock
 	for _, b := range blocks {
 		if now.Sub(time.Unix(b.NewestUnix, 0)) < Keep {
@@ -229,7 +230,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), callTime)
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	version, err := s.kv.Swap(ctx, headKey(s.number), s.version, data, 0)
 	if err != nil {
@@ -241,7 +242,7 @@
 
 // load reads the head and those of its blocks that are not cached.
 func (s *shard) load() error {
-	ctx, cancel := context.WithTimeout(context.Background(), callTime)
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	v, err := s.kv.Get(ctx, headKey(s.number))
 	if err != nil {
@@ -251,10 +252,10 @@
 	if err := proto.Unmarshal(v.Data, head); err != nil {
 		return err
 	}
-	known := s.blocks
+	cached := s.blocks
 	s.blocks = map[uint64]map[Key]string{}
-	for _, b := range live(head.Blocks, time.Now()) {
-		s.blocks[b.Number] = known[b.Number]
+	for _, b := range unexpired(head.Blocks, time.Now()) {
+		s.blocks[b.Number] = cached[b.Number]
 		if err := s.loadBlock(b.Number); err != nil {
 			return err
 		}
@@ -267,7 +268,7 @@
 	if s.blocks[number] != nil {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), callTime)
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	v, err := s.kv.Get(ctx, blockKey(s.number, number))
 	if err != nil {
@@ -277,12 +278,12 @@
 	if err := proto.Unmarshal(v.Data, block); err != nil {
 		return err
 	}
-	s.blocks[number] = index(block)
+	s.blocks[number] = holdersByKey(block)
 	return nil
 }
 
-// index maps the keys of a block to the request IDs that hold them.
-func index(block *wirepb.ClaimHead) map[Key]string {
+// holdersByKey maps the keys of a block to the request IDs that hold them.
+func holdersByKey(block *wirepb.ClaimHead) map[Key]string {
 	m := make(map[Key]string, len(block.Entries))
 	for _, e := range block.Entries {
 		m[Key(e.Key)] = e.RequestId
--- a/pkg/engine/http.go
+++ b/pkg/engine/http.go
@@ -42,9 +42,9 @@
 	Assignment Assignment `json:"assignment"`
 }
 
-// maxLine is the maximum size in bytes of a line of a decode response and of an
-// error response.
-const maxLine = 1 << 20
+// maxLineBytes is the maximum size of a line of a decode response, and of an error
+// response.
+const maxLineBytes = 1 << 20
 
 // Client implements Engine over a model engine's HTTP API. It uses net/http,
 // because nbhttp's client returns a response only when it is complete.
@@ -58,13 +58,13 @@
 	return &Client{base: base, http: &http.Client{Transport: transport()}}
 }
 
-// idleConns is the maximum number of idle connections that a sidecar keeps to its
-// runner.
-const idleConns = 64
+// maxIdleConns is the maximum number of idle connections that a sidecar keeps to
+// its runner.
+const maxIdleConns = 64
 
 func transport() *http.Transport {
 	t := http.DefaultTransport.(*http.Transport).Clone()
-	t.MaxIdleConnsPerHost = idleConns
+	t.MaxIdleConnsPerHost = maxIdleConns
 	return t
 }
 
@@ -94,22 +94,22 @@
 	}
 	defer resp.Body.Close()
 	refused := &ErrEngine{}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxLine)).Decode(refused); err != nil || refused.Code == "" {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxLineBytes)).Decode(refused); err != nil || refused.Code == "" {
 		return nil, &ErrEngine{Code: CodeBroken, Detail: fmt.Sprintf("status %d", resp.StatusCode)}
 	}
 	return nil, refused
 }
 
-// exchange sends body as JSON and decodes the response into a value.
-func (c *Client) exchange(ctx context.Context, path string, body, into any) error {
+// postJSON sends body as JSON and decodes the response into a value.
+func (c *Client) postJSON(ctx context.Context, path string, body, into any) error {
 	resp, err := c.post(ctx, path, body)
 	if err != nil {
 		return err
 	}
-	return c.read(resp, into)
+	return c.decodeBody(resp, into)
 }
 
-func (c *Client) get(ctx context.Context, path string, into any) error {
+func (c *Client) getJSON(ctx context.Context, path string, into any) error {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+path, nil)
 	if err != nil {
 		return &ErrUnreachable{Address: c.base, Err: err}
@@ -118,10 +118,10 @@
 	if err != nil {
 		return err
 	}
-	return c.read(resp, into)
+	return c.decodeBody(resp, into)
 }
 
-func (c *Client) read(resp *http.Response, into any) error {
+func (c *Client) decodeBody(resp *http.Response, into any) error {
 	defer resp.Body.Close()
 	if into == nil {
 		_, _ = io.Copy(io.Discard, resp.Body)
@@ -136,7 +136,7 @@
 // Prefill implements Engine.
 func (c *Client) Prefill(ctx context.Context, p Prefill) (Export, error) {
 	var x Export
-	return x, c.exchange(ctx, PathPrefill, p, &x)
+	return x, c.postJSON(ctx, PathPrefill, p, &x)
 }
 
 // Decode implements Engine.
@@ -165,7 +165,7 @@
 // ReadSteps reads the response to a decode, line by line, up to its final token.
 func ReadSteps(r io.Reader, imported func(), token func(Token) error) error {
 	lines := bufio.NewScanner(r)
-	lines.Buffer(nil, maxLine)
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
 		var s Step
 		if err := json.Unmarshal(lines.Bytes(), &s); err != nil {
@@ -194,40 +194,40 @@
 // Handover implements Engine.
 func (c *Client) Handover(ctx context.Context, id string) (Export, error) {
 	var x Export
-	return x, c.exchange(ctx, PathHandover, id, &x)
+	return x, c.postJSON(ctx, PathHandover, id, &x)
 }
 
 // Release implements Engine.
 func (c *Client) Release(ctx context.Context, handle string) error {
-	return c.exchange(ctx, PathRelease, handle, nil)
+	return c.postJSON(ctx, PathRelease, handle, nil)
 }
 
 // Cancel implements Engine.
 func (c *Client) Cancel(ctx context.Context, id string) error {
-	return c.exchange(ctx, PathCancel, id, nil)
+	return c.postJSON(ctx, PathCancel, id, nil)
 }
 
 // Held implements Engine.
 func (c *Client) Held(ctx context.Context) ([]Holding, error) {
 	var out []Holding
-	return out, c.get(ctx, PathHeld, &out)
+	return out, c.getJSON(ctx, PathHeld, &out)
 }
 
 // Load implements Engine.
 func (c *Client) Load(ctx context.Context) (Load, error) {
 	var l Load
-	return l, c.get(ctx, PathLoad, &l)
+	return l, c.getJSON(ctx, PathLoad, &l)
 }
 
 // Events implements Engine.
 func (c *Client) Events(ctx context.Context, after uint64) ([]CacheEvent, error) {
 	var out []CacheEvent
-	return out, c.get(ctx, fmt.Sprintf("%s?after=%d", PathEvents, after), &out)
+	return out, c.getJSON(ctx, fmt.Sprintf("%s?after=%d", PathEvents, after), &out)
 }
 
 // Assign implements Engine.
 func (c *Client) Assign(ctx context.Context, f Fence, a Assignment) error {
-	return c.exchange(ctx, PathAssign, AssignOrder{f, a}, nil)
+	return c.postJSON(ctx, PathAssign, AssignOrder{f, a}, nil)
 }
 
 // ServiceClient calls a plain service.
--- a/pkg/gossip/agent.go
+++ b/pkg/gossip/agent.go
@@ -16,13 +16,13 @@
 // Timeouts, intervals and fan-out of the distribution. A watch of 20 s in each of
 // 1,150 processes costs the key-value service 58 reads per second.
 const (
-	watchTime     = 20 * time.Second
-	watchRetry    = time.Second
-	watchRetryMax = 8 * time.Second
-	exchangeEvery = time.Second
-	callTime      = 700 * time.Millisecond
-	fanOut        = 3
-	startPeers    = 5
+	watchTimeout     = 20 * time.Second
+	watchRetry       = time.Second
+	watchRetryMax    = 8 * time.Second
+	exchangeInterval = time.Second
+	callTimeout      = 700 * time.Millisecond
+	fanOut           = 3
+	bootstrapPeers   = 5
 )
 
 // Peers sends calls to the other processes of the fleet.
@@ -55,8 +55,8 @@
 func (a *Agent) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Go(func() { a.watch(ctx) })
-	wg.Go(func() { a.spread(ctx) })
-	wg.Go(func() { a.compare(ctx) })
+	wg.Go(func() { a.pushChanges(ctx) })
+	wg.Go(func() { a.exchangePeriodically(ctx) })
 	wg.Wait()
 }
 
@@ -67,20 +67,20 @@
 	var version uint64
 	retry := watchRetry
 	for ctx.Err() == nil {
-		v, err := a.kv.Watch(ctx, DocumentKey, version, watchTime)
+		v, err := a.kv.Watch(ctx, DocumentKey, version, watchTimeout)
 		if err != nil {
-			a.pause(ctx, retry)
+			a.sleep(ctx, retry)
 			retry = min(2*retry, watchRetryMax)
 			continue
 		}
 		version, retry = v.Version, watchRetry
-		a.take(v.Data)
+		a.offer(v.Data)
 	}
 }
 
-// take offers a document to the keeper and confirms the present one unless the
+// offer offers a document to the keeper and confirms the present one unless the
 // offer fails.
-func (a *Agent) take(data []byte) {
+func (a *Agent) offer(data []byte) {
 	if _, err := a.keeper.Offer(data); err != nil {
 		a.log.Warn("document refused", err)
 		return
@@ -88,8 +88,8 @@
 	a.keeper.Confirm(time.Now())
 }
 
-// pause waits for d with a jitter of ±25 %, or until the context ends.
-func (a *Agent) pause(ctx context.Context, d time.Duration) {
+// sleep waits for d with a jitter of ±25 %, or until the context ends.
+func (a *Agent) sleep(ctx context.Context, d time.Duration) {
 	a.mu.Lock()
 	jitter := time.Duration(a.rng.Int64N(int64(d) / 2))
 	a.mu.Unlock()
@@ -99,8 +99,8 @@
 	}
 }
 
-// spread pushes each newly adopted document to fanOut peers at once.
-func (a *Agent) spread(ctx context.Context) {
+// pushChanges pushes each newly adopted document to fanOut peers at once.
+func (a *Agent) pushChanges(ctx context.Context) {
 	for {
 		changed := a.keeper.Changed()
 		select {
@@ -115,7 +115,7 @@
 // Push calls Exchange for up to n random peers concurrently and returns the number
 // of successful exchanges.
 func (a *Agent) Push(ctx context.Context, n int) int {
-	targets := a.pick(n)
+	targets := a.randomPeers(n)
 	done := make(chan bool, len(targets))
 	for _, address := range targets {
 		go func() { done <- a.Exchange(ctx, address) == nil }()
@@ -129,25 +129,26 @@
 	return answered
 }
 
-// compare exchanges with a random peer about every exchangeEvery. Until it has a
-// document it exchanges with startPeers peers, so that a process that starts
-// during an outage gets the newest document that any of them has.
-func (a *Agent) compare(ctx context.Context) {
+// exchangePeriodically exchanges with one random peer about every
+// exchangeInterval. Until the process has a document, it exchanges with
+// bootstrapPeers peers four times as often. A process that starts during an outage
+// thus gets the newest document that any of them has.
+func (a *Agent) exchangePeriodically(ctx context.Context) {
 	for ctx.Err() == nil {
 		n := 1
 		if _, known := a.keeper.Digest(); !known {
-			n = startPeers
+			n = bootstrapPeers
 		}
 		a.Push(ctx, n)
 		if _, known := a.keeper.Digest(); !known {
-			a.pause(ctx, exchangeEvery/4)
+			a.sleep(ctx, exchangeInterval/4)
 			continue
 		}
-		a.pause(ctx, exchangeEvery)
+		a.sleep(ctx, exchangeInterval)
 	}
 }
 
-func (a *Agent) pick(n int) []string {
+func (a *Agent) randomPeers(n int) []string {
 	all := append([]string(nil), a.peers.Addresses()...)
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -158,7 +159,7 @@
 // Exchange compares revisions with one peer. The side with the older document
 // receives the newer one.
 func (a *Agent) Exchange(ctx context.Context, address string) error {
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	mine, _ := a.keeper.Digest()
 	theirs, document, err := a.peers.Exchange(ctx, address, mine, nil)
@@ -166,7 +167,7 @@
 		return err
 	}
 	if document != nil {
-		a.take(document)
+		a.offer(document)
 		return nil
 	}
 	a.keeper.Confirm(time.Now())
@@ -181,7 +182,7 @@
 // the keeper and returns our document if the peer's is older.
 func (a *Agent) Answer(theirs Digest, document []byte) (Digest, []byte) {
 	if document != nil {
-		a.take(document)
+		a.offer(document)
 	}
 	mine, known := a.keeper.Digest()
 	if known && mine.Revision > theirs.Revision {
--- a/pkg/gossip/change.go
+++ b/pkg/gossip/change.go
@@ -11,9 +11,9 @@
 
 // Limits of one change.
 const (
-	changeTries   = 8
-	changeBackoff = 50 * time.Millisecond
-	writeTime     = 2 * time.Second
+	maxChangeAttempts = 8
+	changeBackoff     = 50 * time.Millisecond
+	attemptTimeout    = 2 * time.Second
 )
 
 // Change applies an operator's change to the document: it commits by
@@ -23,14 +23,14 @@
 // It returns the errors of fleet.Document.Apply, of check and of the key-value
 // service, and *ErrUnsettled if it is unknown whether the change took effect.
 func (a *Agent) Change(ctx context.Context, c *fleet.Change, check func(before, after *fleet.Document) error) (*fleet.Document, error) {
-	sent := false
+	mayHaveCommitted := false
 	var last error
-	for try := range changeTries {
+	for try := range maxChangeAttempts {
 		if try > 0 {
-			a.pause(ctx, changeBackoff<<min(try, 4))
+			a.sleep(ctx, changeBackoff<<min(try, 4))
 		}
 		next, wrote, err := a.tryChange(ctx, c, check)
-		sent = sent || wrote
+		mayHaveCommitted = mayHaveCommitted || wrote
 		if err == nil {
 			return next, nil
 		}
@@ -39,7 +39,7 @@
 		}
 		last = err
 	}
-	if !sent {
+	if !mayHaveCommitted {
 		return nil, last
 	}
 	return nil, &ErrUnsettled{ID: c.ID, Err: last}
@@ -54,7 +54,7 @@
 // tryChange makes one attempt to read, change and swap the document. Wrote reports
 // whether a swap was sent that may have taken effect.
 func (a *Agent) tryChange(ctx context.Context, c *fleet.Change, check func(before, after *fleet.Document) error) (next *fleet.Document, wrote bool, err error) {
-	ctx, cancel := context.WithTimeout(ctx, writeTime)
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	v, err := a.kv.Get(ctx, DocumentKey)
 	if err != nil {
@@ -64,7 +64,7 @@
 	if err != nil {
 		return nil, false, err
 	}
-	a.take(v.Data)
+	a.offer(v.Data)
 	next, err = doc.Apply(c)
 	if err != nil {
 		return nil, false, err
@@ -80,7 +80,7 @@
 	if _, err := a.kv.Swap(ctx, DocumentKey, v.Version, data, 0); err != nil {
 		return nil, !platform.IsConflict(err), err
 	}
-	a.take(data)
+	a.offer(data)
 	a.Push(ctx, fanOut)
 	return next, true, nil
 }
--- a/pkg/gossip/keeper.go
+++ b/pkg/gossip/keeper.go
@@ -20,13 +20,13 @@
 
 // Keeper holds the newest document that the process has seen.
 type Keeper struct {
-	mu        sync.RWMutex
-	doc       *fleet.Document
-	encoded   []byte
-	digest    Digest
-	confirmed time.Time
-	known     bool
-	changed   chan struct{}
+	mu          sync.RWMutex
+	doc         *fleet.Document
+	encoded     []byte
+	digest      Digest
+	confirmedAt time.Time
+	hasDocument bool
+	changed     chan struct{}
 }
 
 // NewKeeper returns a keeper without a document.
@@ -47,13 +47,13 @@
 	digest := Digest{doc.Revision, doc.Hash()}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.known && digest.Revision == k.digest.Revision && digest.Hash != k.digest.Hash {
+	if k.hasDocument && digest.Revision == k.digest.Revision && digest.Hash != k.digest.Hash {
 		return false, &ErrFork{Revision: digest.Revision, Mine: k.digest.Hash, Theirs: digest.Hash}
 	}
-	if k.known && digest.Revision <= k.digest.Revision {
+	if k.hasDocument && digest.Revision <= k.digest.Revision {
 		return false, nil
 	}
-	k.doc, k.encoded, k.digest, k.known = doc, doc.Encode(), digest, true
+	k.doc, k.encoded, k.digest, k.hasDocument = doc, doc.Encode(), digest, true
 	close(k.changed)
 	k.changed = make(chan struct{})
 	return true, nil
@@ -64,7 +64,7 @@
 func (k *Keeper) Confirm(now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.confirmed = now
+	k.confirmedAt = now
 }
 
 // Stale reports whether there is no document, or the last comparison is older than
@@ -73,7 +73,7 @@
 func (k *Keeper) Stale(now time.Time, limit time.Duration) bool {
 	k.mu.RLock()
 	defer k.mu.RUnlock()
-	return !k.known || now.Sub(k.confirmed) > limit
+	return !k.hasDocument || now.Sub(k.confirmedAt) > limit
 }
 
 // Document returns the present document. The caller must not modify it.
@@ -87,7 +87,7 @@
 func (k *Keeper) Digest() (Digest, bool) {
 	k.mu.RLock()
 	defer k.mu.RUnlock()
-	return k.digest, k.known
+	return k.digest, k.hasDocument
 }
 
 // Encoded returns the present document in its wire format.
--- a/pkg/gossip/keeper_test.go
+++ b/pkg/gossip/keeper_test.go
@@ -19,13 +19,13 @@
 	cut    map[[2]int]bool
 }
 
-// end implements Peers for one agent of a mesh.
-type end struct {
+// meshPeers implements Peers for one agent of a mesh.
+type meshPeers struct {
 	m *mesh
 	i int
 }
 
-func (e end) Addresses() []string {
+func (e meshPeers) Addresses() []string {
 	var out []string
 	for j := range e.m.agents {
 		if j != e.i {
@@ -35,7 +35,7 @@
 	return out
 }
 
-func (e end) Exchange(_ context.Context, address string, mine Digest, document []byte) (Digest, []byte, error) {
+func (e meshPeers) Exchange(_ context.Context, address string, mine Digest, document []byte) (Digest, []byte, error) {
 	var j int
 	_, _ = fmt.Sscan(address, &j)
 	if e.m.cut[[2]int{e.i, j}] {
@@ -47,11 +47,11 @@
 
 // Agents receive documents in any order while links are cut. No agent may return
 // to an older revision, and all must converge once the links are restored.
-func TestRevisionsOnlyGrowAndMeet(t *testing.T) {
+func TestRevisionsNeverDecreaseAndConverge(t *testing.T) {
 	spectest.Check(t, func(t *rapid.T) {
 		m := &mesh{cut: map[[2]int]bool{}}
 		for i := range 4 {
-			m.agents = append(m.agents, NewAgent(NewKeeper(), fake.NewKV(), end{m, i}, uint64(i)))
+			m.agents = append(m.agents, NewAgent(NewKeeper(), fake.NewKV(), meshPeers{m, i}, uint64(i)))
 		}
 		doc, _ := fleet.Decode(nil)
 		history := [][]byte{doc.Encode()}
@@ -65,9 +65,9 @@
 				}
 				doc = next
 				history = append(history, doc.Encode())
-				m.agents[agent(t)].take(doc.Encode())
+				m.agents[agent(t)].offer(doc.Encode())
 			},
-			"old document": func(t *rapid.T) { m.agents[agent(t)].take(rapid.SampledFrom(history).Draw(t, "document")) },
+			"old document": func(t *rapid.T) { m.agents[agent(t)].offer(rapid.SampledFrom(history).Draw(t, "document")) },
 			"cut":          func(t *rapid.T) { m.cut[[2]int{agent(t), agent(t)}] = rapid.Bool().Draw(t, "cut") },
 			"exchange":     func(t *rapid.T) { _ = m.agents[agent(t)].Exchange(context.Background(), fmt.Sprint(agent(t))) },
 			"": func(t *rapid.T) {
@@ -97,7 +97,7 @@
 	})
 }
 
-func TestTwoDocumentsOfOneRevisionAreRefused(t *testing.T) {
+func TestOfferRefusesOtherDocumentOfSameRevision(t *testing.T) {
 	k := NewKeeper()
 	first, _ := fleet.Decode(nil)
 	a, _ := first.Apply(&fleet.Change{ID: "a", SetLabels: map[string]fleet.Labels{"x": {"k": "a"}}})
--- a/pkg/route/baselines.go
+++ b/pkg/route/baselines.go
@@ -9,12 +9,12 @@
 
 // Choose implements Policy.
 func (b *RoundRobin) Choose(_ *Request, s *Scratch) (Choice, error) {
-	return choosePair(s, func(all []State) int { return turn(all, &b.prefill) }, func(all []State) int { return turn(all, &b.decode) })
+	return choosePair(s, func(all []State) int { return nextUsable(all, &b.prefill) }, func(all []State) int { return nextUsable(all, &b.decode) })
 }
 
-// turn advances the counter and returns the index of the first usable
+// nextUsable advances the counter and returns the index of the first usable
 // candidate from there on, or -1 if there is none.
-func turn(all []State, last *atomic.Uint64) int {
+func nextUsable(all []State, last *atomic.Uint64) int {
 	n := int(last.Add(1) % uint64(max(len(all), 1)))
 	for i := range all {
 		if k := (n + i) % len(all); !all[k].Shunned {
@@ -34,11 +34,11 @@
 }
 
 func leastQueued(all []State) int {
-	return usable(all, func(x *State) float64 { return x.Queued })
+	return lowestCost(all, func(x *State) float64 { return x.Queued })
 }
 
 func leastStreams(all []State) int {
-	return usable(all, func(x *State) float64 { return float64(x.Running + x.Reserved) })
+	return lowestCost(all, func(x *State) float64 { return float64(x.Running + x.Reserved) })
 }
 
 // CacheAware implements the rule of "sgl-model-gateway and cache-aware routing"
@@ -61,16 +61,16 @@
 
 func cacheAware(r *Request, all []State) int {
 	load := func(x *State) float64 { return float64(x.InFlight) }
-	least := usable(all, load)
+	least := lowestCost(all, load)
 	if least < 0 {
 		return -1
 	}
-	most := usable(all, func(x *State) float64 { return -load(x) })
+	most := lowestCost(all, func(x *State) float64 { return -load(x) })
 	low, high := load(&all[least]), load(&all[most])
 	if high-low > balanceAbsThreshold && high > balanceRelThreshold*low {
 		return least
 	}
-	best := usable(all, func(x *State) float64 { return -float64(x.Cached) })
+	best := lowestCost(all, func(x *State) float64 { return -float64(x.Cached) })
 	if float64(all[best].Cached) > cacheThreshold*float64(r.PromptTokens) {
 		return best
 	}
--- a/pkg/route/hopwell.go
+++ b/pkg/route/hopwell.go
@@ -22,17 +22,17 @@
 	// stepWeight is the weight of the decode step time relative to the
 	// first-token time. It penalizes slowing down a batch.
 	stepWeight = 8
-	// latePerToken is the penalty, in seconds, for a decode step time above the
+	// slowStepPenalty is the penalty, in seconds, for a decode step time above the
 	// target, per multiple of the target by which it is exceeded.
-	latePerToken = 10
+	slowStepPenalty = 10
 	// shedFactor is the ratio of estimated to target first-token time above
 	// which the gateway rejects a request without calling any sidecar. The
 	// target is taken to be at least the first-token time of an idle pair.
 	shedFactor = 2
-	// affinityBonus is the largest cost, in seconds, that rendezvous hashing adds
+	// maxAffinityCost is the largest cost, in seconds, that rendezvous hashing adds
 	// to a candidate for an uncached prefix. The runner that all gateways prefer
 	// for the prefix gets the smallest share of it.
-	affinityBonus = 0.02
+	maxAffinityCost = 0.02
 )
 
 // Hopwell is the default policy. It estimates the time to the first token and
@@ -48,16 +48,16 @@
 
 // Choose implements Policy.
 func (Hopwell) Choose(r *Request, s *Scratch) (Choice, error) {
-	s.pre = score(s.pre[:0], s.Prefills, func(x *State) float64 { return prefillCost(r, x) })
-	if len(s.pre) == 0 {
+	s.prefillShortlist = score(s.prefillShortlist[:0], s.Prefills, func(x *State) float64 { return prefillCost(r, x) })
+	if len(s.prefillShortlist) == 0 {
 		return Choice{}, &ErrNoRunner{Role: "prefill"}
 	}
-	s.dec = score(s.dec[:0], s.Decodes, func(x *State) float64 { return decodeCost(r, x) })
-	if len(s.dec) == 0 {
+	s.decodeShortlist = score(s.decodeShortlist[:0], s.Decodes, func(x *State) float64 { return decodeCost(r, x) })
+	if len(s.decodeShortlist) == 0 {
 		return Choice{}, &ErrNoRunner{Role: "decode"}
 	}
-	c := pair(r, s)
-	late := c.Estimate.FirstToken > shedFactor*max(r.FirstToken, idle(r, &s.Prefills[c.Prefill], &s.Decodes[c.Decode]))
+	c := cheapestPair(r, s)
+	late := c.Estimate.FirstToken > shedFactor*max(r.FirstToken, idleFirstToken(r, &s.Prefills[c.Prefill], &s.Decodes[c.Decode]))
 	if late && !r.Paid {
 		return Choice{}, &ErrLate{Estimate: c.Estimate.FirstToken, Target: r.FirstToken}
 	}
@@ -82,7 +82,7 @@
 	if r.Exported {
 		return 0
 	}
-	return queueTime(r, p) + computeTime(r, p) + distance(r, p) + coldCost(r, p)
+	return queueTime(r, p) + computeTime(r, p) + networkDelay(r, p) + affinityCost(r, p)
 }
 
 // queueTime estimates the wait for work that is queued ahead of the request.
@@ -100,7 +100,7 @@
 	return float64(r.PromptTokens-p.Cached) / p.Rate
 }
 
-func distance(r *Request, x *State) float64 {
+func networkDelay(r *Request, x *State) float64 {
 	switch {
 	case x.Region != r.Region:
 		return regionDelay
@@ -110,14 +110,14 @@
 	return 0
 }
 
-// coldCost distributes uncached prefixes over the runners. Rendezvous hashing
+// affinityCost distributes uncached prefixes over the runners. Rendezvous hashing
 // gives each prefix one preferred runner, so that all gateways prefer the same
 // one without shared state.
-func coldCost(r *Request, p *State) float64 {
+func affinityCost(r *Request, p *State) float64 {
 	if len(r.Blocks) == 0 || p.Cached > 0 {
 		return 0
 	}
-	return affinityBonus * rendezvous(r.Blocks[0], p.Hash)
+	return maxAffinityCost * rendezvous(r.Blocks[0], p.Hash)
 }
 
 // rendezvous hashes a block and a runner to a number in [0, 1).
@@ -132,9 +132,9 @@
 // penalties for the step time.
 func decodeCost(r *Request, d *State) float64 {
 	step := stepTime(d)
-	cost := slotTime(r, d) + stepWeight*step + distance(r, d)
+	cost := slotWait(r, d) + stepWeight*step + networkDelay(r, d)
 	if r.PerToken > 0 && step > r.PerToken {
-		cost += latePerToken * (step/r.PerToken - 1)
+		cost += slowStepPenalty * (step/r.PerToken - 1)
 	}
 	return cost
 }
@@ -143,9 +143,9 @@
 	return d.StepBase + d.StepSlope*float64(d.Running+d.Reserved+1)
 }
 
-// slotTime estimates the wait until the runner has a batch slot and KV memory
+// slotWait estimates the wait until the runner has a batch slot and KV memory
 // for the response.
-func slotTime(r *Request, d *State) float64 {
+func slotWait(r *Request, d *State) float64 {
 	bytes := float64(r.PromptTokens+r.MaxTokens) * d.KVPerToken
 	if d.Running+d.Reserved < d.Batch && bytes <= d.KVFree {
 		return 0
@@ -153,11 +153,12 @@
 	return max(d.SlotWait, d.StepBase)
 }
 
-// pair estimates all shortlisted pairs and selects the one with the lowest cost.
-func pair(r *Request, s *Scratch) Choice {
+// cheapestPair estimates all shortlisted pairs and selects the one with the
+// lowest cost.
+func cheapestPair(r *Request, s *Scratch) Choice {
 	c := Choice{Candidates: len(s.Prefills) * len(s.Decodes)}
-	for _, p := range s.pre {
-		for _, d := range s.dec {
+	for _, p := range s.prefillShortlist {
+		for _, d := range s.decodeShortlist {
 			e := estimate(r, &s.Prefills[p.index], &s.Decodes[d.index])
 			c.weigh(s, p.index, d.index, e)
 		}
@@ -189,13 +190,13 @@
 		e.Queue, e.Prefill = queueTime(r, p), computeTime(r, p)
 	}
 	e.Transfer = transferTime(r, p, d)
-	e.Network = distance(r, p) + distance(r, d)
+	e.Network = networkDelay(r, p) + networkDelay(r, d)
 	ready := e.Queue + e.Prefill + e.Transfer
-	e.Slot = max(0, slotTime(r, d)-ready)
+	e.Slot = max(0, slotWait(r, d)-ready)
 	e.FirstToken = ready + e.Slot + e.Step + e.Network
-	e.Cost = e.FirstToken + decodeCost(r, d) - slotTime(r, d)
+	e.Cost = e.FirstToken + decodeCost(r, d) - slotWait(r, d)
 	if !r.Exported {
-		e.Cost += coldCost(r, p)
+		e.Cost += affinityCost(r, p)
 	}
 	return e
 }
@@ -209,9 +210,9 @@
 	return float64(r.PromptTokens) * d.KVPerToken * (1 + p.Transfers) / p.LinkRate
 }
 
-// idle estimates the first-token time of the pair if both runners had no other
-// work.
-func idle(r *Request, p, d *State) float64 {
+// idleFirstToken estimates the first-token time of the pair if both runners had
+// no other work.
+func idleFirstToken(r *Request, p, d *State) float64 {
 	alone := *p
 	alone.Queued, alone.Urgent, alone.Transfers = 0, 0, 0
 	empty := *d
--- a/pkg/route/policy.go
+++ b/pkg/route/policy.go
@@ -34,9 +34,9 @@
 	return nil, &ErrPolicy{Name: name}
 }
 
-// usable returns the index of the candidate with the lowest cost that is not
+// lowestCost returns the index of the candidate with the lowest cost that is not
 // excluded, or -1 if there is none.
-func usable(all []State, cost func(*State) float64) int {
+func lowestCost(all []State, cost func(*State) float64) int {
 	best, bestCost := -1, 0.0
 	for i := range all {
 		if all[i].Shunned {
--- a/pkg/route/prefixes.go
+++ b/pkg/route/prefixes.go
@@ -8,8 +8,8 @@
 	// prefixShards is the number of shards, each with its own lock, that the
 	// blocks are distributed over.
 	prefixShards = 64
-	// holders is the maximum number of runners recorded per block.
-	holders = 4
+	// maxHolders is the maximum number of runners recorded per block.
+	maxHolders = 4
 )
 
 // Prefixes records which runners probably have which prefix blocks cached. It
@@ -29,7 +29,7 @@
 
 // holderSet contains runner IDs, the most recently added first; 0 marks an unused
 // entry.
-type holderSet [holders]int32
+type holderSet [maxHolders]int32
 
 func (h *holderSet) add(id int32) {
 	for _, x := range h {
@@ -37,7 +37,7 @@
 			return
 		}
 	}
-	copy(h[1:], h[:holders-1])
+	copy(h[1:], h[:maxHolders-1])
 	h[0] = id
 }
 
@@ -45,7 +45,7 @@
 	for i, x := range h {
 		if x == id {
 			copy(h[i:], h[i+1:])
-			h[holders-1] = 0
+			h[maxHolders-1] = 0
 			return
 		}
 	}
@@ -107,14 +107,14 @@
 func (p *Prefixes) Fill(blocks []uint64, blockTokens, promptTokens int, all []State) {
 	for n, b := range blocks {
 		h := p.find(b)
-		some := false
+		found := false
 		for i := range all {
 			if all[i].Cached == n*blockTokens && h.has(int32(all[i].ID)) {
 				all[i].Cached = min((n+1)*blockTokens, promptTokens-1)
-				some = true
+				found = true
 			}
 		}
-		if !some {
+		if !found {
 			return
 		}
 	}
--- a/pkg/route/route_test.go
+++ b/pkg/route/route_test.go
@@ -33,7 +33,7 @@
 	return s
 }
 
-func check() *Request {
+func smallRequest() *Request {
 	return &Request{PromptTokens: 100, MaxTokens: 10, FirstToken: 0.5, PerToken: 0.063, Domain: "0", Region: "r"}
 }
 
@@ -41,7 +41,7 @@
 	ginkgo.It("prefers the runner that has the prefix cached", func() {
 		s := scratch(3, 2)
 		s.Prefills[2].Cached = 3000
-		r := check()
+		r := smallRequest()
 		r.PromptTokens = 4000
 		c, err := Hopwell{}.Choose(r, s)
 		Expect(err).NotTo(HaveOccurred())
@@ -50,7 +50,7 @@
 	ginkgo.It("gives up a cached prefix if its runner is overloaded", func() {
 		s := scratch(3, 2)
 		s.Prefills[2].Cached, s.Prefills[2].Queued, s.Prefills[2].Urgent = 3000, 20000, 20000
-		r := check()
+		r := smallRequest()
 		r.PromptTokens, r.FirstToken = 4000, 3
 		c, err := Hopwell{}.Choose(r, s)
 		Expect(err).NotTo(HaveOccurred())
@@ -59,7 +59,7 @@
 	ginkgo.It("does not count queued work that is less urgent than the request", func() {
 		s := scratch(1, 1)
 		s.Prefills[0].Queued = 50000
-		_, err := Hopwell{}.Choose(check(), s)
+		_, err := Hopwell{}.Choose(smallRequest(), s)
 		Expect(err).NotTo(HaveOccurred())
 	})
 	ginkgo.It("sheds a request if every pair misses the target by far", func() {
@@ -67,7 +67,7 @@
 		for i := range s.Prefills {
 			s.Prefills[i].Queued, s.Prefills[i].Urgent = 50000, 50000
 		}
-		_, err := Hopwell{}.Choose(check(), s)
+		_, err := Hopwell{}.Choose(smallRequest(), s)
 		var late *ErrLate
 		Expect(errors.As(err, &late)).To(BeTrue())
 		Expect(late.RetryAfter()).To(BeNumerically(">", time.Second))
@@ -75,7 +75,7 @@
 	ginkgo.It("avoids decode runners whose step time exceeds the target", func() {
 		s := scratch(1, 2)
 		s.Decodes[0].StepBase = 0.1
-		c, err := Hopwell{}.Choose(check(), s)
+		c, err := Hopwell{}.Choose(smallRequest(), s)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(c.Decode).To(Equal(1))
 	})
@@ -86,7 +86,7 @@
 			for i := range s.Prefills {
 				s.Prefills[i].Domain = "0"
 			}
-			r := check()
+			r := smallRequest()
 			r.Blocks = []uint64{b * 1234567}
 			c, err := Hopwell{}.Choose(r, s)
 			Expect(err).NotTo(HaveOccurred())
@@ -100,7 +100,7 @@
 	ginkgo.It("reports which role has no usable runner", func() {
 		s := scratch(1, 1)
 		s.Decodes[0].Shunned = true
-		_, err := Hopwell{}.Choose(check(), s)
+		_, err := Hopwell{}.Choose(smallRequest(), s)
 		Expect(err).To(Equal(&ErrNoRunner{Role: "decode"}))
 	})
 })
@@ -161,7 +161,7 @@
 	for _, n := range []int{18, 64, 730, 7300} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			s := scratch(n/2, n-n/2)
-			r := check()
+			r := smallRequest()
 			b.ReportAllocs()
 			for b.Loop() {
 				if _, err := (Hopwell{}).Choose(r, s); err != nil {
--- a/pkg/route/state.go
+++ b/pkg/route/state.go
@@ -111,7 +111,7 @@
 type Scratch struct {
 	Prefills, Decodes []State
 
-	pre, dec []scored
+	prefillShortlist, decodeShortlist []scored
 }
 
 // Reset removes all candidates.
--- a/pkg/route/tracker.go
+++ b/pkg/route/tracker.go
@@ -30,12 +30,12 @@
 
 // Values assumed for a runner until its first report.
 const (
-	guessRate      = 8000
-	guessBatch     = 16
-	guessStepBase  = 0.02
-	guessStepSlope = 0.001
-	guessKVToken   = 1 << 17
-	guessKVFree    = 1 << 33
+	defaultRate       = 8000
+	defaultBatch      = 16
+	defaultStepBase   = 0.02
+	defaultStepSlope  = 0.001
+	defaultKVPerToken = 1 << 17
+	defaultKVFree     = 1 << 33
 )
 
 // Runner is this gateway's view of one runner. It is safe for concurrent use.
@@ -45,17 +45,17 @@
 	name           string
 	domain, region string
 
-	mu       sync.Mutex
-	report   Report
-	at       time.Time
-	inFlight int
+	mu         sync.Mutex
+	report     Report
+	reportedAt time.Time
+	inFlight   int
 	// sentTokens, sentStreams and sentBytes count the work that this gateway
 	// sent since the last report.
-	sentTokens  float64
-	sentStreams int
-	sentBytes   float64
-	failures    int
-	until       time.Time
+	sentTokens   float64
+	sentStreams  int
+	sentBytes    float64
+	failures     int
+	backoffUntil time.Time
 	// stalls and stalledUntil describe the runner's link. A report does not reset
 	// them: a sidecar may still report while the link is stalled.
 	stalls       int
@@ -103,7 +103,7 @@
 		return r
 	}
 	r = &Runner{id: t.newID(), hash: xxhash.Sum64String(name), name: name, domain: domain, region: region}
-	r.report = Report{Batch: guessBatch, Rate: guessRate, StepBase: guessStepBase, StepSlope: guessStepSlope, KVPerToken: guessKVToken, KVTotal: guessKVFree}
+	r.report = Report{Batch: defaultBatch, Rate: defaultRate, StepBase: defaultStepBase, StepSlope: defaultStepSlope, KVPerToken: defaultKVPerToken, KVTotal: defaultKVFree}
 	s.runners[name] = r
 	return r
 }
@@ -140,16 +140,16 @@
 func (r *Runner) Reported(p Report, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.report, r.at = p, now
+	r.report, r.reportedAt = p, now
 	r.sentTokens, r.sentStreams, r.sentBytes = 0, 0, 0
-	r.failures, r.until = 0, time.Time{}
+	r.failures, r.backoffUntil = 0, time.Time{}
 }
 
 // Age returns the age of the last report. It is very large if there was none.
 func (r *Runner) Age(now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return now.Sub(r.at)
+	return now.Sub(r.reportedAt)
 }
 
 // Sent records work that this gateway sent after the last report.
@@ -175,7 +175,7 @@
 func (r *Runner) Failed(now time.Time, jitter float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.until = now.Add(backoff(r.failures, jitter))
+	r.backoffUntil = now.Add(backoff(r.failures, jitter))
 	r.failures++
 }
 
@@ -210,7 +210,7 @@
 func (r *Runner) Suspect(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return now.Before(r.until)
+	return now.Before(r.backoffUntil)
 }
 
 // State returns the runner's estimated state now: the last report, minus the
@@ -219,18 +219,18 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p := &r.report
-	worked := now.Sub(r.at).Seconds() * p.Rate
+	processed := now.Sub(r.reportedAt).Seconds() * p.Rate
 	return State{
 		ID: r.id, Hash: r.hash, Name: r.name, Domain: r.domain, Region: r.region,
 		Rate:     p.Rate,
-		Queued:   max(0, p.Queued+r.sentTokens-worked),
-		Urgent:   max(0, p.Urgent+r.sentTokens-worked),
+		Queued:   max(0, p.Queued+r.sentTokens-processed),
+		Urgent:   max(0, p.Urgent+r.sentTokens-processed),
 		InFlight: r.inFlight,
 		Running:  p.Running, Reserved: p.Reserved + r.sentStreams, Batch: p.Batch,
 		KVFree: p.KVTotal - p.KVUsed - r.sentBytes, KVPerToken: p.KVPerToken,
-		SlotWait: max(0, p.SlotWait-now.Sub(r.at).Seconds()),
+		SlotWait: max(0, p.SlotWait-now.Sub(r.reportedAt).Seconds()),
 		StepBase: p.StepBase, StepSlope: p.StepSlope,
 		Transfers: float64(p.Transfers), LinkRate: p.LinkRate,
-		Shunned: now.Before(r.until) || now.Before(r.stalledUntil),
+		Shunned: now.Before(r.backoffUntil) || now.Before(r.stalledUntil),
 	}
 }
