--- a/pkg/claim/shard.go
+++ b/pkg/claim/shard.go
@@ -58,8 +58,8 @@
 	return fmt.Sprintf("hopwell/claims/%d/%d", shard, block)
 }
 
-// submit adds an operation to the next group and waits for its result. The operation
-// may still take effect after the context of its caller ends.
+// submit adds an operation to the next group and waits for its result. If ctx ends
+// first, the operation may still take effect.
 func (s *shard) submit(ctx context.Context, o op) (string, error) {
 	o.reply = make(chan result, 1)
 	s.mu.Lock()
@@ -165,8 +165,9 @@
 	return results, changed, refused
 }
 
-// apply applies one operation to a head. An entry with the operation's own request
-// ID was written by an earlier attempt of the operation.
+// apply applies one operation to a head. Wrote reports whether it modified the
+// head. An entry with the operation's own request ID was written by an earlier
+// attempt of the operation.
 func (s *shard) apply(head *wirepb.ClaimHead, o op) (holder string, wrote bool) {
 	for i, e := range head.Entries {
 		if Key(e.Key) != o.key {
--- a/pkg/gossip/agent.go
+++ b/pkg/gossip/agent.go
@@ -120,13 +120,13 @@
 	for _, address := range targets {
 		go func() { done <- a.Exchange(ctx, address) == nil }()
 	}
-	answered := 0
+	succeeded := 0
 	for range targets {
 		if <-done {
-			answered++
+			succeeded++
 		}
 	}
-	return answered
+	return succeeded
 }
 
 // exchangePeriodically exchanges with one random peer about every
--- a/pkg/route/errors.go
+++ b/pkg/route/errors.go
@@ -16,8 +16,8 @@
 
 // ErrLate reports that no pair of runners can meet the targets.
 type ErrLate struct {
-	// Estimate is the shortest estimated time to the first token and Target the
-	// requested one, in seconds.
+	// Estimate is the estimated time to the first token with the best pair and
+	// Target the requested one, in seconds.
 	Estimate, Target float64
 }
 
--- a/pkg/route/hopwell.go
+++ b/pkg/route/hopwell.go
@@ -160,14 +160,14 @@
 	for _, p := range s.prefillShortlist {
 		for _, d := range s.decodeShortlist {
 			e := estimate(r, &s.Prefills[p.index], &s.Decodes[d.index])
-			c.weigh(s, p.index, d.index, e)
+			c.insertPair(s, p.index, d.index, e)
 		}
 	}
 	return c
 }
 
-// weigh inserts a pair into the list of the best pairs, which is sorted by cost.
-func (c *Choice) weigh(s *Scratch, p, d int, e Estimate) {
+// insertPair inserts a pair into the list of the best pairs, which is sorted by cost.
+func (c *Choice) insertPair(s *Scratch, p, d int, e Estimate) {
 	at := c.N
 	for at > 0 && e.Cost < c.Weighed[at-1].Estimate.Cost {
 		at--
--- a/pkg/route/tracker.go
+++ b/pkg/route/tracker.go
@@ -38,7 +38,7 @@
 	defaultKVFree     = 1 << 33
 )
 
-// Runner is this gateway's view of one runner. It is safe for concurrent use.
+// Runner is this gateway's view of one runner, guarded by its own lock.
 type Runner struct {
 	id             int
 	hash           uint64
