--- a/pkg/claim/claim_test.go
+++ b/pkg/claim/claim_test.go
@@ -15,16 +15,16 @@
 	"github.com/hopwell/hopwell/pkg/spectest"
 )
 
-// claimMachine makes several processes claim a few keys over a key-value service
-// that goes down and loses answers.
+// claimMachine models several processes that claim a few keys in a key-value
+// service with outages and lost responses.
 type claimMachine struct {
 	kv     *fake.KV
 	stores []*Store
-	// holder is who was told that it has a key; maybe are requests whose claim was
-	// not settled.
-	holder map[Key]string
-	maybe  map[Key]map[string]bool
-	next   int
+	// holder maps each key to the request that a response named as its holder.
+	// unsettledIDs contains the requests whose claim has an unknown outcome.
+	holder       map[Key]string
+	unsettledIDs map[Key]map[string]bool
+	next         int
 }
 
 func (m *claimMachine) key(t *rapid.T) Key {
@@ -41,30 +41,31 @@
 	id := fmt.Sprintf("r%d", m.next)
 	got, err := s.Claim(context.Background(), k, id)
 	if err != nil {
-		m.unsettled(k, id)
+		m.recordUnsettled(k, id)
 		return
 	}
-	m.granted(t, k, id, got)
+	m.checkHolder(t, k, id, got)
 }
 
-func (m *claimMachine) unsettled(k Key, id string) {
-	if m.maybe[k] == nil {
-		m.maybe[k] = map[string]bool{}
+func (m *claimMachine) recordUnsettled(k Key, id string) {
+	if m.unsettledIDs[k] == nil {
+		m.unsettledIDs[k] = map[string]bool{}
 	}
-	m.maybe[k][id] = true
+	m.unsettledIDs[k][id] = true
 }
 
-// granted checks an answer: a key that somebody was told to hold stays that
-// one's, and nobody else holds one but those whose claim was not settled.
-func (m *claimMachine) granted(t *rapid.T, k Key, id, got string) {
+// checkHolder checks the holder that a claim returned. Once a response has named
+// the holder of a key, it must not change. Before that, the holder must be the
+// request itself or one whose claim has an unknown outcome.
+func (m *claimMachine) checkHolder(t *rapid.T, k Key, id, got string) {
 	if have := m.holder[k]; have != "" {
 		if got != have {
-			t.Fatalf("%s holds the key, %s was told %s", have, id, got)
+			t.Fatalf("%s holds the key, but the claim of %s returned holder %s", have, id, got)
 		}
 		return
 	}
-	if got != id && !m.maybe[k][got] {
-		t.Fatalf("%s was told that %s holds the key, which never claimed it", id, got)
+	if got != id && !m.unsettledIDs[k][got] {
+		t.Fatalf("the claim of %s returned holder %s, which never claimed the key", id, got)
 	}
 	m.holder[k] = got
 }
@@ -82,10 +83,10 @@
 		t.Fatalf("release: %v", err)
 	}
 	m.holder[k] = ""
-	m.maybe[k] = nil
+	m.unsettledIDs[k] = nil
 }
 
-// race makes all stores claim one key at the same time.
+// race claims one key from all stores concurrently.
 func (m *claimMachine) race(t *rapid.T) {
 	k := m.key(t)
 	var wg sync.WaitGroup
@@ -98,25 +99,25 @@
 	wg.Wait()
 	for i := range got {
 		if errs[i] != nil {
-			m.unsettled(k, ids[i])
+			m.recordUnsettled(k, ids[i])
 		}
 	}
 	for i := range got {
 		if errs[i] == nil && got[i] == ids[i] {
-			m.granted(t, k, ids[i], got[i])
+			m.checkHolder(t, k, ids[i], got[i])
 		}
 	}
 	for i := range got {
 		if errs[i] == nil {
-			m.granted(t, k, ids[i], got[i])
+			m.checkHolder(t, k, ids[i], got[i])
 		}
 	}
 }
 
-func TestOneHolderForEachKey(t *testing.T) {
+func TestKeyHasAtMostOneHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		spectest.Check(t, func(t *rapid.T) {
-			m := &claimMachine{kv: fake.NewKV(), holder: map[Key]string{}, maybe: map[Key]map[string]bool{}}
+			m := &claimMachine{kv: fake.NewKV(), holder: map[Key]string{}, unsettledIDs: map[Key]map[string]bool{}}
 			for range 3 {
 				m.stores = append(m.stores, NewStore(m.kv))
 			}
@@ -126,12 +127,12 @@
 				"lose":    func(t *rapid.T) { m.kv.LoseAnswers(rapid.IntRange(1, 3).Draw(t, "n")) },
 				"restart": func(t *rapid.T) { m.stores[rapid.IntRange(0, 2).Draw(t, "i")] = NewStore(m.kv) },
 			})
-			time.Sleep(time.Minute) // Until all shards are at rest.
+			time.Sleep(time.Minute) // Until all shards are idle.
 		})
 	})
 }
 
-func TestManyClaimsShareFewWritesAndSurviveSealing(t *testing.T) {
+func TestClaimsAreGroupedAndKeptAfterSealing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		kv := fake.NewKV()
@@ -149,13 +150,13 @@
 		}
 		wg.Wait()
 		_, writes := kv.Calls()
-		g.Expect(writes).To(BeNumerically("<", 600), "10 s at 40 writes a second, and the blocks")
+		g.Expect(writes).To(BeNumerically("<", 600), "10 s at 40 writes per second, plus the sealed blocks")
 		second := NewStore(kv)
 		for i := 0; i < n; i += 997 {
 			holder, err := second.Claim(context.Background(), NewKey("w", fmt.Sprint(i)), "other")
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(holder).To(Equal(fmt.Sprint(i)))
 		}
-		time.Sleep(time.Minute) // Until all shards are at rest.
+		time.Sleep(time.Minute) // Until all shards are idle.
 	})
 }
--- a/pkg/engine/http.go
+++ b/pkg/engine/http.go
@@ -12,8 +12,8 @@
 	"net/url"
 )
 
-// Paths of a model engine's HTTP API. Bodies are JSON; a decode answers with one
-// Step for each line.
+// Paths of a model engine's HTTP API. Bodies are JSON. The response to a decode is
+// a stream with one Step per line.
 const (
 	PathPrefill  = "/engine/prefill"
 	PathDecode   = "/engine/decode"
@@ -26,13 +26,13 @@
 	PathAssign   = "/engine/assign"
 )
 
-// Step is one line of a decode's answer.
+// Step is one line of the response to a decode.
 type Step struct {
-	// Imported is set on the line that tells that the KV cache is there.
+	// Imported is set on the line that reports the import of the KV cache.
 	Imported bool `json:"imported,omitempty"`
 	// Token is the next token.
 	Token *Token `json:"token,omitempty"`
-	// Err ends the answer early.
+	// Err is set if the engine ended the response with an error.
 	Err *ErrEngine `json:"error,omitempty"`
 }
 
@@ -42,31 +42,33 @@
 	Assignment Assignment `json:"assignment"`
 }
 
-// maxLine bounds one line of a decode's answer, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes is the maximum size of a line of a decode response, and of an error
+// response.
+const maxLineBytes = 1 << 20
 
-// Client speaks a model engine's HTTP API. It uses net/http, since nbhttp's
-// client hands over an answer only when it is complete.
+// Client implements Engine over a model engine's HTTP API. It uses net/http,
+// because nbhttp's client returns a response only when it is complete.
 type Client struct {
 	base string
 	http *http.Client
 }
 
-// NewClient returns a client of the engine at a base URL.
+// NewClient returns a client for the engine at a base URL.
 func NewClient(base string) *Client {
 	return &Client{base: base, http: &http.Client{Transport: transport()}}
 }
 
-// idleConns is how many unused connections to its one runner a sidecar keeps.
-const idleConns = 64
+// maxIdleConns is the maximum number of idle connections that a sidecar keeps to
+// its runner.
+const maxIdleConns = 64
 
 func transport() *http.Transport {
 	t := http.DefaultTransport.(*http.Transport).Clone()
-	t.MaxIdleConnsPerHost = idleConns
+	t.MaxIdleConnsPerHost = maxIdleConns
 	return t
 }
 
-// post sends an order and returns its open answer.
+// post sends body as JSON and returns the response with its body open.
 func (c *Client) post(ctx context.Context, path string, body any) (*http.Response, error) {
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -80,8 +82,8 @@
 	return c.do(r)
 }
 
-// do sends a request. An answer that is no success is *ErrEngine where its body
-// says so.
+// do sends a request. It returns *ErrEngine for a response other than 200, with
+// CodeBroken if the body contains no error code.
 func (c *Client) do(r *http.Request) (*http.Response, error) {
 	resp, err := c.http.Do(r)
 	if err != nil {
@@ -92,22 +94,22 @@
 	}
 	defer resp.Body.Close()
 	refused := &ErrEngine{}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxLine)).Decode(refused); err != nil || refused.Code == "" {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxLineBytes)).Decode(refused); err != nil || refused.Code == "" {
 		return nil, &ErrEngine{Code: CodeBroken, Detail: fmt.Sprintf("status %d", resp.StatusCode)}
 	}
 	return nil, refused
 }
 
-// exchange sends an order and reads its whole answer into a value.
-func (c *Client) exchange(ctx context.Context, path string, body, into any) error {
+// postJSON sends body as JSON and decodes the response into a value.
+func (c *Client) postJSON(ctx context.Context, path string, body, into any) error {
 	resp, err := c.post(ctx, path, body)
 	if err != nil {
 		return err
 	}
-	return c.read(resp, into)
+	return c.decodeBody(resp, into)
 }
 
-func (c *Client) get(ctx context.Context, path string, into any) error {
+func (c *Client) getJSON(ctx context.Context, path string, into any) error {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+path, nil)
 	if err != nil {
 		return &ErrUnreachable{Address: c.base, Err: err}
@@ -116,10 +118,10 @@
 	if err != nil {
 		return err
 	}
-	return c.read(resp, into)
+	return c.decodeBody(resp, into)
 }
 
-func (c *Client) read(resp *http.Response, into any) error {
+func (c *Client) decodeBody(resp *http.Response, into any) error {
 	defer resp.Body.Close()
 	if into == nil {
 		_, _ = io.Copy(io.Discard, resp.Body)
@@ -134,7 +136,7 @@
 // Prefill implements Engine.
 func (c *Client) Prefill(ctx context.Context, p Prefill) (Export, error) {
 	var x Export
-	return x, c.exchange(ctx, PathPrefill, p, &x)
+	return x, c.postJSON(ctx, PathPrefill, p, &x)
 }
 
 // Decode implements Engine.
@@ -152,7 +154,7 @@
 	return err
 }
 
-// errStream reports that a decode's answer broke off or can't be read.
+// errStream reports that the response to a decode is truncated or malformed.
 type errStream struct {
 	Err error
 }
@@ -160,10 +162,10 @@
 // Error implements error.
 func (e *errStream) Error() string { return fmt.Sprintf("bad engine stream: cause=%v", e.Err) }
 
-// ReadSteps reads a decode's answer, line by line, until its final token.
+// ReadSteps reads the response to a decode, line by line, up to its final token.
 func ReadSteps(r io.Reader, imported func(), token func(Token) error) error {
 	lines := bufio.NewScanner(r)
-	lines.Buffer(nil, maxLine)
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
 		var s Step
 		if err := json.Unmarshal(lines.Bytes(), &s); err != nil {
@@ -192,40 +194,40 @@
 // Handover implements Engine.
 func (c *Client) Handover(ctx context.Context, id string) (Export, error) {
 	var x Export
-	return x, c.exchange(ctx, PathHandover, id, &x)
+	return x, c.postJSON(ctx, PathHandover, id, &x)
 }
 
 // Release implements Engine.
 func (c *Client) Release(ctx context.Context, handle string) error {
-	return c.exchange(ctx, PathRelease, handle, nil)
+	return c.postJSON(ctx, PathRelease, handle, nil)
 }
 
 // Cancel implements Engine.
 func (c *Client) Cancel(ctx context.Context, id string) error {
-	return c.exchange(ctx, PathCancel, id, nil)
+	return c.postJSON(ctx, PathCancel, id, nil)
 }
 
 // Held implements Engine.
 func (c *Client) Held(ctx context.Context) ([]Holding, error) {
 	var out []Holding
-	return out, c.get(ctx, PathHeld, &out)
+	return out, c.getJSON(ctx, PathHeld, &out)
 }
 
 // Load implements Engine.
 func (c *Client) Load(ctx context.Context) (Load, error) {
 	var l Load
-	return l, c.get(ctx, PathLoad, &l)
+	return l, c.getJSON(ctx, PathLoad, &l)
 }
 
 // Events implements Engine.
 func (c *Client) Events(ctx context.Context, after uint64) ([]CacheEvent, error) {
 	var out []CacheEvent
-	return out, c.get(ctx, fmt.Sprintf("%s?after=%d", PathEvents, after), &out)
+	return out, c.getJSON(ctx, fmt.Sprintf("%s?after=%d", PathEvents, after), &out)
 }
 
 // Assign implements Engine.
 func (c *Client) Assign(ctx context.Context, f Fence, a Assignment) error {
-	return c.exchange(ctx, PathAssign, AssignOrder{f, a}, nil)
+	return c.postJSON(ctx, PathAssign, AssignOrder{f, a}, nil)
 }
 
 // ServiceClient calls a plain service.
@@ -234,7 +236,7 @@
 	http *http.Client
 }
 
-// NewServiceClient returns a client of the service at a base URL.
+// NewServiceClient returns a client for the service at a base URL.
 func NewServiceClient(base string) (*ServiceClient, error) {
 	u, err := url.Parse(base)
 	if err != nil {
@@ -245,8 +247,8 @@
 	}}}, nil
 }
 
-// serviceTransport never sends a call a second time: net/http repeats a request
-// whose reused connection broke, unless its connections are not reused.
+// serviceTransport returns a transport that never sends a call twice. It disables
+// keep-alives, because net/http retries a request if a reused connection fails.
 func serviceTransport() *http.Transport {
 	t := transport()
 	t.DisableKeepAlives = true
--- a/pkg/gossip/agent.go
+++ b/pkg/gossip/agent.go
@@ -10,31 +10,31 @@
 	"github.com/hopwell/hopwell/pkg/platform"
 )
 
-// DocumentKey is the key of the configuration document.
+// DocumentKey is the key of the configuration document in the key-value service.
 const DocumentKey = "hopwell/config"
 
-// Times and numbers of the spread. At 1,150 processes a watch of 20 s costs the
-// key-value service 58 reads a second.
+// Timeouts, intervals and fan-out of the distribution. A watch of 20 s in each of
+// 1,150 processes costs the key-value service 58 reads per second.
 const (
-	watchTime     = 20 * time.Second
-	watchRetry    = time.Second
-	watchRetryMax = 8 * time.Second
-	exchangeEvery = time.Second
-	callTime      = 700 * time.Millisecond
-	fanOut        = 3
-	startPeers    = 5
+	watchTimeout     = 20 * time.Second
+	watchRetry       = time.Second
+	watchRetryMax    = 8 * time.Second
+	exchangeInterval = time.Second
+	callTimeout      = 700 * time.Millisecond
+	fanOut           = 3
+	bootstrapPeers   = 5
 )
 
-// Peers reaches other processes of the fleet.
+// Peers sends calls to the other processes of the fleet.
 type Peers interface {
 	// Addresses returns the inner addresses of all other known processes.
 	Addresses() []string
-	// Exchange tells a peer our digest, with the document when it is wanted
-	// there, and returns the peer's digest, with its document if that is newer.
+	// Exchange sends our digest to a peer, and our document unless it is nil. It
+	// returns the peer's digest, and the peer's document if that is newer.
 	Exchange(ctx context.Context, address string, mine Digest, document []byte) (Digest, []byte, error)
 }
 
-// Agent keeps a Keeper up to date.
+// Agent keeps the document of a Keeper up to date.
 type Agent struct {
 	keeper *Keeper
 	kv     platform.KV
@@ -45,40 +45,42 @@
 	rng *rand.Rand
 }
 
-// NewAgent joins a keeper to the key-value service and to peers. The seed
-// decides which peers are asked.
+// NewAgent returns an agent that updates the keeper from the key-value service
+// and from peers. The seed is for the random choice of peers and the jitter.
 func NewAgent(k *Keeper, kv platform.KV, peers Peers, seed uint64) *Agent {
 	return &Agent{keeper: k, kv: kv, peers: peers, log: logs.For(logs.LayerFleet), rng: rand.New(rand.NewPCG(seed, 0))}
 }
 
-// Run works until the context ends.
+// Run runs the agent until the context ends.
 func (a *Agent) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Go(func() { a.watch(ctx) })
-	wg.Go(func() { a.spread(ctx) })
-	wg.Go(func() { a.compare(ctx) })
+	wg.Go(func() { a.pushChanges(ctx) })
+	wg.Go(func() { a.exchangePeriodically(ctx) })
 	wg.Wait()
 }
 
-// watch follows the key-value service. In an outage it asks ever less often:
-// whoever finds the service back first tells the others.
+// watch watches the document in the key-value service, with exponential backoff
+// during an outage. Backoff is enough, since the first process that reaches the
+// service again pushes a new document to its peers.
 func (a *Agent) watch(ctx context.Context) {
 	var version uint64
 	retry := watchRetry
 	for ctx.Err() == nil {
-		v, err := a.kv.Watch(ctx, DocumentKey, version, watchTime)
+		v, err := a.kv.Watch(ctx, DocumentKey, version, watchTimeout)
 		if err != nil {
-			a.pause(ctx, retry)
+			a.sleep(ctx, retry)
 			retry = min(2*retry, watchRetryMax)
 			continue
 		}
 		version, retry = v.Version, watchRetry
-		a.take(v.Data)
+		a.offer(v.Data)
 	}
 }
 
-// take offers a document and records the comparison.
-func (a *Agent) take(data []byte) {
+// offer offers a document to the keeper and confirms the present one unless the
+// offer fails.
+func (a *Agent) offer(data []byte) {
 	if _, err := a.keeper.Offer(data); err != nil {
 		a.log.Warn("document refused", err)
 		return
@@ -86,8 +88,8 @@
 	a.keeper.Confirm(time.Now())
 }
 
-// pause waits for about d.
-func (a *Agent) pause(ctx context.Context, d time.Duration) {
+// sleep waits for d with a jitter of ±25 %, or until the context ends.
+func (a *Agent) sleep(ctx context.Context, d time.Duration) {
 	a.mu.Lock()
 	jitter := time.Duration(a.rng.Int64N(int64(d) / 2))
 	a.mu.Unlock()
@@ -97,8 +99,8 @@
 	}
 }
 
-// spread tells some peers at once about each new document.
-func (a *Agent) spread(ctx context.Context) {
+// pushChanges pushes each newly adopted document to fanOut peers at once.
+func (a *Agent) pushChanges(ctx context.Context) {
 	for {
 		changed := a.keeper.Changed()
 		select {
@@ -110,42 +112,43 @@
 	}
 }
 
-// Push exchanges with up to n random peers at the same time and returns how
-// many answered.
+// Push calls Exchange for up to n random peers concurrently and returns the number
+// of successful exchanges.
 func (a *Agent) Push(ctx context.Context, n int) int {
-	targets := a.pick(n)
+	targets := a.randomPeers(n)
 	done := make(chan bool, len(targets))
 	for _, address := range targets {
 		go func() { done <- a.Exchange(ctx, address) == nil }()
 	}
-	answered := 0
+	succeeded := 0
 	for range targets {
 		if <-done {
-			answered++
+			succeeded++
 		}
 	}
-	return answered
+	return succeeded
 }
 
-// compare exchanges with a random peer now and then. At the start it asks
-// several, so that a process that begins in an outage learns the newest
-// document that any of them has.
-func (a *Agent) compare(ctx context.Context) {
+// exchangePeriodically exchanges with one random peer about every
+// exchangeInterval. Until the process has a document, it exchanges with
+// bootstrapPeers peers four times as often. A process that starts during an outage
+// thus gets the newest document that any of them has.
+func (a *Agent) exchangePeriodically(ctx context.Context) {
 	for ctx.Err() == nil {
 		n := 1
 		if _, known := a.keeper.Digest(); !known {
-			n = startPeers
+			n = bootstrapPeers
 		}
 		a.Push(ctx, n)
 		if _, known := a.keeper.Digest(); !known {
-			a.pause(ctx, exchangeEvery/4)
+			a.sleep(ctx, exchangeInterval/4)
 			continue
 		}
-		a.pause(ctx, exchangeEvery)
+		a.sleep(ctx, exchangeInterval)
 	}
 }
 
-func (a *Agent) pick(n int) []string {
+func (a *Agent) randomPeers(n int) []string {
 	all := append([]string(nil), a.peers.Addresses()...)
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -153,9 +156,10 @@
 	return all[:min(n, len(all))]
 }
 
-// Exchange compares documents with one peer; whoever is behind gets the other's.
+// Exchange compares revisions with one peer. The side with the older document
+// receives the newer one.
 func (a *Agent) Exchange(ctx context.Context, address string) error {
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	mine, _ := a.keeper.Digest()
 	theirs, document, err := a.peers.Exchange(ctx, address, mine, nil)
@@ -163,7 +167,7 @@
 		return err
 	}
 	if document != nil {
-		a.take(document)
+		a.offer(document)
 		return nil
 	}
 	a.keeper.Confirm(time.Now())
@@ -174,11 +178,11 @@
 	return err
 }
 
-// Answer is the other side of Exchange: it takes over what a peer sent and
-// returns what the peer lacks.
+// Answer handles an Exchange that a peer started: it offers the peer's document to
+// the keeper and returns our document if the peer's is older.
 func (a *Agent) Answer(theirs Digest, document []byte) (Digest, []byte) {
 	if document != nil {
-		a.take(document)
+		a.offer(document)
 	}
 	mine, known := a.keeper.Digest()
 	if known && mine.Revision > theirs.Revision {
--- a/pkg/gossip/change.go
+++ b/pkg/gossip/change.go
@@ -9,28 +9,28 @@
 	"github.com/hopwell/hopwell/pkg/platform"
 )
 
-// Bounds of one change.
+// Limits of one change.
 const (
-	changeTries   = 8
-	changeBackoff = 50 * time.Millisecond
-	writeTime     = 2 * time.Second
+	maxChangeAttempts = 8
+	changeBackoff     = 50 * time.Millisecond
+	attemptTimeout    = 2 * time.Second
 )
 
-// Change carries out an operator's edit: it commits by compare-and-swap, hands
-// the new document to peers, and only then returns. An answer that was lost is
-// settled by reading the document back and looking for the change's ID.
+// Change applies an operator's change to the document: it commits by
+// compare-and-swap, pushes the new document to peers, and then returns. After a
+// lost response it reads the document again and searches it for the change's ID.
 //
-// Errors are those of fleet.Document.Apply, what check returns, and
-// *ErrUnsettled when it can't be told whether the change took effect.
+// It returns the errors of fleet.Document.Apply, of check and of the key-value
+// service, and *ErrUnsettled if it is unknown whether the change took effect.
 func (a *Agent) Change(ctx context.Context, c *fleet.Change, check func(before, after *fleet.Document) error) (*fleet.Document, error) {
-	sent := false
+	mayHaveCommitted := false
 	var last error
-	for try := range changeTries {
+	for try := range maxChangeAttempts {
 		if try > 0 {
-			a.pause(ctx, changeBackoff<<min(try, 4))
+			a.sleep(ctx, changeBackoff<<min(try, 4))
 		}
 		next, wrote, err := a.tryChange(ctx, c, check)
-		sent = sent || wrote
+		mayHaveCommitted = mayHaveCommitted || wrote
 		if err == nil {
 			return next, nil
 		}
@@ -39,21 +39,22 @@
 		}
 		last = err
 	}
-	if !sent {
+	if !mayHaveCommitted {
 		return nil, last
 	}
 	return nil, &ErrUnsettled{ID: c.ID, Err: last}
 }
 
-// transient reports whether another try may help.
+// transient reports whether a retry may succeed.
 func transient(err error) bool {
 	var down *platform.ErrUnavailable
 	return errors.As(err, &down) || platform.IsConflict(err)
 }
 
-// tryChange reads, edits and swaps once. Wrote says that a swap was sent.
+// tryChange makes one attempt to read, change and swap the document. Wrote reports
+// whether a swap was sent that may have taken effect.
 func (a *Agent) tryChange(ctx context.Context, c *fleet.Change, check func(before, after *fleet.Document) error) (next *fleet.Document, wrote bool, err error) {
-	ctx, cancel := context.WithTimeout(ctx, writeTime)
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	v, err := a.kv.Get(ctx, DocumentKey)
 	if err != nil {
@@ -63,7 +64,7 @@
 	if err != nil {
 		return nil, false, err
 	}
-	a.take(v.Data)
+	a.offer(v.Data)
 	next, err = doc.Apply(c)
 	if err != nil {
 		return nil, false, err
@@ -79,7 +80,7 @@
 	if _, err := a.kv.Swap(ctx, DocumentKey, v.Version, data, 0); err != nil {
 		return nil, !platform.IsConflict(err), err
 	}
-	a.take(data)
+	a.offer(data)
 	a.Push(ctx, fanOut)
 	return next, true, nil
 }
--- a/pkg/gossip/keeper_test.go
+++ b/pkg/gossip/keeper_test.go
@@ -13,19 +13,19 @@
 	"github.com/hopwell/hopwell/pkg/spectest"
 )
 
-// mesh joins agents by calls that may be cut.
+// mesh connects agents by direct calls. A link can be cut in one direction.
 type mesh struct {
 	agents []*Agent
 	cut    map[[2]int]bool
 }
 
-// end is one agent's way to the others.
-type end struct {
+// meshPeers implements Peers for one agent of a mesh.
+type meshPeers struct {
 	m *mesh
 	i int
 }
 
-func (e end) Addresses() []string {
+func (e meshPeers) Addresses() []string {
 	var out []string
 	for j := range e.m.agents {
 		if j != e.i {
@@ -35,7 +35,7 @@
 	return out
 }
 
-func (e end) Exchange(_ context.Context, address string, mine Digest, document []byte) (Digest, []byte, error) {
+func (e meshPeers) Exchange(_ context.Context, address string, mine Digest, document []byte) (Digest, []byte, error) {
 	var j int
 	_, _ = fmt.Sscan(address, &j)
 	if e.m.cut[[2]int{e.i, j}] {
@@ -45,13 +45,13 @@
 	return d, doc, nil
 }
 
-// TestRevisionsOnlyGrowAndMeet: agents that receive documents in any order, and
-// are cut off from each other, never go back, and agree once they can talk.
-func TestRevisionsOnlyGrowAndMeet(t *testing.T) {
+// Agents receive documents in any order while links are cut. No agent may return
+// to an older revision, and all must converge once the links are restored.
+func TestRevisionsNeverDecreaseAndConverge(t *testing.T) {
 	spectest.Check(t, func(t *rapid.T) {
 		m := &mesh{cut: map[[2]int]bool{}}
 		for i := range 4 {
-			m.agents = append(m.agents, NewAgent(NewKeeper(), fake.NewKV(), end{m, i}, uint64(i)))
+			m.agents = append(m.agents, NewAgent(NewKeeper(), fake.NewKV(), meshPeers{m, i}, uint64(i)))
 		}
 		doc, _ := fleet.Decode(nil)
 		history := [][]byte{doc.Encode()}
@@ -65,11 +65,11 @@
 				}
 				doc = next
 				history = append(history, doc.Encode())
-				m.agents[agent(t)].take(doc.Encode())
+				m.agents[agent(t)].offer(doc.Encode())
 			},
-			"old news": func(t *rapid.T) { m.agents[agent(t)].take(rapid.SampledFrom(history).Draw(t, "document")) },
-			"cut":      func(t *rapid.T) { m.cut[[2]int{agent(t), agent(t)}] = rapid.Bool().Draw(t, "cut") },
-			"exchange": func(t *rapid.T) { _ = m.agents[agent(t)].Exchange(context.Background(), fmt.Sprint(agent(t))) },
+			"old document": func(t *rapid.T) { m.agents[agent(t)].offer(rapid.SampledFrom(history).Draw(t, "document")) },
+			"cut":          func(t *rapid.T) { m.cut[[2]int{agent(t), agent(t)}] = rapid.Bool().Draw(t, "cut") },
+			"exchange":     func(t *rapid.T) { _ = m.agents[agent(t)].Exchange(context.Background(), fmt.Sprint(agent(t))) },
 			"": func(t *rapid.T) {
 				for i, a := range m.agents {
 					d, _ := a.keeper.Digest()
@@ -97,7 +97,7 @@
 	})
 }
 
-func TestTwoDocumentsOfOneRevisionAreRefused(t *testing.T) {
+func TestOfferRefusesOtherDocumentOfSameRevision(t *testing.T) {
 	k := NewKeeper()
 	first, _ := fleet.Decode(nil)
 	a, _ := first.Apply(&fleet.Change{ID: "a", SetLabels: map[string]fleet.Labels{"x": {"k": "a"}}})
--- a/pkg/route/hopwell.go
+++ b/pkg/route/hopwell.go
@@ -10,32 +10,37 @@
 	"github.com/hopwell/hopwell/pkg/admission"
 )
 
-// Penalties of the choice, and the bounds on its cost.
+// Penalties of the cost function, and the bound on the pairs it is computed for.
 const (
-	// shortlist is how many prefill and decode candidates are paired.
+	// shortlist is the maximum number of prefill candidates, and of decode
+	// candidates, that are combined into pairs.
 	shortlist = 6
 	// domainDelay and regionDelay are the assumed one-way delays between
 	// failure domains and between regions, in seconds.
 	domainDelay = 0.001
 	regionDelay = 0.030
-	// stepWeight is what slowing a batch down costs against first-token time.
+	// stepWeight is the weight of the decode step time relative to the
+	// first-token time. It penalizes slowing down a batch.
 	stepWeight = 8
-	// latePerToken is the cost of a decode runner whose step would miss the
-	// target, for each multiple of the target.
-	latePerToken = 10
-	// shedFactor is by how much the best estimate must miss the target before
-	// the gateway refuses without asking any sidecar.
+	// slowStepPenalty is the penalty, in seconds, for a decode step time above the
+	// target, per multiple of the target by which it is exceeded.
+	slowStepPenalty = 10
+	// shedFactor is the ratio of estimated to target first-token time above
+	// which the gateway rejects a request without calling any sidecar. The
+	// target is taken to be at least the first-token time of an idle pair.
 	shedFactor = 2
-	// affinityBonus is what the runner that all gateways agree on for a cold
-	// prefix is preferred by, in seconds.
-	affinityBonus = 0.02
+	// maxAffinityCost is the largest cost, in seconds, that rendezvous hashing adds
+	// to a candidate for an uncached prefix. The runner that all gateways prefer
+	// for the prefix gets the smallest share of it.
+	maxAffinityCost = 0.02
 )
 
-// Hopwell is hopwell's own policy: it estimates for each pair the time to the
-// first token and between tokens and takes the cheapest.
+// Hopwell is the default policy. It estimates the time to the first token and
+// the time between tokens for each shortlisted pair and selects the pair with
+// the lowest cost.
 type Hopwell struct{}
 
-// scored is one candidate of the first pass.
+// scored is a candidate with its cost in the first pass, before pairing.
 type scored struct {
 	index int
 	cost  float64
@@ -43,23 +48,23 @@
 
 // Choose implements Policy.
 func (Hopwell) Choose(r *Request, s *Scratch) (Choice, error) {
-	s.pre = score(s.pre[:0], s.Prefills, func(x *State) float64 { return prefillCost(r, x) })
-	if len(s.pre) == 0 {
+	s.prefillShortlist = score(s.prefillShortlist[:0], s.Prefills, func(x *State) float64 { return prefillCost(r, x) })
+	if len(s.prefillShortlist) == 0 {
 		return Choice{}, &ErrNoRunner{Role: "prefill"}
 	}
-	s.dec = score(s.dec[:0], s.Decodes, func(x *State) float64 { return decodeCost(r, x) })
-	if len(s.dec) == 0 {
+	s.decodeShortlist = score(s.decodeShortlist[:0], s.Decodes, func(x *State) float64 { return decodeCost(r, x) })
+	if len(s.decodeShortlist) == 0 {
 		return Choice{}, &ErrNoRunner{Role: "decode"}
 	}
-	c := pair(r, s)
-	late := c.Estimate.FirstToken > shedFactor*max(r.FirstToken, idle(r, &s.Prefills[c.Prefill], &s.Decodes[c.Decode]))
+	c := cheapestPair(r, s)
+	late := c.Estimate.FirstToken > shedFactor*max(r.FirstToken, idleFirstToken(r, &s.Prefills[c.Prefill], &s.Decodes[c.Decode]))
 	if late && !r.Paid {
 		return Choice{}, &ErrLate{Estimate: c.Estimate.FirstToken, Target: r.FirstToken}
 	}
 	return c, nil
 }
 
-// score fills the shortlist of candidates with the least cost.
+// score appends the candidates with the lowest cost to out, at most shortlist.
 func score(out []scored, all []State, cost func(*State) float64) []scored {
 	for i := range all {
 		if all[i].Shunned {
@@ -71,16 +76,18 @@
 	return out[:min(len(out), shortlist)]
 }
 
-// prefillCost is the time until the KV cache is ready to leave.
+// prefillCost estimates the time until the KV cache is ready for transfer, plus
+// the network delay and the affinity cost.
 func prefillCost(r *Request, p *State) float64 {
 	if r.Exported {
 		return 0
 	}
-	return queueTime(r, p) + computeTime(r, p) + distance(r, p) + coldCost(r, p)
+	return queueTime(r, p) + computeTime(r, p) + networkDelay(r, p) + affinityCost(r, p)
 }
 
-// queueTime is the wait for work that goes before the request. Runners order
-// their queue by deadline, so a request due soon waits for urgent work only.
+// queueTime estimates the wait for work that is queued ahead of the request.
+// Runners order their queue by deadline, so a request that is due soon waits for
+// urgent work only.
 func queueTime(r *Request, p *State) float64 {
 	ahead := p.Queued
 	if r.FirstToken <= admission.UrgentWithin.Seconds() {
@@ -93,7 +100,7 @@
 	return float64(r.PromptTokens-p.Cached) / p.Rate
 }
 
-func distance(r *Request, x *State) float64 {
+func networkDelay(r *Request, x *State) float64 {
 	switch {
 	case x.Region != r.Region:
 		return regionDelay
@@ -103,16 +110,17 @@
 	return 0
 }
 
-// coldCost spreads cold prefixes so that gateways agree without a shared
-// state: each prefix has one preferred runner, by rendezvous hashing.
-func coldCost(r *Request, p *State) float64 {
+// affinityCost distributes uncached prefixes over the runners. Rendezvous hashing
+// gives each prefix one preferred runner, so that all gateways prefer the same
+// one without shared state.
+func affinityCost(r *Request, p *State) float64 {
 	if len(r.Blocks) == 0 || p.Cached > 0 {
 		return 0
 	}
-	return affinityBonus * rendezvous(r.Blocks[0], p.Hash)
+	return maxAffinityCost * rendezvous(r.Blocks[0], p.Hash)
 }
 
-// rendezvous returns a number in [0, 1) that depends on both arguments.
+// rendezvous hashes a block and a runner to a number in [0, 1).
 func rendezvous(block, runner uint64) float64 {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:8], block)
@@ -120,12 +128,13 @@
 	return float64(xxhash.Sum64(b[:])>>11) / (1 << 53)
 }
 
-// decodeCost is the wait for a slot and the cost of a larger batch.
+// decodeCost adds up the wait for a decode slot, the network delay and the
+// penalties for the step time.
 func decodeCost(r *Request, d *State) float64 {
 	step := stepTime(d)
-	cost := slotTime(r, d) + stepWeight*step + distance(r, d)
+	cost := slotWait(r, d) + stepWeight*step + networkDelay(r, d)
 	if r.PerToken > 0 && step > r.PerToken {
-		cost += latePerToken * (step/r.PerToken - 1)
+		cost += slowStepPenalty * (step/r.PerToken - 1)
 	}
 	return cost
 }
@@ -134,8 +143,9 @@
 	return d.StepBase + d.StepSlope*float64(d.Running+d.Reserved+1)
 }
 
-// slotTime is how long the runner has no room for the answer.
-func slotTime(r *Request, d *State) float64 {
+// slotWait estimates the wait until the runner has a batch slot and KV memory
+// for the response.
+func slotWait(r *Request, d *State) float64 {
 	bytes := float64(r.PromptTokens+r.MaxTokens) * d.KVPerToken
 	if d.Running+d.Reserved < d.Batch && bytes <= d.KVFree {
 		return 0
@@ -143,20 +153,21 @@
 	return max(d.SlotWait, d.StepBase)
 }
 
-// pair weighs the shortlisted pairs.
-func pair(r *Request, s *Scratch) Choice {
+// cheapestPair estimates all shortlisted pairs and selects the one with the
+// lowest cost.
+func cheapestPair(r *Request, s *Scratch) Choice {
 	c := Choice{Candidates: len(s.Prefills) * len(s.Decodes)}
-	for _, p := range s.pre {
-		for _, d := range s.dec {
+	for _, p := range s.prefillShortlist {
+		for _, d := range s.decodeShortlist {
 			e := estimate(r, &s.Prefills[p.index], &s.Decodes[d.index])
-			c.weigh(s, p.index, d.index, e)
+			c.insertPair(s, p.index, d.index, e)
 		}
 	}
 	return c
 }
 
-// weigh keeps the best candidates in order of cost.
-func (c *Choice) weigh(s *Scratch, p, d int, e Estimate) {
+// insertPair inserts a pair into the list of the best pairs, which is sorted by cost.
+func (c *Choice) insertPair(s *Scratch, p, d int, e Estimate) {
 	at := c.N
 	for at > 0 && e.Cost < c.Weighed[at-1].Estimate.Cost {
 		at--
@@ -172,25 +183,26 @@
 	c.Weighed[at] = Weighed{Prefill: s.Prefills[p].Name, Decode: s.Decodes[d].Name, Estimate: e}
 }
 
-// estimate adds up the times of a pair.
+// estimate computes the expected times and the cost of a pair.
 func estimate(r *Request, p, d *State) Estimate {
 	e := Estimate{PerToken: stepTime(d), Step: stepTime(d), Cached: p.Cached}
 	if !r.Exported {
 		e.Queue, e.Prefill = queueTime(r, p), computeTime(r, p)
 	}
 	e.Transfer = transferTime(r, p, d)
-	e.Network = distance(r, p) + distance(r, d)
+	e.Network = networkDelay(r, p) + networkDelay(r, d)
 	ready := e.Queue + e.Prefill + e.Transfer
-	e.Slot = max(0, slotTime(r, d)-ready)
+	e.Slot = max(0, slotWait(r, d)-ready)
 	e.FirstToken = ready + e.Slot + e.Step + e.Network
-	e.Cost = e.FirstToken + decodeCost(r, d) - slotTime(r, d)
+	e.Cost = e.FirstToken + decodeCost(r, d) - slotWait(r, d)
 	if !r.Exported {
-		e.Cost += coldCost(r, p)
+		e.Cost += affinityCost(r, p)
 	}
 	return e
 }
 
-// transferTime is the KV cache's time on the prefill runner's link.
+// transferTime estimates the transfer time of the KV cache over the prefill
+// runner's link, which the running transfers share.
 func transferTime(r *Request, p, d *State) float64 {
 	if p.LinkRate <= 0 {
 		return 0
@@ -198,8 +210,9 @@
 	return float64(r.PromptTokens) * d.KVPerToken * (1 + p.Transfers) / p.LinkRate
 }
 
-// idle is the first-token time that the pair would need with no other work.
-func idle(r *Request, p, d *State) float64 {
+// idleFirstToken estimates the first-token time of the pair if both runners had
+// no other work.
+func idleFirstToken(r *Request, p, d *State) float64 {
 	alone := *p
 	alone.Queued, alone.Urgent, alone.Transfers = 0, 0, 0
 	empty := *d
