--- a/pkg/httpapi/api.go
+++ b/pkg/httpapi/api.go
@@ -1,5 +1,5 @@
-// Package httpapi is the callers' side of a gateway: the OpenAI-compatible API,
-// and the way to plain services.
+// Package httpapi serves a gateway's clients: the OpenAI-compatible API and the
+// proxy for plain services.
 package httpapi
 
 import (
@@ -17,23 +17,24 @@
 	"github.com/hopwell/hopwell/pkg/openai"
 )
 
-// Headers of requests and answers.
+// Headers of requests and responses.
 const (
 	// HeaderKind names the request kind that selectors distinguish.
 	HeaderKind = "Hopwell-Kind"
-	// HeaderWorkspace names the tenant.
+	// HeaderWorkspace names the workspace of the request.
 	HeaderWorkspace = "Hopwell-Workspace"
 	// HeaderRepeatable set to "no" marks a request that runs at most once.
 	HeaderRepeatable = "Hopwell-Repeatable"
-	// HeaderKey is the caller's idempotency key.
+	// HeaderKey carries the client's idempotency key.
 	HeaderKey = "Idempotency-Key"
-	// HeaderOutcome tells in every answer what became of the request.
+	// HeaderOutcome reports the outcome of the request. A streamed response lacks
+	// it, because its headers are sent before the outcome is known.
 	HeaderOutcome = "Hopwell-Outcome"
-	// HeaderRequest is the request's ID, for `hopwell explain`.
+	// HeaderRequest carries the request ID, which `hopwell explain` takes.
 	HeaderRequest = "X-Request-Id"
 )
 
-// Defaults for what a caller leaves out.
+// Defaults for fields that a request leaves out, and limits on its fields.
 const (
 	defaultKind      = "default"
 	defaultWorkspace = "default"
@@ -41,19 +42,19 @@
 	maxMaxTokens     = 32768
 	maxNameBytes     = 128
 	maxKeyBytes      = 256
-	maxHeader        = 64 << 10
+	maxHeaderBytes   = 64 << 10
 )
 
-// MaxBody is the largest request body, in bytes.
+// MaxBody limits the body of one request, in bytes.
 const MaxBody = 2 << 20
 
-// API answers callers.
+// API is the HTTP handler for clients of a gateway.
 type API struct {
 	g   *gateway.Gateway
 	mux *http.ServeMux
 }
 
-// New returns the handler of a gateway's callers.
+// New returns the handler for clients of g.
 func New(g *gateway.Gateway) *API {
 	a := &API{g: g, mux: http.NewServeMux()}
 	a.mux.HandleFunc("POST /v1/completions", a.completions)
@@ -70,14 +71,15 @@
 
 // ServeHTTP implements http.Handler.
 func (a *API) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if headerBytes(r.Header) > maxHeader {
+	if headerBytes(r.Header) > maxHeaderBytes {
 		writeError(w, "", &errRequest{Status: http.StatusRequestHeaderFieldsTooLarge, Code: "header_too_large", Message: "the headers are over 64 KiB"})
 		return
 	}
 	a.mux.ServeHTTP(w, r)
 }
 
-// headerBytes is the size of a request's headers.
+// headerBytes returns the total size of the names and values in h, in bytes. A
+// name counts once for each of its values.
 func headerBytes(h http.Header) int {
 	n := 0
 	for name, values := range h {
@@ -88,7 +90,8 @@
 	return n
 }
 
-// health is the balancer's health page: it fails first when the gateway drains.
+// health serves the load balancer's health check. The check fails as the first
+// step of a drain, so that the balancer stops sending requests.
 func (a *API) health(w http.ResponseWriter, _ *http.Request) {
 	if !a.g.Ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -120,18 +123,19 @@
 	writeError(w, "", &gateway.ErrUnknownModel{Model: r.PathValue("model")})
 }
 
-// caller is what all requests tell by headers.
-type caller struct {
+// requestInfo holds the request ID and what the headers of a request state.
+type requestInfo struct {
 	id, kind, workspace, key string
 	notRepeatable            bool
-	// keyed says that a key proved the workspace.
-	keyed bool
+	// authenticated is set if the workspace comes from a valid API key.
+	authenticated bool
 }
 
-// identify reads the headers of a request. It fails with *errRequest and, where keys are in
-// force, *workspace.ErrCredential: the key then says which workspace it is.
-func (a *API) identify(r *http.Request) (caller, error) {
-	c, err := read(r)
+// identify reads the headers of a request. If API keys are in force, the key
+// determines the workspace. It fails with *errRequest or, if API keys are in force,
+// *workspace.ErrCredential.
+func (a *API) identify(r *http.Request) (requestInfo, error) {
+	c, err := readHeaders(r)
 	if err != nil {
 		return c, err
 	}
@@ -146,13 +150,13 @@
 	if claimed := r.Header.Get(HeaderWorkspace); claimed != "" && claimed != w.Name {
 		return c, &errRequest{Status: http.StatusForbidden, Code: "workspace_mismatch", Param: HeaderWorkspace, Message: "the key is that of another workspace"}
 	}
-	c.workspace, c.keyed = w.Name, true
+	c.workspace, c.authenticated = w.Name, true
 	return c, nil
 }
 
-// read reads the headers of a request. It fails with *errRequest.
-func read(r *http.Request) (caller, error) {
-	c := caller{
+// readHeaders parses the headers of a request. It fails with *errRequest.
+func readHeaders(r *http.Request) (requestInfo, error) {
+	c := requestInfo{
 		id:   uuid.NewString(),
 		kind: r.Header.Get(HeaderKind), workspace: r.Header.Get(HeaderWorkspace), key: r.Header.Get(HeaderKey),
 	}
@@ -178,7 +182,7 @@
 	return c, nil
 }
 
-// readBody reads a request's body within MaxBody.
+// readBody reads a request's body and rejects one that is larger than MaxBody.
 func readBody(r *http.Request) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, MaxBody+1))
 	if err != nil {
@@ -190,7 +194,7 @@
 	return body, nil
 }
 
-// readJSON reads a request's body as JSON.
+// readJSON reads a request's body and decodes it as JSON.
 func readJSON(r *http.Request, into any) error {
 	body, err := readBody(r)
 	if err != nil {
@@ -199,7 +203,7 @@
 	return decodeJSON(body, into)
 }
 
-// decodeJSON reads a body and says where it is wrong.
+// decodeJSON decodes a body. Its error names the invalid field, if it is known.
 func decodeJSON(body []byte, into any) error {
 	if !utf8.Valid(body) {
 		return badRequest("body", "is not UTF-8")
@@ -224,5 +228,6 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// created is the time of an answer, in OpenAI's unit.
+// created returns the current time as the API's field of that name has it: in
+// seconds since the Unix epoch.
 func created() int64 { return time.Now().Unix() }
--- a/pkg/httpapi/api_test.go
+++ b/pkg/httpapi/api_test.go
@@ -23,7 +23,7 @@
 
 func TestHTTPAPI(t *testing.T) { spectest.Run(t, "httpapi") }
 
-// newAPI is the API of a gateway that knows no runner.
+// newAPI returns the API of a gateway without runners.
 func newAPI() *API {
 	n := node.New(node.Options{Self: platform.Instance{Name: "g"}, KV: fake.NewKV(), List: fake.NewList(), Dial: wire.TCP})
 	policy, err := route.New(route.NameHopwell)
@@ -33,7 +33,8 @@
 	return New(gateway.New(n, gateway.Options{Policy: policy, Lease: gateway.DefaultLease, MaxOpen: 2, MaxPerWorkspace: 2, MaxPrompt: 1000}))
 }
 
-// post sends a body and returns the status and the error in the answer.
+// post sends a body and returns the status, the error and the headers of the
+// response.
 func post(path, body string, headers ...string) (int, openai.Error, http.Header) {
 	r := httptest.NewRequest(http.MethodPost, path, strings.NewReader(body))
 	for i := 0; i < len(headers); i += 2 {
@@ -47,7 +48,7 @@
 }
 
 var _ = Describe("a bad request", func() {
-	DescribeTable("gets a clear answer that says that it was not run", func(body string, status int, code, param string, headers ...string) {
+	DescribeTable("is rejected with a specific error and the outcome not_run", func(body string, status int, code, param string, headers ...string) {
 		got, e, h := post("/v1/completions", body, headers...)
 		Expect(got).To(Equal(status))
 		Expect(e.Code).To(Equal(code))
@@ -57,22 +58,22 @@
 			Expect(*e.Param).To(Equal(param))
 		}
 	},
-		Entry("no JSON", `{"model":`, 400, "invalid_value", "body"),
-		Entry("a wrong type", `{"model":7}`, 400, "invalid_value", "model"),
+		Entry("invalid JSON", `{"model":`, 400, "invalid_value", "body"),
+		Entry("a field of the wrong type", `{"model":7}`, 400, "invalid_value", "model"),
 		Entry("no model", `{"prompt":"x"}`, 400, "invalid_value", "model"),
 		Entry("no prompt", `{"model":"m"}`, 400, "invalid_value", "prompt"),
 		Entry("a prompt of numbers", `{"model":"m","prompt":[1,2]}`, 400, "invalid_value", "body"),
-		Entry("too many answers", `{"model":"m","prompt":"x","n":3}`, 400, "invalid_value", "n"),
-		Entry("a negative length", `{"model":"m","prompt":"x","max_tokens":-1}`, 400, "invalid_value", "max_tokens"),
+		Entry("more than one choice", `{"model":"m","prompt":"x","n":3}`, 400, "invalid_value", "n"),
+		Entry("a negative max_tokens", `{"model":"m","prompt":"x","max_tokens":-1}`, 400, "invalid_value", "max_tokens"),
 		Entry("an unknown model", `{"model":"m","prompt":"x"}`, 404, "model_not_found", ""),
 		Entry("a prompt that is too long", `{"model":"m","prompt":"`+strings.Repeat("x", 5000)+`"}`, 400, "context_length_exceeded", ""),
 		Entry("a body that is not UTF-8", "{\"model\":\"m\",\"prompt\":\"a\xffb\"}", 400, "invalid_value", "body"),
 		Entry("a body that is too large", strings.Repeat(" ", MaxBody+1), 413, "body_too_large", ""),
 		Entry("headers that are too large", `{"model":"m","prompt":"x"}`, 431, "header_too_large", "", "X", strings.Repeat("x", 70000)),
-		Entry("a bad mark", `{"model":"m","prompt":"x"}`, 400, "invalid_value", HeaderRepeatable, HeaderRepeatable, "perhaps"),
-		Entry("a key that is too long", `{"model":"m","prompt":"x"}`, 400, "invalid_value", HeaderKey, HeaderKey, strings.Repeat("k", 300)),
+		Entry("an invalid repeatable header", `{"model":"m","prompt":"x"}`, 400, "invalid_value", HeaderRepeatable, HeaderRepeatable, "perhaps"),
+		Entry("an idempotency key that is too long", `{"model":"m","prompt":"x"}`, 400, "invalid_value", HeaderKey, HeaderKey, strings.Repeat("k", 300)),
 	)
-	It("to an unknown path is told so", func() {
+	It("for an unknown path gets status 404 with code not_found", func() {
 		got, e, _ := post("/v2/x", "")
 		Expect(got).To(Equal(404))
 		Expect(e.Code).To(Equal("not_found"))
--- a/pkg/httpapi/errors.go
+++ b/pkg/httpapi/errors.go
@@ -16,7 +16,7 @@
 	"github.com/hopwell/hopwell/pkg/workspace"
 )
 
-// errRequest reports what is wrong with a request itself.
+// errRequest reports an invalid request.
 type errRequest struct {
 	Status               int
 	Code, Param, Message string
@@ -31,16 +31,16 @@
 	return &errRequest{Status: http.StatusBadRequest, Code: "invalid_value", Param: param, Message: message}
 }
 
-// answer is an error as a caller sees it.
-type answer struct {
-	status int
-	retry  time.Duration
-	body   openai.Error
+// errorResponse is an error response to a client.
+type errorResponse struct {
+	status     int
+	retryAfter time.Duration
+	body       openai.Error
 }
 
-// describe turns an error and an outcome into what the caller sees.
-func describe(id string, err error, outcome request.Outcome) answer {
-	a := answer{status: http.StatusBadGateway, body: openai.Error{
+// describe returns the error response for the error and the outcome of a request.
+func describe(id string, err error, outcome request.Outcome) errorResponse {
+	a := errorResponse{status: http.StatusBadGateway, body: openai.Error{
 		Message: err.Error(), Type: "server_error", Code: "runner_failed",
 		Outcome: string(outcome), Request: id,
 	}}
@@ -58,7 +58,7 @@
 		a.set(http.StatusUnauthorized, "invalid_request_error", "invalid_api_key")
 	case errors.As(err, &used):
 		a.set(http.StatusTooManyRequests, string(used.Limit.Unit), "rate_limit_exceeded")
-		a.retry = max(used.After, time.Millisecond)
+		a.retryAfter = max(used.After, time.Millisecond)
 	case errors.As(err, &bad):
 		a.set(bad.Status, "invalid_request_error", bad.Code)
 		a.body.Message = bad.Message
@@ -71,45 +71,45 @@
 		a.set(http.StatusBadRequest, "invalid_request_error", "context_length_exceeded")
 	case errors.As(err, &limit):
 		a.set(http.StatusTooManyRequests, "rate_limit_error", "too_many_open_requests")
-		a.retry = time.Second
+		a.retryAfter = time.Second
 	case errors.As(err, &held):
-		// The caller's key was used before: whether that request ran is that
-		// request's outcome, so this answer must not say that nothing ran.
+		// An earlier request used the same idempotency key. Whether it ran is not
+		// known here, so this response must not report that nothing ran.
 		a.set(http.StatusConflict, "invalid_request_error", "key_in_use")
 		a.body.Outcome = string(request.Unknown)
 	case outcome == request.NotRun && (errors.As(err, &shed) || errors.As(err, &stale)):
 		a.set(http.StatusServiceUnavailable, "overloaded_error", "no_capacity")
-		a.retry = time.Second
+		a.retryAfter = time.Second
 		if shed != nil {
-			a.retry = shed.RetryAfter
+			a.retryAfter = shed.RetryAfter
 		}
 	case outcome == request.NotRun:
 		a.set(http.StatusServiceUnavailable, "server_error", "no_runner")
-		a.retry = time.Second
+		a.retryAfter = time.Second
 	}
 	return a
 }
 
-func (a *answer) set(status int, kind, code string) {
+func (a *errorResponse) set(status int, kind, code string) {
 	a.status, a.body.Type, a.body.Code = status, kind, code
 }
 
-// writeError answers a request that was not run.
+// writeError writes the error response for a request that was not run.
 func writeError(w http.ResponseWriter, id string, err error) {
-	writeAnswer(w, describe(id, err, request.NotRun))
+	writeErrorResponse(w, describe(id, err, request.NotRun))
 }
 
-// writeAnswer answers with an error. It says in the header, too, whether the
-// request ran and when to come back.
-func writeAnswer(w http.ResponseWriter, a answer) {
+// writeErrorResponse writes an error response. Its headers repeat the outcome and
+// carry the time after which the client may retry.
+func writeErrorResponse(w http.ResponseWriter, a errorResponse) {
 	h := w.Header()
 	h.Set(HeaderOutcome, a.body.Outcome)
 	if a.body.Request != "" {
 		h.Set(HeaderRequest, a.body.Request)
 	}
-	if a.retry > 0 {
-		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(a.retry.Seconds()))))
-		h.Set("Retry-After-Ms", strconv.FormatInt(a.retry.Milliseconds(), 10))
+	if a.retryAfter > 0 {
+		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(a.retryAfter.Seconds()))))
+		h.Set("Retry-After-Ms", strconv.FormatInt(a.retryAfter.Milliseconds(), 10))
 	}
 	writeJSON(w, a.status, openai.ErrorBody{Error: a.body})
 }
--- a/pkg/httpapi/generate.go
+++ b/pkg/httpapi/generate.go
@@ -9,25 +9,27 @@
 	"github.com/hopwell/hopwell/pkg/openai"
 )
 
-// job is a generation as both endpoints ask for it.
+// job is a generation request in the form that both endpoints share.
 type job struct {
 	model, prompt, user string
 	maxTokens, n        int
 	stream, usage       bool
-	shape               shape
+	format              responseFormat
 }
 
-// shape writes answers in one endpoint's form.
-type shape interface {
-	// whole is the answer in one piece.
-	whole(m meta, text, reason string, u openai.Usage) any
-	// chunk is one piece of a streamed answer; reason is empty but at the end.
+// responseFormat builds the response bodies of one endpoint.
+type responseFormat interface {
+	// full returns the body of a response that is not streamed.
+	full(m meta, text, reason string, u openai.Usage) any
+	// chunk returns one event of a streamed response; reason is empty except in
+	// the last chunk.
 	chunk(m meta, text, reason string, first bool) any
-	// usage is the last piece of a stream whose caller wants the counts.
+	// usage returns the event with the token counts, which ends a stream if the
+	// client set include_usage.
 	usage(m meta, u openai.Usage) any
 }
 
-// meta is what all pieces of an answer repeat.
+// meta holds the fields that every chunk of a response repeats.
 type meta struct {
 	id, model string
 	created   int64
@@ -41,7 +43,7 @@
 	}
 	a.generate(w, r, job{
 		model: body.Model, prompt: string(body.Prompt), user: body.User, maxTokens: body.MaxTokens,
-		n: body.N, stream: body.Stream, usage: wantsUsage(body.StreamOptions), shape: completionShape{},
+		n: body.N, stream: body.Stream, usage: wantsUsage(body.StreamOptions), format: completionFormat{},
 	})
 }
 
@@ -57,14 +59,14 @@
 	}
 	a.generate(w, r, job{
 		model: body.Model, prompt: body.Prompt(), user: body.User, maxTokens: max(body.MaxTokens, body.MaxCompletionTokens),
-		n: body.N, stream: body.Stream, usage: wantsUsage(body.StreamOptions), shape: chatShape{},
+		n: body.N, stream: body.Stream, usage: wantsUsage(body.StreamOptions), format: chatFormat{},
 	})
 }
 
 func wantsUsage(o *openai.StreamOptions) bool { return o != nil && o.IncludeUsage }
 
-// check returns *errRequest for the first fault of a job, and fills in defaults.
-func (j *job) check() error {
+// validate fills in defaults and returns *errRequest for the first invalid field.
+func (j *job) validate() error {
 	switch {
 	case j.model == "":
 		return badRequest("model", "expected the name of a model")
@@ -81,11 +83,11 @@
 	return nil
 }
 
-// generate runs a job and answers in one piece or as a stream.
+// generate runs a job and writes the response, whole or as a stream.
 func (a *API) generate(w http.ResponseWriter, r *http.Request, j job) {
 	c, err := a.identify(r)
 	if err == nil {
-		err = j.check()
+		err = j.validate()
 	}
 	if err != nil {
 		writeError(w, c.id, err)
@@ -95,13 +97,14 @@
 		ID: c.id, Workspace: c.workspace, Kind: c.kind, Model: j.model, Prompt: j.prompt,
 		MaxTokens: j.maxTokens, Key: c.key, NotRepeatable: c.notRepeatable,
 	}
-	s := &answerSink{w: w, job: &j, meta: meta{id: c.id, model: j.model, created: created()}}
+	s := &responseSink{w: w, job: &j, meta: meta{id: c.id, model: j.model, created: created()}}
 	res := a.g.Generate(r.Context(), req, s)
 	s.end(&res)
 }
 
-// answerSink writes an answer.
-type answerSink struct {
+// responseSink writes the response of a generation: whole at its end, or as a stream of
+// server-sent events.
+type responseSink struct {
 	w       http.ResponseWriter
 	job     *job
 	meta    meta
@@ -110,18 +113,18 @@
 }
 
 // Text implements gateway.Sink.
-func (s *answerSink) Text(text string, _ int) error {
+func (s *responseSink) Text(text string, _ int) error {
 	if !s.job.stream {
 		s.text.WriteString(text)
 		return nil
 	}
 	first := !s.started
 	s.start()
-	return s.event(s.job.shape.chunk(s.meta, text, "", first))
+	return s.writeEvent(s.job.format.chunk(s.meta, text, "", first))
 }
 
-// start sends the head of a streamed answer.
-func (s *answerSink) start() {
+// start sends the status and the headers of a streamed response, once.
+func (s *responseSink) start() {
 	if s.started {
 		return
 	}
@@ -133,16 +136,16 @@
 	s.w.WriteHeader(http.StatusOK)
 }
 
-// event sends one server-sent event.
-func (s *answerSink) event(v any) error {
+// writeEvent sends one server-sent writeEvent.
+func (s *responseSink) writeEvent(v any) error {
 	data, err := json.Marshal(v)
 	if err != nil {
 		return err
 	}
-	return s.raw(string(data))
+	return s.writeData(string(data))
 }
 
-func (s *answerSink) raw(data string) error {
+func (s *responseSink) writeData(data string) error {
 	if _, err := s.w.Write([]byte("data: " + data + "\n\n")); err != nil {
 		return err
 	}
@@ -152,10 +155,10 @@
 	return nil
 }
 
-// end sends the end of an answer, or the error that took its place. A stream
-// that broke off gets an error event and no [DONE], so that it can't be taken
-// for a whole one.
-func (s *answerSink) end(res *gateway.Result) {
+// end completes the response, or reports the error instead. A stream that failed
+// ends with an error event and without [DONE], so that a client can't take it for
+// a complete one.
+func (s *responseSink) end(res *gateway.Result) {
 	if res.Err != nil {
 		s.fail(res)
 		return
@@ -164,82 +167,82 @@
 	if !s.job.stream {
 		s.w.Header().Set(HeaderRequest, s.meta.id)
 		s.w.Header().Set(HeaderOutcome, string(res.Outcome))
-		writeJSON(s.w, http.StatusOK, s.job.shape.whole(s.meta, s.text.String(), res.Reason, u))
+		writeJSON(s.w, http.StatusOK, s.job.format.full(s.meta, s.text.String(), res.Reason, u))
 		return
 	}
 	s.start()
-	_ = s.event(s.job.shape.chunk(s.meta, "", res.Reason, false))
+	_ = s.writeEvent(s.job.format.chunk(s.meta, "", res.Reason, false))
 	if s.job.usage {
-		_ = s.event(s.job.shape.usage(s.meta, u))
+		_ = s.writeEvent(s.job.format.usage(s.meta, u))
 	}
-	_ = s.raw("[DONE]")
+	_ = s.writeData("[DONE]")
 }
 
-func (s *answerSink) fail(res *gateway.Result) {
+func (s *responseSink) fail(res *gateway.Result) {
 	a := describe(s.meta.id, res.Err, res.Outcome)
 	if !s.started {
-		writeAnswer(s.w, a)
+		writeErrorResponse(s.w, a)
 		return
 	}
-	_ = s.event(openai.ErrorBody{Error: a.body})
+	_ = s.writeEvent(openai.ErrorBody{Error: a.body})
 }
 
-// completionShape is the form of /v1/completions.
-type completionShape struct{}
+// completionFormat builds the response bodies of /v1/completions.
+type completionFormat struct{}
 
-func (completionShape) piece(m meta, text, reason string) openai.Completion {
+func (completionFormat) base(m meta, text, reason string) openai.Completion {
 	return openai.Completion{
 		ID: "cmpl-" + m.id, Object: openai.ObjectCompletion, Created: m.created, Model: m.model,
 		Choices: []openai.CompletionChoice{{Text: text, FinishReason: optional(reason)}},
 	}
 }
 
-func (f completionShape) whole(m meta, text, reason string, u openai.Usage) any {
-	c := f.piece(m, text, reason)
+func (f completionFormat) full(m meta, text, reason string, u openai.Usage) any {
+	c := f.base(m, text, reason)
 	c.Usage = &u
 	return c
 }
 
-func (f completionShape) chunk(m meta, text, reason string, _ bool) any {
-	return f.piece(m, text, reason)
+func (f completionFormat) chunk(m meta, text, reason string, _ bool) any {
+	return f.base(m, text, reason)
 }
 
-func (f completionShape) usage(m meta, u openai.Usage) any {
-	c := f.piece(m, "", "")
+func (f completionFormat) usage(m meta, u openai.Usage) any {
+	c := f.base(m, "", "")
 	c.Choices, c.Usage = []openai.CompletionChoice{}, &u
 	return c
 }
 
-// chatShape is the form of /v1/chat/completions.
-type chatShape struct{}
+// chatFormat builds the response bodies of /v1/chat/completions.
+type chatFormat struct{}
 
-func (chatShape) piece(m meta, object string, choices ...openai.ChatChoice) openai.Chat {
+func (chatFormat) base(m meta, object string, choices ...openai.ChatChoice) openai.Chat {
 	return openai.Chat{ID: "chatcmpl-" + m.id, Object: object, Created: m.created, Model: m.model, Choices: choices}
 }
 
-func (f chatShape) whole(m meta, text, reason string, u openai.Usage) any {
-	c := f.piece(m, openai.ObjectChat, openai.ChatChoice{
+func (f chatFormat) full(m meta, text, reason string, u openai.Usage) any {
+	c := f.base(m, openai.ObjectChat, openai.ChatChoice{
 		Message: &openai.ChatMessage{Role: "assistant", Content: text}, FinishReason: optional(reason),
 	})
 	c.Usage = &u
 	return c
 }
 
-func (f chatShape) chunk(m meta, text, reason string, first bool) any {
+func (f chatFormat) chunk(m meta, text, reason string, first bool) any {
 	delta := &openai.ChatMessage{Content: text}
 	if first {
 		delta.Role = "assistant"
 	}
-	return f.piece(m, openai.ObjectChunk, openai.ChatChoice{Delta: delta, FinishReason: optional(reason)})
+	return f.base(m, openai.ObjectChunk, openai.ChatChoice{Delta: delta, FinishReason: optional(reason)})
 }
 
-func (f chatShape) usage(m meta, u openai.Usage) any {
-	c := f.piece(m, openai.ObjectChunk)
+func (f chatFormat) usage(m meta, u openai.Usage) any {
+	c := f.base(m, openai.ObjectChunk)
 	c.Choices, c.Usage = []openai.ChatChoice{}, &u
 	return c
 }
 
-// optional returns nil for an empty text.
+// optional returns a pointer to s, or nil if s is empty.
 func optional(s string) *string {
 	if s == "" {
 		return nil
--- a/pkg/httpapi/service.go
+++ b/pkg/httpapi/service.go
@@ -7,13 +7,14 @@
 	"github.com/hopwell/hopwell/pkg/request"
 )
 
-// hopHeaders belong to one connection and are not passed on (RFC 9110, 7.6.1).
+// hopHeaders are hop-by-hop headers: they apply to one connection and are not
+// forwarded (RFC 9110, 7.6.1).
 var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// service passes a call to a plain service: /services/NAME/PATH becomes /PATH.
+// service forwards a request to a plain service: /services/NAME/PATH becomes /PATH.
 func (a *API) service(w http.ResponseWriter, r *http.Request) {
 	c, err := a.identify(r)
 	var body []byte
@@ -30,7 +31,7 @@
 	}
 	header := endToEnd(r.Header)
 	header.Set(HeaderRequest, c.id)
-	if c.keyed {
+	if c.authenticated {
 		header.Del("Authorization")
 		header.Set(HeaderWorkspace, c.workspace)
 	}
@@ -43,7 +44,8 @@
 	s.end(&res)
 }
 
-// endToEnd copies the headers that are passed on.
+// endToEnd returns a copy of the headers that are forwarded: without the
+// hop-by-hop headers and Content-Length.
 func endToEnd(h http.Header) http.Header {
 	out := h.Clone()
 	for _, name := range hopHeaders {
@@ -53,8 +55,8 @@
 	return out
 }
 
-// serviceSink writes a service's answer. The body is sent when it is complete,
-// so that a caller never takes a part of it for the whole.
+// serviceSink writes a service's response. It buffers the body and sends it when
+// it is complete, so that a client never takes a part for the whole.
 type serviceSink struct {
 	w      http.ResponseWriter
 	id     string
@@ -76,7 +78,7 @@
 
 func (s *serviceSink) end(res *gateway.Result) {
 	if res.Err != nil {
-		writeAnswer(s.w, describe(s.id, res.Err, res.Outcome))
+		writeErrorResponse(s.w, describe(s.id, res.Err, res.Outcome))
 		return
 	}
 	for name, values := range s.header {
