--- a/pkg/openai/types.go
+++ b/pkg/openai/types.go
@@ -1,6 +1,6 @@
-// Package openai holds the wire types of the OpenAI-compatible API that callers
-// use: what client libraries send and expect. Fields that hopwell does not act
-// on are passed over, as such servers do.
+// Package openai holds the wire types of the OpenAI-compatible API: what client
+// libraries send and expect. Request fields that hopwell does not support are
+// ignored, as other servers of this API do.
 package openai
 
 import (
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// Object names in answers.
+// Values of the object field in responses.
 const (
 	ObjectCompletion = "text_completion"
 	ObjectChat       = "chat.completion"
@@ -41,18 +41,19 @@
 	User                string         `json:"user"`
 }
 
-// StreamOptions refine a streamed answer.
+// StreamOptions are the options of a streamed response.
 type StreamOptions struct {
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// Message is one message of a chat.
+// Message is one message of a chat request.
 type Message struct {
 	Role    string `json:"role"`
 	Content Text   `json:"content"`
 }
 
-// Text is a string, or an array of strings or of text parts, which are joined.
+// Text is decoded from a string, or from an array of strings and text parts, which
+// are concatenated.
 type Text string
 
 // UnmarshalJSON implements json.Unmarshaler. It fails with *ErrText.
@@ -78,7 +79,7 @@
 	return nil
 }
 
-// part reads one element of an array of texts.
+// part decodes one element of such an array: a string or a text part.
 func part(data []byte) (string, error) {
 	var s string
 	if json.Unmarshal(data, &s) == nil {
@@ -100,7 +101,7 @@
 // Error implements error.
 func (e *ErrText) Error() string { return "expected a string, or an array of strings or text parts" }
 
-// Prompt joins a chat's messages into the text that the engine gets.
+// Prompt renders the messages as the prompt text for the engine.
 func (r *ChatRequest) Prompt() string {
 	var b strings.Builder
 	for _, m := range r.Messages {
@@ -117,7 +118,7 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// Completion is an answer of /v1/completions, or one chunk of it.
+// Completion is a response of /v1/completions, or one chunk of a streamed one.
 type Completion struct {
 	ID      string             `json:"id"`
 	Object  string             `json:"object"`
@@ -127,14 +128,14 @@
 	Usage   *Usage             `json:"usage,omitempty"`
 }
 
-// CompletionChoice is the text of a completion or of one chunk.
+// CompletionChoice holds the text of a completion or of one chunk.
 type CompletionChoice struct {
 	Index        int     `json:"index"`
 	Text         string  `json:"text"`
 	FinishReason *string `json:"finish_reason"`
 }
 
-// Chat is an answer of /v1/chat/completions, or one chunk of it.
+// Chat is a response of /v1/chat/completions, or one chunk of a streamed one.
 type Chat struct {
 	ID      string       `json:"id"`
 	Object  string       `json:"object"`
@@ -144,7 +145,7 @@
 	Usage   *Usage       `json:"usage,omitempty"`
 }
 
-// ChatChoice has Message in a whole answer and Delta in a chunk.
+// ChatChoice has Message in a response that is not streamed and Delta in a chunk.
 type ChatChoice struct {
 	Index        int          `json:"index"`
 	Message      *ChatMessage `json:"message,omitempty"`
@@ -152,19 +153,19 @@
 	FinishReason *string      `json:"finish_reason"`
 }
 
-// ChatMessage is a message of an answer.
+// ChatMessage is a message of a response, or the part of it in one chunk.
 type ChatMessage struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content"`
 }
 
-// Models is the answer of /v1/models.
+// Models is the response of /v1/models.
 type Models struct {
 	Object string  `json:"object"`
 	Data   []Model `json:"data"`
 }
 
-// Model is one model on offer.
+// Model is one available model.
 type Model struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
@@ -172,8 +173,8 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// ErrorBody is the body of every error answer, and of an error event inside a
-// stream.
+// ErrorBody is the body of every error response, and the data of an error event in
+// a stream.
 type ErrorBody struct {
 	Error Error `json:"error"`
 }
@@ -184,8 +185,8 @@
 	Type    string  `json:"type"`
 	Param   *string `json:"param"`
 	Code    string  `json:"code"`
-	// Outcome tells whether the request ran: "not_run" or "unknown".
+	// Outcome reports whether the request ran: "not_run" or "unknown".
 	Outcome string `json:"outcome"`
-	// Request is the request's ID, for `hopwell explain`.
+	// Request is the request ID, which `hopwell explain` takes.
 	Request string `json:"request_id,omitempty"`
 }
