--- a/pkg/platform/errors.go
+++ b/pkg/platform/errors.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// ErrUnavailable reports that the platform gave no answer. A write may have taken
-// effect all the same.
+// ErrUnavailable reports that the platform sent no valid response to a call. A
+// write may have taken effect nevertheless.
 type ErrUnavailable struct {
-	// Service is "kv", "instances" or "weights", Op the call.
+	// Service is "kv", "instances" or "weights"; Op names the operation.
 	Service, Op string
 	// Err is the cause.
 	Err error
@@ -22,7 +22,8 @@
 // Unwrap returns the cause.
 func (e *ErrUnavailable) Unwrap() error { return e.Err }
 
-// ErrConflict reports that a compare-and-swap met another version.
+// ErrConflict reports that a compare-and-swap expected version Want and found
+// version Have.
 type ErrConflict struct {
 	Key        string
 	Want, Have uint64
@@ -33,7 +34,7 @@
 	return fmt.Sprintf("version conflict: key=%s want=%d have=%d", e.Key, e.Want, e.Have)
 }
 
-// ErrTooLarge reports that a value is over MaxValue.
+// ErrTooLarge reports that a value is larger than MaxValue.
 type ErrTooLarge struct {
 	Key  string
 	Size int
@@ -44,7 +45,7 @@
 	return fmt.Sprintf("value too large: key=%s size=%d limit=%d", e.Key, e.Size, MaxValue)
 }
 
-// ErrThrottled reports that the weight store's rate is used up.
+// ErrThrottled reports that the rate limit of the weight store is exhausted.
 type ErrThrottled struct {
 	RetryAfter time.Duration
 }
--- a/pkg/platform/http.go
+++ b/pkg/platform/http.go
@@ -25,23 +25,23 @@
 	ParamWait    = "wait"
 )
 
-// Client speaks the platform's HTTP API; it is a KV, a List and a Weights.
+// Client is an HTTP client of the platform. It implements KV, List and Weights.
 type Client struct {
 	base string
 	http *http.Client
 
-	mu   sync.Mutex
-	tag  string
-	list []Instance
+	mu         sync.Mutex
+	etag       string
+	cachedList []Instance
 }
 
-// NewClient returns a client of the platform at a base URL. It uses net/http:
-// nbhttp's client can't be cancelled in the middle of a waiting watch.
+// NewClient returns a client of the platform at a base URL. It uses net/http
+// because nbhttp's client can't cancel a watch that is waiting for a change.
 func NewClient(base string) *Client {
 	return &Client{base: base, http: &http.Client{}}
 }
 
-// errStatus is an answer that the client does not know.
+// errStatus reports a response that the client can't handle.
 type errStatus struct {
 	Status int
 	Body   string
@@ -52,7 +52,7 @@
 	return "unexpected answer: status=" + strconv.Itoa(e.Status) + " body=" + strconv.Quote(e.Body)
 }
 
-// call sends one request and returns its answer's body.
+// call builds and sends one request and returns the response and its body.
 func (c *Client) call(ctx context.Context, service, op, method, path string, query url.Values, body []byte) (*http.Response, []byte, error) {
 	u := c.base + path
 	if len(query) > 0 {
@@ -65,7 +65,8 @@
 	return c.send(r, service, op)
 }
 
-// send sends a request and reads its answer's body.
+// send sends a request and returns the response and its body, which is read up to
+// 4*MaxValue.
 func (c *Client) send(r *http.Request, service, op string) (*http.Response, []byte, error) {
 	resp, err := c.http.Do(r)
 	if err != nil {
@@ -79,8 +80,8 @@
 	return resp, data, nil
 }
 
-// unexpected describes an answer that is no success.
-func unexpected(service, op string, resp *http.Response, data []byte) error {
+// unexpectedStatus returns the error for a response that reports no success.
+func unexpectedStatus(service, op string, resp *http.Response, data []byte) error {
 	return &ErrUnavailable{Service: service, Op: op, Err: &errStatus{Status: resp.StatusCode, Body: string(data)}}
 }
 
@@ -103,7 +104,7 @@
 		return Value{}, err
 	}
 	if resp.StatusCode != http.StatusOK {
-		return Value{}, unexpected("kv", op, resp, data)
+		return Value{}, unexpectedStatus("kv", op, resp, data)
 	}
 	return toValue(resp, data)
 }
@@ -128,7 +129,7 @@
 	case resp.StatusCode == http.StatusConflict && verr == nil:
 		return 0, &ErrConflict{Key: key, Want: version, Have: v.Version}
 	}
-	return 0, unexpected("kv", "swap", resp, body)
+	return 0, unexpectedStatus("kv", "swap", resp, body)
 }
 
 // Watch implements KV.
@@ -137,13 +138,14 @@
 	return c.read(ctx, "watch", "/watch/"+key, query)
 }
 
-// Instances implements List. It asks with the entity tag of the last answer (RFC
-// 9110, 13.1.2), so that an unchanged list of a large fleet costs a few bytes.
+// Instances implements List. It sends the entity tag of the last list in
+// If-None-Match (RFC 9110, 13.1.2), so that an unchanged list of a large fleet
+// costs a few bytes.
 func (c *Client) Instances(ctx context.Context) ([]Instance, error) {
 	c.mu.Lock()
-	tag := c.tag
+	tag := c.etag
 	c.mu.Unlock()
-	resp, data, err := c.conditional(ctx, tag)
+	resp, data, err := c.fetchList(ctx, tag)
 	if err != nil {
 		return nil, err
 	}
@@ -151,21 +153,21 @@
 	defer c.mu.Unlock()
 	switch resp.StatusCode {
 	case http.StatusNotModified:
-		return slices.Clone(c.list), nil
+		return slices.Clone(c.cachedList), nil
 	case http.StatusOK:
 	default:
-		return nil, unexpected("instances", "list", resp, data)
+		return nil, unexpectedStatus("instances", "list", resp, data)
 	}
 	var out []Instance
 	if err := json.Unmarshal(data, &out); err != nil {
 		return nil, &ErrUnavailable{Service: "instances", Op: "list", Err: err}
 	}
-	c.tag, c.list = resp.Header.Get("ETag"), out
+	c.etag, c.cachedList = resp.Header.Get("ETag"), out
 	return slices.Clone(out), nil
 }
 
-// conditional asks for the list unless it is still the one with a tag.
-func (c *Client) conditional(ctx context.Context, tag string) (*http.Response, []byte, error) {
+// fetchList requests the instance list unless its entity tag is still tag.
+func (c *Client) fetchList(ctx context.Context, tag string) (*http.Response, []byte, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+"/instances", nil)
 	if err != nil {
 		return nil, nil, &ErrUnavailable{Service: "instances", Op: "list", Err: err}
@@ -189,14 +191,15 @@
 	case http.StatusTooManyRequests:
 		wait, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 		if err != nil {
-			return unexpected("weights", "fetch", resp, data)
+			return unexpectedStatus("weights", "fetch", resp, data)
 		}
 		return &ErrThrottled{RetryAfter: time.Duration(wait * float64(time.Second))}
 	}
-	return unexpected("weights", "fetch", resp, data)
+	return unexpectedStatus("weights", "fetch", resp, data)
 }
 
-// IsConflict reports whether an error is a lost compare-and-swap.
+// IsConflict reports whether err is an *ErrConflict, from a compare-and-swap that
+// found another version.
 func IsConflict(err error) bool {
 	var c *ErrConflict
 	return errors.As(err, &c)
--- a/pkg/platform/http_test.go
+++ b/pkg/platform/http_test.go
@@ -38,7 +38,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(string(got.Data)).To(Equal("x"))
 	})
-	It("tells an outage and a value that is too large apart", func() {
+	It("reports an outage and a value that is too large as different errors", func() {
 		_, err := c.Swap(ctx, "a", 0, make([]byte, platform.MaxValue+1), 0)
 		var large *platform.ErrTooLarge
 		Expect(errors.As(err, &large)).To(BeTrue())
@@ -47,7 +47,7 @@
 		var down *platform.ErrUnavailable
 		Expect(errors.As(err, &down)).To(BeTrue())
 	})
-	It("sees changes of the list, and the same list when nothing changed", func() {
+	It("returns the same instance list until it changes, then the new one", func() {
 		list.Put(platform.Instance{Name: "a"})
 		for range 2 {
 			all, err := c.Instances(ctx)
@@ -59,7 +59,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(all).To(HaveLen(2))
 	})
-	It("says when the weight store wants to be asked again", func() {
+	It("reports after which time a throttled fetch of weights may be retried", func() {
 		Expect(c.Fetch(ctx, "m", "", "")).To(Succeed())
 		var slow *platform.ErrThrottled
 		Expect(errors.As(c.Fetch(ctx, "m", "", ""), &slow)).To(BeTrue())
