--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -1,6 +1,6 @@
-// Package node is what every hopwell process has, whatever its role: an
-// identity, the newest configuration, a view of the fleet, connections to
-// peers, a time line, and the answers to peers.
+// Package node holds what all hopwell processes share, gateways and sidecars: an
+// identity, the newest configuration, a view of the fleet, connections to other
+// processes, a time line, and the server for calls from other processes.
 package node
 
 import (
@@ -22,28 +22,29 @@
 )
 
 const (
-	// pollEvery is the time between two looks at the instance list.
-	pollEvery = 1500 * time.Millisecond
-	// pollTime bounds one look.
-	pollTime = 2 * time.Second
-	// eventsKept is the size of the time line's ring.
-	eventsKept = 16384
+	// pollInterval is the time between two reads of the instance list, before jitter.
+	pollInterval = 1500 * time.Millisecond
+	// pollTimeout limits one read of the instance list.
+	pollTimeout = 2 * time.Second
+	// traceCapacity is the number of events that the time line keeps.
+	traceCapacity = 16384
 )
 
-// Options are what a node needs.
+// Options configure a node.
 type Options struct {
-	// Self is the process's own entry, from its settings.
+	// Self is the process's own entry in the instance list, from its settings.
 	Self platform.Instance
-	// Epoch tells this process from earlier ones on the instance. It must grow.
+	// Epoch distinguishes this process from earlier ones on the same instance. It
+	// must increase with each start.
 	Epoch uint64
 	KV    platform.KV
 	List  platform.List
 	Dial  wire.Dial
-	// Seed decides the node's random choices.
+	// Seed seeds the node's random choices.
 	Seed uint64
 }
 
-// Node is the common part of a process.
+// Node is the part of a process that does not depend on its role.
 type Node struct {
 	Self    platform.Instance
 	Epoch   uint64
@@ -58,26 +59,27 @@
 	list    platform.List
 	logs    *logs.Logger
 
-	mu     sync.Mutex
-	view   *fleet.View
-	viewOf viewKey
-	rng    *rand.Rand
+	mu            sync.Mutex
+	view          *fleet.View
+	cachedViewKey viewKey
+	rng           *rand.Rand
 }
 
-// viewKey names what a view was made from.
+// viewKey identifies the configuration and the membership that a view was built
+// from.
 type viewKey struct {
 	digest gossip.Digest
 	change uint64
 }
 
-// New makes a node; Run brings it to life.
+// New returns a node, which does nothing until Run is called.
 func New(o Options) *Node {
 	set := metrics.NewSet()
 	kv := platform.NewCountedKV(o.KV, set)
 	n := &Node{
 		Self:    o.Self,
 		Epoch:   o.Epoch,
-		Log:     trace.NewLog(o.Self.Name, eventsKept),
+		Log:     trace.NewLog(o.Self.Name, traceCapacity),
 		Keeper:  gossip.NewKeeper(),
 		Members: fleet.NewMembership(),
 		Pool:    wire.NewPool(o.Dial),
@@ -91,30 +93,31 @@
 	return n
 }
 
-// Run follows the configuration and the instance list until the context ends.
+// Run keeps the configuration and the instance list up to date until the context
+// ends. Then it closes the unused connections of the pool.
 func (n *Node) Run(ctx context.Context) {
 	n.Log.Add(trace.Event{Type: trace.ProcessStart, Instance: n.Self.Name})
 	var wg sync.WaitGroup
 	wg.Go(func() { n.Agent.Run(ctx) })
 	wg.Go(func() { n.poll(ctx) })
-	wg.Go(func() { n.noteRevisions(ctx) })
+	wg.Go(func() { n.recordRevisions(ctx) })
 	wg.Wait()
 	_ = n.Pool.Close()
 }
 
-// poll looks at the instance list now and then. A failed look changes nothing.
+// poll reads the instance list periodically. A failed read keeps the last list.
 func (n *Node) poll(ctx context.Context) {
 	for ctx.Err() == nil {
-		n.look(ctx)
+		n.pollOnce(ctx)
 		select {
-		case <-time.After(pollEvery + time.Duration(n.Jitter()*float64(pollEvery)/4)):
+		case <-time.After(pollInterval + time.Duration(n.Jitter()*float64(pollInterval)/4)):
 		case <-ctx.Done():
 		}
 	}
 }
 
-func (n *Node) look(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, pollTime)
+func (n *Node) pollOnce(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	all, err := n.list.Instances(ctx)
 	if err != nil {
@@ -124,8 +127,8 @@
 	n.Members.Observe(all, time.Now())
 }
 
-// noteRevisions puts each revision that comes into force on the time line.
-func (n *Node) noteRevisions(ctx context.Context) {
+// recordRevisions records in the time line each revision that comes into force.
+func (n *Node) recordRevisions(ctx context.Context) {
 	for {
 		changed := n.Keeper.Changed()
 		if d, known := n.Keeper.Digest(); known {
@@ -140,29 +143,30 @@
 	}
 }
 
-// Jitter returns a random number in [0, 1).
+// Jitter returns a random number in [0, 1) from the node's seeded generator.
 func (n *Node) Jitter() float64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.rng.Float64()
 }
 
-// View returns the fleet under the newest configuration.
+// View returns the view of the fleet under the newest configuration. It is rebuilt
+// only when the configuration or the membership has changed.
 func (n *Node) View() *fleet.View {
 	digest, _ := n.Keeper.Digest()
 	key := viewKey{digest, n.Members.Change()}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.view == nil || n.viewOf != key {
-		n.view, n.viewOf = fleet.NewView(n.Keeper.Document(), n.Members.Members()), key
+	if n.view == nil || n.cachedViewKey != key {
+		n.view, n.cachedViewKey = fleet.NewView(n.Keeper.Document(), n.Members.Members()), key
 	}
 	return n.view
 }
 
-// WriteMetrics writes the metrics of the common part in the Prometheus text format.
+// WriteMetrics writes the node's metrics in the Prometheus text format.
 func (n *Node) WriteMetrics(w io.Writer) { n.metrics.WritePrometheus(w) }
 
-// Ready reports whether the node knows a configuration.
+// Ready reports whether the node has received a configuration.
 func (n *Node) Ready() bool {
 	_, known := n.Keeper.Digest()
 	return known
--- a/pkg/node/peers.go
+++ b/pkg/node/peers.go
@@ -9,7 +9,7 @@
 	"github.com/hopwell/hopwell/pkg/wire/wirepb"
 )
 
-// peers reaches other processes for the gossip agent.
+// peers implements gossip.Peers with calls to other processes.
 type peers struct{ n *Node }
 
 // Addresses implements gossip.Peers.
@@ -37,7 +37,7 @@
 	return gossip.Digest{Revision: reply.Revision, Hash: reply.Hash}, reply.Document, nil
 }
 
-// PeerServer answers other processes.
+// PeerServer serves the calls of other processes.
 type PeerServer struct{ N *Node }
 
 // Exchange implements wirepb.DRPCPeerServer.
@@ -50,8 +50,8 @@
 	}, nil
 }
 
-// Claim implements wirepb.DRPCPeerServer: this process commits claims for others,
-// so that many share one write.
+// Claim implements wirepb.DRPCPeerServer. This process commits or releases claims
+// on behalf of others, so that many claims share one write to the store.
 func (p PeerServer) Claim(ctx context.Context, r *wirepb.ClaimRequest) (*wirepb.ClaimReply, error) {
 	if len(r.Key) != len(claim.Key{}) {
 		return &wirepb.ClaimReply{Error: "bad key length"}, nil
