--- a/pkg/trace/event.go
+++ b/pkg/trace/event.go
@@ -1,6 +1,6 @@
-// Package trace keeps the time line: typed events of one process in a bounded
-// ring, with a logical clock that rides on every inner message, so that the
-// events of all processes merge in causal order though their clocks differ.
+// Package trace keeps the time line: the typed events of one process in bounded
+// ring buffers. Every inner message carries a logical clock, so that the events of
+// all processes merge in causal order although their wall clocks differ.
 package trace
 
 import (
@@ -13,47 +13,48 @@
 
 // The events of the time line.
 const (
-	Received     Type = "received"      // A gateway took a request.
+	Received     Type = "received"      // A gateway received a request.
 	Chosen       Type = "chosen"        // A gateway chose runners.
-	Claimed      Type = "claimed"       // A request's key was claimed.
+	Claimed      Type = "claimed"       // A request's idempotency key was claimed.
 	Opened       Type = "opened"        // A sidecar was asked to admit an attempt.
-	Admitted     Type = "admitted"      // It did.
-	Refused      Type = "refused"       // It did not.
-	Started      Type = "started"       // Work was ordered from the runner.
-	Exported     Type = "exported"      // A KV cache waits for its import.
-	Imported     Type = "imported"      // It was imported.
-	FirstToken   Type = "first_token"   // The first token went to the caller.
-	Ended        Type = "ended"         // An attempt ran whole.
-	Failed       Type = "failed"        // An attempt did not.
-	Lapsed       Type = "lapsed"        // A lease ran out.
+	Admitted     Type = "admitted"      // The sidecar admitted the attempt.
+	Refused      Type = "refused"       // The sidecar refused the attempt.
+	Started      Type = "started"       // Work was started on the runner.
+	Exported     Type = "exported"      // A KV cache is ready for import by another engine.
+	Imported     Type = "imported"      // An engine imported the KV cache.
+	FirstToken   Type = "first_token"   // The first token was sent to the client.
+	Ended        Type = "ended"         // An attempt completed.
+	Failed       Type = "failed"        // An attempt failed.
+	Lapsed       Type = "lapsed"        // A lease expired.
 	Freed        Type = "freed"         // Engine memory was freed.
-	Fenced       Type = "fenced"        // A request ID may not start here any more.
-	Finished     Type = "finished"      // A request got its one outcome.
-	Gone         Type = "gone"          // The caller went away.
+	Fenced       Type = "fenced"        // A request ID was fenced: it may no longer start here.
+	Finished     Type = "finished"      // The final outcome of a request was set.
+	Gone         Type = "gone"          // The client disconnected.
 	Revision     Type = "revision"      // A configuration revision came into force.
 	Leaving      Type = "leaving"       // An instance is about to leave.
-	Drained      Type = "drained"       // A process ended its work.
+	Drained      Type = "drained"       // A process finished its open work.
 	Assigned     Type = "assigned"      // An engine took an assignment.
-	ProcessStart Type = "process_start" // A process began.
+	ProcessStart Type = "process_start" // A process started.
 )
 
 // Event is one entry of the time line.
 type Event struct {
-	// Clock orders events: it is above that of all events that this one can
+	// Clock is the logical time: it is above that of all events that this one can
 	// depend on.
 	Clock uint64 `json:"clock"`
-	// Wall is the process's own time, Mono its age in microseconds.
+	// Wall is the process's wall clock time; Mono is the time since the log was
+	// created, in microseconds.
 	Wall time.Time `json:"wall"`
 	Mono int64     `json:"mono_us"`
-	// Process is the instance whose process recorded it.
+	// Process is the name of the instance whose process recorded the event.
 	Process string `json:"process"`
 	Type    Type   `json:"type"`
-	// Request, Attempt, Instance and Revision say what it is about.
+	// Request, Attempt, Instance and Revision identify the subject of the event.
 	Request  string `json:"request,omitempty"`
 	Attempt  int    `json:"attempt,omitempty"`
 	Instance string `json:"instance,omitempty"`
 	Revision uint64 `json:"revision,omitempty"`
-	// Detail is for people: key=value pairs.
+	// Detail holds key=value pairs for human readers.
 	Detail string `json:"detail,omitempty"`
 }
 
@@ -63,7 +64,7 @@
 // Next returns the time for a new event or message.
 func (c *Clock) Next() uint64 { return c.n.Add(1) }
 
-// Meet takes over the clock of a received message.
+// Meet advances the clock to that of a received message if that is later.
 func (c *Clock) Meet(seen uint64) {
 	for {
 		have := c.n.Load()
--- a/pkg/trace/log.go
+++ b/pkg/trace/log.go
@@ -7,41 +7,42 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ringShards is the number of rings that a log spreads its events over, by
-// request, so that writers seldom meet at a lock.
+// ringShards is the number of ring buffers of a log. Events are spread over them by
+// request ID to reduce lock contention between writers.
 const ringShards = 16
 
-// Log is the bounded record of one process's events.
+// Log keeps the newest events of one process.
 type Log struct {
-	// Clock rides on the process's messages.
+	// Clock is the logical clock that the process sends with its messages.
 	Clock Clock
 
 	process string
-	born    time.Time
+	started time.Time
 	rings   [ringShards]ring
 }
 
-// ring keeps the newest events of one shard.
+// ring is the ring buffer of one shard.
 type ring struct {
 	mu     sync.Mutex
 	events []Event
 	next   int
 }
 
-// NewLog keeps the newest size events of a process.
+// NewLog returns a log of a process with room for about size events, in equal parts
+// for each shard.
 func NewLog(process string, size int) *Log {
-	l := &Log{process: process, born: time.Now()}
+	l := &Log{process: process, started: time.Now()}
 	for i := range l.rings {
 		l.rings[i].events = make([]Event, 0, max(1, size/ringShards))
 	}
 	return l
 }
 
-// Add records an event; Clock, Wall, Mono and Process are filled in.
+// Add records an event and fills in its Clock, Wall, Mono and Process.
 func (l *Log) Add(e Event) {
 	e.Clock = l.Clock.Next()
 	e.Wall = time.Now()
-	e.Mono = time.Since(l.born).Microseconds()
+	e.Mono = time.Since(l.started).Microseconds()
 	e.Process = l.process
 	l.rings[xxhash.Sum64String(e.Request)%ringShards].add(e)
 }
@@ -57,7 +58,8 @@
 	r.next = (r.next + 1) % len(r.events)
 }
 
-// Filter says which events are wanted; empty fields let all pass.
+// Filter selects events; an empty field matches all of them. Instance matches the
+// instance that an event is about or the one that recorded it.
 type Filter struct {
 	Request  string
 	Instance string
@@ -74,7 +76,7 @@
 	return f.Since.IsZero() || !e.Wall.Before(f.Since)
 }
 
-// Events returns the kept events that pass the filter, in causal order.
+// Events returns the stored events that match the filter, in causal order.
 func (l *Log) Events(f Filter) []Event {
 	var out []Event
 	for i := range l.rings {
--- a/pkg/trace/merge.go
+++ b/pkg/trace/merge.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// Sort puts events of any number of processes in causal order. Events that do
-// not depend on each other are ordered by process.
+// Sort sorts the events of any number of processes in causal order: by logical
+// clock, then by process, then by time since the process's log was created.
 func Sort(events []Event) {
 	slices.SortFunc(events, func(a, b Event) int {
 		return cmp.Or(cmp.Compare(a.Clock, b.Clock), strings.Compare(a.Process, b.Process), cmp.Compare(a.Mono, b.Mono))
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// String writes the event as key=value pairs; empty fields are left out.
+// String returns the event as key=value pairs without its empty fields.
 func (e Event) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "clock=%d time=%s process=%s type=%s", e.Clock, e.Wall.Format("15:04:05.000000"), e.Process, e.Type)
@@ -60,8 +60,8 @@
 	Args  map[string]string `json:"args"`
 }
 
-// WriteChrome writes the Chrome trace event format, which browser viewers
-// draw: a row for each request in each process. Times are in microseconds
+// WriteChrome writes the events in the Chrome trace event format. Trace viewers in
+// browsers show a row for each request in each process. Times are in microseconds
 // since the first event.
 func WriteChrome(w io.Writer, events []Event) error {
 	out := make([]chromeEvent, 0, len(events))
