--- a/pkg/wire/reasons.go
+++ b/pkg/wire/reasons.go
@@ -1,19 +1,20 @@
 package wire
 
-// Reasons of a refusal, which sidecars give and gateways act on.
+// Reasons with which sidecars refuse an attempt, and which gateways act on.
 const (
-	// ReasonLeaving says that the instance gets no new work.
+	// ReasonLeaving means that the instance is leaving and accepts no new work.
 	ReasonLeaving = "leaving"
-	// ReasonBehind says that the sidecar's configuration is older than the gateway's.
+	// ReasonBehind means that the sidecar's configuration is older than the gateway's.
 	ReasonBehind = "behind"
-	// ReasonSelector says that no selector gives the runner this work.
+	// ReasonSelector means that no selector assigns this work to the runner.
 	ReasonSelector = "selector"
-	// ReasonLate says that the prefill would miss its deadline.
+	// ReasonLate means that the prefill would miss its deadline.
 	ReasonLate = "late"
-	// ReasonFull says that no stream fits.
+	// ReasonFull means that the runner has no capacity for another stream.
 	ReasonFull = "full"
-	// ReasonStarting says that the sidecar has not yet had an answer from its engine.
+	// ReasonStarting means that the sidecar has not yet received a response from its
+	// engine.
 	ReasonStarting = "starting"
-	// ReasonBad says that the order makes no sense.
+	// ReasonBad means that the request to open an attempt is invalid.
 	ReasonBad = "bad"
 )
--- a/pkg/wire/wire.go
+++ b/pkg/wire/wire.go
@@ -1,5 +1,6 @@
-// Package wire carries the inner protocol between hopwell's processes: drpc
-// over TCP, with pooled connections. The messages are in package wirepb.
+// Package wire implements the inner protocol, which hopwell's processes use among
+// themselves: drpc over TCP, with pooled connections. The messages are in package
+// wirepb.
 package wire
 
 import (
@@ -20,27 +21,27 @@
 )
 
 const (
-	// MaxMessage bounds one inner message, in bytes. The largest one carries a
+	// MaxMessage limits one message of the inner protocol, in bytes. The largest one carries a
 	// configuration document or a request's prompt.
 	MaxMessage = 8 << 20
-	// dialTime bounds the opening of a connection.
-	dialTime = 800 * time.Millisecond
-	// idleTime is how long an unused connection is kept.
-	idleTime = 2 * time.Minute
-	// idlePerPeer is how many unused connections are kept for each peer.
+	// dialTimeout limits the time for opening a connection.
+	dialTimeout = 800 * time.Millisecond
+	// idleTimeout is the time after which an unused connection is closed.
+	idleTimeout = 2 * time.Minute
+	// idlePerPeer limits the unused connections that are kept per address.
 	idlePerPeer = 64
 )
 
 // Dial opens a connection to the inner address of a process.
 type Dial func(ctx context.Context, address string) (net.Conn, error)
 
-// TCP is the Dial of real processes.
+// TCP is the Dial that opens TCP connections.
 func TCP(ctx context.Context, address string) (net.Conn, error) {
-	d := net.Dialer{Timeout: dialTime}
+	d := net.Dialer{Timeout: dialTimeout}
 	return d.DialContext(ctx, "tcp", address)
 }
 
-// ErrPeer reports that a peer could not be reached or broke off.
+// ErrPeer reports that the connection to a process failed.
 type ErrPeer struct {
 	Address string
 	Err     error
@@ -61,25 +62,25 @@
 	}
 }
 
-// Pool keeps connections to peers. drpc carries one stream at a time over a
-// connection, so every open stream has one of its own.
+// Pool keeps connections to other processes. drpc carries one stream at a time over
+// a connection, so every open stream has a connection of its own.
 type Pool struct {
 	dial  Dial
 	conns *drpcpool.Pool[string, *drpcconn.Conn]
 }
 
-// NewPool opens connections with dial.
+// NewPool returns a pool that opens connections with dial.
 func NewPool(dial Dial) *Pool {
-	return &Pool{dial: dial, conns: drpcpool.New[string, *drpcconn.Conn](drpcpool.Options{Expiration: idleTime, KeyCapacity: idlePerPeer})}
+	return &Pool{dial: dial, conns: drpcpool.New[string, *drpcconn.Conn](drpcpool.Options{Expiration: idleTimeout, KeyCapacity: idlePerPeer})}
 }
 
-// Conn returns a connection to an address. It is opened at the first call.
+// Conn returns a connection to an address, which is opened at its first call.
 func (p *Pool) Conn(address string) drpc.Conn {
 	return p.conns.Get(context.Background(), address, p.open)
 }
 
 func (p *Pool) open(ctx context.Context, address string) (*drpcconn.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, dialTime)
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	c, err := p.dial(ctx, address)
 	if err != nil {
@@ -91,13 +92,14 @@
 // Close closes all unused connections.
 func (p *Pool) Close() error { return p.conns.Close() }
 
-// Server answers the inner protocol.
+// Server serves the inner protocol.
 type Server struct {
 	mux *drpcmux.Mux
 	srv *drpcserver.Server
 }
 
-// NewServer answers as a peer and, with a runner, as a sidecar too.
+// NewServer returns a server of the peer service and, if runner is not nil, of the
+// runner service of a sidecar.
 func NewServer(peer wirepb.DRPCPeerServer, runner wirepb.DRPCRunnerServer) (*Server, error) {
 	mux := drpcmux.New()
 	if err := wirepb.DRPCRegisterPeer(mux, peer); err != nil {
@@ -116,7 +118,7 @@
 	return s.srv.Serve(ctx, l)
 }
 
-// ServeConn answers one connection until it or the context ends.
+// ServeConn serves one connection until it or the context ends.
 func (s *Server) ServeConn(ctx context.Context, c net.Conn) error {
 	return s.srv.ServeOne(ctx, c)
 }
