--- a/pkg/clidocs/clidocs.go
+++ b/pkg/clidocs/clidocs.go
@@ -1,5 +1,5 @@
-// Package clidocs writes the reference pages of the command lines from the
-// commands themselves.
+// Package clidocs generates the reference pages of the command-line tools from their
+// command definitions.
 package clidocs
 
 import (
@@ -9,10 +9,11 @@
 	"github.com/spf13/cobra/doc"
 )
 
-// dirMode is the mode of the directory that Write makes.
+// dirMode is the mode of the directory that Write creates.
 const dirMode = 0o755
 
-// Write puts one Markdown page for each command into a directory.
+// Write writes one Markdown page for each command to a directory, which it creates
+// if needed.
 func Write(root *cobra.Command, dir string) error {
 	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return err
