--- a/pkg/spectest/spectest.go
+++ b/pkg/spectest/spectest.go
@@ -1,6 +1,5 @@
-// Package spectest starts ginkgo suites and rapid checks the same way each time:
-// their random choices come from fixed seeds, so that a verdict never changes
-// from run to run.
+// Package spectest runs ginkgo suites and rapid checks with fixed seeds, so that
+// their random choices, and with them their results, are the same in every run.
 package spectest
 
 import (
@@ -15,7 +14,7 @@
 // Seed is the seed of all random choices in tests.
 const Seed = 20261202
 
-// Run runs the package's ginkgo specs.
+// Run runs the ginkgo specs of the calling test's package.
 func Run(t *testing.T, name string) {
 	t.Helper()
 	gomega.RegisterFailHandler(ginkgo.Fail)
@@ -24,8 +23,8 @@
 	ginkgo.RunSpecs(t, name, suite, reporter)
 }
 
-// Check runs a rapid property with the fixed seed, unless one was given on the
-// command line.
+// Check runs a rapid property with the fixed seed unless the command line sets
+// another one.
 func Check(t *testing.T, property func(*rapid.T)) {
 	t.Helper()
 	if f := flag.Lookup("rapid.seed"); f != nil && f.Value.String() == f.DefValue {
@@ -33,9 +32,9 @@
 			t.Fatal(err)
 		}
 	}
-	rapid.Check(bubbled{t}, property)
+	rapid.Check(noDeadline{t}, property)
 }
 
-// bubbled hides the deadline of a test, which rapid would ask for and which may
-// not be asked for inside a synctest bubble.
-type bubbled struct{ rapid.TB }
+// noDeadline hides the Deadline method of a test: rapid would call it, and it must
+// not be called inside a synctest bubble.
+type noDeadline struct{ rapid.TB }
