--- a/pkg/realtest/cost_test.go
+++ b/pkg/realtest/cost_test.go
@@ -18,14 +18,15 @@
 	"github.com/hopwell/hopwell/pkg/fleet"
 )
 
-// ready builds and starts a fleet for a benchmark and waits until it is at rest.
-func ready(b *testing.B, size Size) *Fleet {
+// startIdleFleet builds and starts a fleet for a benchmark and waits until it is
+// idle.
+func startIdleFleet(b *testing.B, size Size) *Fleet {
 	b.Helper()
 	binary, err := Build(b.TempDir())
 	if err != nil {
 		b.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	f, err := Start(ctx, binary, b.TempDir(), size)
 	if err != nil {
@@ -36,9 +37,9 @@
 	return f
 }
 
-// usage sums what the processes whose names begin with a prefix used, and
-// counts them.
-func usage(b *testing.B, f *Fleet, prefix string) (sum Usage, n int) {
+// sumUsage sums the resource usage of the processes whose names begin with a
+// prefix, and counts them.
+func sumUsage(b *testing.B, f *Fleet, prefix string) (sum Usage, n int) {
 	b.Helper()
 	for name := range f.Daemons {
 		if !strings.HasPrefix(name, prefix) {
@@ -53,21 +54,21 @@
 	return sum, n
 }
 
-// BenchmarkIdle measures the processes of a fleet that does nothing: processor
-// share, traffic and memory of each, and calls to the key-value service.
+// BenchmarkIdle measures an idle fleet: CPU share, bytes read and written and
+// memory per process, and the rate of calls to the key-value service.
 func BenchmarkIdle(b *testing.B) {
 	for _, n := range []int{3, 30, 100} {
 		b.Run(fmt.Sprintf("processes=%d", n), func(b *testing.B) {
 			gateways := max(1, n/3)
 			size := Small()
 			size.Gateways, size.Prefills, size.Decodes, size.Services = gateways, 0, 0, n-gateways
-			f := ready(b, size)
+			f := startIdleFleet(b, size)
 			const span = 20 * time.Second
 			for _, role := range []string{"gateway", "service"} {
-				before, _ := usage(b, f, role)
+				before, _ := sumUsage(b, f, role)
 				reads, writes := f.KV.Calls()
 				time.Sleep(span)
-				after, k := usage(b, f, role)
+				after, k := sumUsage(b, f, role)
 				reads2, writes2 := f.KV.Calls()
 				per := span.Seconds() * float64(k)
 				b.ReportMetric(100*(after.CPU-before.CPU).Seconds()/per, role+"-cpu-%")
@@ -79,8 +80,9 @@
 	}
 }
 
-// wide is a fleet whose engines run many streams at a step time.
-func wide(step time.Duration) Size {
+// largeBatchSize returns the size of a fleet whose engines run many streams at a
+// constant step time.
+func largeBatchSize(step time.Duration) Size {
 	size := Small()
 	size.Gateways = 1
 	size.Engine.BatchLimit, size.Engine.KVTotal = 10000, 1<<50
@@ -91,17 +93,18 @@
 	return size
 }
 
-// openRate is how many streams are opened in a second.
+// openRate is the rate at which streams are opened, per second.
 const openRate = 400
 
-// drink opens n streams and reads them; opened is called for each after its first
-// token, or with false at its end if there was none. It returns the tokens read.
-func drink(f *Fleet, n, tokens int, opened func(ok bool)) int {
+// readStreams opens n streams and reads them to their end. It calls opened for each
+// stream: with true after the first token, or with false at the end of a stream
+// without tokens. It returns the number of tokens read.
+func readStreams(f *Fleet, n, tokens int, opened func(ok bool)) int {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: n}}
 	total := make(chan int, n)
 	for i := range n {
 		time.Sleep(time.Second / openRate)
-		go func() { total <- drinkOne(client, f, i, tokens, opened) }()
+		go func() { total <- readStream(client, f, i, tokens, opened) }()
 	}
 	sum := 0
 	for range n {
@@ -110,7 +113,7 @@
 	return sum
 }
 
-func drinkOne(client *http.Client, f *Fleet, i, tokens int, opened func(ok bool)) int {
+func readStream(client *http.Client, f *Fleet, i, tokens int, opened func(ok bool)) int {
 	n := 0
 	defer func() {
 		if n == 0 {
@@ -134,35 +137,36 @@
 	return n
 }
 
-// BenchmarkRelay measures what a relayed token costs the gateway and the sidecar.
+// BenchmarkRelay measures the CPU time that the gateway and the sidecar use per
+// relayed token.
 func BenchmarkRelay(b *testing.B) {
-	f := ready(b, wide(20*time.Millisecond))
+	f := startIdleFleet(b, largeBatchSize(20*time.Millisecond))
 	const streams, tokens = 300, 500
-	drink(f, streams, 20, func(bool) {})
+	readStreams(f, streams, 20, func(bool) {})
 	roles := []string{"gateway", "decode"}
 	before := map[string]Usage{}
 	for _, role := range roles {
-		before[role], _ = usage(b, f, role)
+		before[role], _ = sumUsage(b, f, role)
 	}
 	began := time.Now()
-	n := drink(f, streams, tokens, func(bool) {})
+	n := readStreams(f, streams, tokens, func(bool) {})
 	b.ReportMetric(float64(n)/time.Since(began).Seconds(), "tokens/s")
 	for _, role := range roles {
-		after, _ := usage(b, f, role)
+		after, _ := sumUsage(b, f, role)
 		b.ReportMetric(float64((after.CPU-before[role].CPU).Microseconds())/float64(n), role+"-us/token")
 	}
 }
 
-// BenchmarkStreams measures memory at many open streams.
+// BenchmarkStreams measures the memory of the processes with many open streams.
 func BenchmarkStreams(b *testing.B) {
 	for _, n := range []int{1000, 5000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			f := ready(b, wide(time.Second))
-			idle, _ := usage(b, f, "gateway")
+			f := startIdleFleet(b, largeBatchSize(time.Second))
+			idle, _ := sumUsage(b, f, "gateway")
 			var open atomic.Int64
 			var settled sync.WaitGroup
 			settled.Add(n)
-			go drink(f, n, 10000, func(ok bool) {
+			go readStreams(f, n, 10000, func(ok bool) {
 				if ok {
 					open.Add(1)
 				}
@@ -171,26 +175,26 @@
 			settled.Wait()
 			b.ReportMetric(float64(open.Load()), "open")
 			for _, role := range []string{"gateway", "decode"} {
-				u, k := usage(b, f, role)
+				u, k := sumUsage(b, f, role)
 				b.ReportMetric(float64(u.RSS)/float64(k)/(1<<20), role+"-MB")
 			}
-			u, _ := usage(b, f, "gateway")
+			u, _ := sumUsage(b, f, "gateway")
 			b.ReportMetric(float64(u.RSS-idle.RSS)/float64(open.Load())/(1<<10), "gateway-KB/stream")
 		})
 	}
 }
 
 // BenchmarkFirstToken measures the time to the first token through hopwell and
-// straight from the engines, in turn, and their ratio.
+// directly from the engines, in alternation, and their ratio.
 func BenchmarkFirstToken(b *testing.B) {
-	f := ready(b, wide(5*time.Millisecond))
+	f := startIdleFleet(b, largeBatchSize(5*time.Millisecond))
 	prefill, decode := f.Engines["prefill-1"], f.Engines["decode-1"]
 	var direct, through time.Duration
 	n := 0
 	for b.Loop() {
 		n++
 		began := time.Now()
-		straight(b, prefill, decode, fmt.Sprintf("direct %d", n))
+		requestDirect(b, prefill, decode, fmt.Sprintf("direct %d", n))
 		direct += time.Since(began)
 		began = time.Now()
 		r, err := http.Post("http://"+f.Daemons["gateway-1"].Callers+"/v1/completions", "application/json",
@@ -207,9 +211,9 @@
 	b.ReportMetric(float64(through)/float64(direct), "ratio")
 }
 
-// straight prefills on one engine and decodes a token on another over the
+// requestDirect prefills on one engine and decodes a token on another over the
 // engines' HTTP API.
-func straight(b *testing.B, prefill, decode *fake.Engine, prompt string) {
+func requestDirect(b *testing.B, prefill, decode *fake.Engine, prompt string) {
 	b.Helper()
 	ctx := context.Background()
 	x, err := prefill.Prefill(ctx, engine.Prefill{ID: prompt, Model: demo.Model, Prompt: prompt, Tokens: len(prompt) / 4})
--- a/pkg/realtest/real_test.go
+++ b/pkg/realtest/real_test.go
@@ -23,10 +23,10 @@
 
 func TestReal(t *testing.T) { spectest.Run(t, "real processes") }
 
-// patience is long: no verdict here depends on the machine's speed.
-const patience = 2 * time.Minute
+// testTimeout is long so that no result depends on the machine's speed.
+const testTimeout = 2 * time.Minute
 
-// stream is a streamed completion as its caller sees it.
+// stream is a streamed completion as its client receives it.
 type stream struct {
 	body  io.ReadCloser
 	lines *bufio.Scanner
@@ -42,7 +42,8 @@
 	return &stream{body: r.Body, lines: bufio.NewScanner(r.Body)}
 }
 
-// next reads one event and reports whether the stream goes on.
+// next reads one event and reports whether it carried text. It returns false at
+// [DONE] and at the end of the body.
 func (s *stream) next() bool {
 	for s.lines.Scan() {
 		data, ok := strings.CutPrefix(s.lines.Text(), "data: ")
@@ -62,7 +63,7 @@
 	return false
 }
 
-// rest reads to the end and returns the whole text.
+// rest reads the stream to its end and returns the text received since it was opened.
 func (s *stream) rest() string {
 	for s.next() {
 	}
@@ -79,13 +80,14 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 	BeforeEach(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
 		var err error
 		f, err = Start(ctx, binary, GinkgoT().TempDir(), Small())
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(f.Close)
-		// Until both gateways see all runners, a request may find none.
+		// A request may find no runner until both gateways have all runners in their
+		// membership lists.
 		Eventually(func(g Gomega) {
 			answers, err := f.Client.Status(ctx)
 			g.Expect(err).NotTo(HaveOccurred())
@@ -93,13 +95,13 @@
 				g.Expect(a.Err).NotTo(HaveOccurred())
 				g.Expect(a.Value.Members).To(HaveLen(len(f.Daemons)))
 			}
-		}).WithTimeout(patience).WithPolling(50 * time.Millisecond).Should(Succeed())
+		}).WithTimeout(testTimeout).WithPolling(50 * time.Millisecond).Should(Succeed())
 	})
-	free := func() {
+	expectMemoryFreed := func() {
 		GinkgoHelper()
-		Eventually(f.Held).WithTimeout(patience).WithPolling(20 * time.Millisecond).Should(BeZero())
+		Eventually(f.Held).WithTimeout(testTimeout).WithPolling(20 * time.Millisecond).Should(BeZero())
 	}
-	streaming := func() string {
+	streamingDecode := func() string {
 		for _, name := range []string{"decode-1", "decode-2"} {
 			if f.Engines[name].KVUsed() > 0 {
 				return name
@@ -108,50 +110,50 @@
 		return ""
 	}
 
-	It("frees the engines' memory of a gateway that is killed", func() {
+	It("frees the engine memory held for a gateway that is killed", func() {
 		s := open(f.Daemons["gateway-1"].Callers, "killed", 20000)
 		Expect(s.next()).To(BeTrue())
 		Expect(f.Signal("gateway-1", syscall.SIGKILL)).To(Succeed())
-		free()
+		expectMemoryFreed()
 		Expect(s.rest()).NotTo(BeEmpty())
-		Expect(s.done).To(BeFalse(), "a cut stream must not look whole")
+		Expect(s.done).To(BeFalse(), "a broken stream must not end with [DONE]")
 	})
-	It("frees the engines' memory of a gateway that is paused", func() {
+	It("frees the engine memory held for a gateway that is stopped by SIGSTOP", func() {
 		s := open(f.Daemons["gateway-1"].Callers, "paused", 20000)
 		Expect(s.next()).To(BeTrue())
 		Expect(f.Signal("gateway-1", syscall.SIGSTOP)).To(Succeed())
-		free()
+		expectMemoryFreed()
 		Expect(f.Signal("gateway-1", syscall.SIGCONT)).To(Succeed())
 		Expect(s.body.Close()).To(Succeed())
-		free()
+		expectMemoryFreed()
 	})
-	It("answers whole though the decode's sidecar is killed or paused", func() {
+	It("completes a stream whose decode sidecar is stopped by SIGSTOP or killed", func() {
 		for _, sig := range []syscall.Signal{syscall.SIGSTOP, syscall.SIGKILL} {
 			prompt := "sidecar " + sig.String()
 			s := open(f.Daemons["gateway-2"].Callers, prompt, 200)
 			Expect(s.next()).To(BeTrue())
-			on := streaming()
+			on := streamingDecode()
 			Expect(f.Signal(on, sig)).To(Succeed())
 			Expect(s.rest()).To(Equal(fake.Answer(prompt, 200)))
 			Expect(s.done).To(BeTrue())
 			if sig == syscall.SIGSTOP {
 				Expect(f.Signal(on, syscall.SIGCONT)).To(Succeed())
-				free()
+				expectMemoryFreed()
 			}
 		}
 	})
-	It("cuts off nothing when a gateway and a sidecar are stopped as planned", func() {
+	It("completes open streams when a gateway and a sidecar shut down on SIGTERM", func() {
 		s := open(f.Daemons["gateway-1"].Callers, "planned", 150)
 		Expect(s.next()).To(BeTrue())
-		on := streaming()
+		on := streamingDecode()
 		Expect(f.Signal("gateway-1", syscall.SIGTERM)).To(Succeed())
 		Expect(f.Signal(on, syscall.SIGTERM)).To(Succeed())
 		Expect(s.rest()).To(Equal(fake.Answer("planned", 150)))
 		Expect(s.done).To(BeTrue())
-		Eventually(f.Ended("gateway-1")).WithTimeout(patience).Should(BeClosed())
-		Eventually(f.Ended(on)).WithTimeout(patience).Should(BeClosed())
+		Eventually(f.Ended("gateway-1")).WithTimeout(testTimeout).Should(BeClosed())
+		Eventually(f.Ended(on)).WithTimeout(testTimeout).Should(BeClosed())
 	})
-	It("runs an order once though its gateway is killed and its caller asks again", func() {
+	It("runs a request with an idempotency key once if its gateway is killed and the client retries", func() {
 		f.Orders.Delay = 300 * time.Millisecond
 		order := func(gateway string) (*http.Response, error) {
 			r, err := http.NewRequest(http.MethodPost, "http://"+f.Daemons[gateway].Callers+"/services/memory/order", strings.NewReader("one keel"))
@@ -163,7 +165,7 @@
 			defer GinkgoRecover()
 			_, _ = order("gateway-1")
 		}()
-		Eventually(func() int { return f.Orders.Runs("one keel") }).WithTimeout(patience).WithPolling(5 * time.Millisecond).Should(Equal(1))
+		Eventually(func() int { return f.Orders.Runs("one keel") }).WithTimeout(testTimeout).WithPolling(5 * time.Millisecond).Should(Equal(1))
 		Expect(f.Signal("gateway-1", syscall.SIGKILL)).To(Succeed())
 		r, err := order("gateway-2")
 		Expect(err).NotTo(HaveOccurred())
--- a/pkg/realtest/realtest.go
+++ b/pkg/realtest/realtest.go
@@ -1,6 +1,6 @@
-// Package realtest runs hopwell's processes as real ones, over TCP, before
-// stand-ins that live in the test's own process. Only what package fleettest
-// can't show is tested this way: kill -9, SIGSTOP and SIGTERM.
+// Package realtest runs hopwell's programs as operating system processes that
+// communicate over TCP, with fakes of the runners and the platform in the test's own
+// process. It tests only what package fleettest can't: kill -9, SIGSTOP and SIGTERM.
 package realtest
 
 import (
@@ -25,7 +25,7 @@
 	"github.com/hopwell/hopwell/pkg/process"
 )
 
-// Daemon is one running hopwelld.
+// Daemon is one hopwelld process.
 type Daemon struct {
 	Entry   platform.Instance
 	Callers string
@@ -33,7 +33,7 @@
 	ended   chan struct{}
 }
 
-// Fleet is a fleet of real processes before stand-ins.
+// Fleet is a fleet of hopwelld processes with fake runners and a fake platform.
 type Fleet struct {
 	KV      *fake.KV
 	List    *fake.List
@@ -67,24 +67,24 @@
 	return fmt.Sprintf("build failed: cause=%v output=%s", e.Err, e.Output)
 }
 
-// Size is what a fleet consists of.
+// Size is the number of processes of each kind in a fleet, and their configuration.
 type Size struct {
 	Gateways, Prefills, Decodes, Services int
-	// Engine is the speed and size of all engines.
+	// Engine is the speed and the memory of every engine.
 	Engine fake.Spec
-	// Selectors is the first configuration.
+	// Selectors is the initial configuration.
 	Selectors []fleet.Selector
 }
 
-// Small is two gateways, two runners in each role and a plain service whose
-// calls must not be repeated.
+// Small returns a size with two gateways, two prefill engines, two decode engines and
+// a plain service whose requests must not be repeated.
 func Small() Size {
 	list := demo.Selectors()
 	list[2].NotRepeatable = true
 	return Size{Gateways: 2, Prefills: 2, Decodes: 2, Services: 1, Engine: fake.DefaultSpec(), Selectors: list}
 }
 
-// Start brings up a fleet.
+// Start starts a fleet and waits until its initial configuration is in force.
 func Start(ctx context.Context, binary, dir string, size Size) (*Fleet, error) {
 	f := &Fleet{
 		KV: fake.NewKV(), List: fake.NewList(), Engines: map[string]*fake.Engine{}, Orders: fake.NewService(0),
@@ -107,7 +107,7 @@
 	return f, f.configure(ctx, size.Selectors)
 }
 
-// runners starts the stand-in runners and their sidecars.
+// runners starts all fake runners and their sidecars.
 func (f *Fleet) runners(size Size) error {
 	fabric := fake.NewFabric()
 	for i := range size.Prefills + size.Decodes {
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// runner serves a stand-in and starts its sidecar.
+// runner serves one fake runner and starts its sidecar.
 func (f *Fleet) runner(name, kind string, h http.Handler) error {
 	url, err := f.serve(h)
 	if err != nil {
@@ -146,7 +146,7 @@
 	return "http://" + s.Addr(), nil
 }
 
-// configure makes the first configuration and waits until it is in force.
+// configure applies the initial configuration and waits until it is in force.
 func (f *Fleet) configure(ctx context.Context, list []fleet.Selector) error {
 	reply, err := f.Client.Change(ctx, &fleet.Change{ID: "first", Apply: list}, false)
 	if err != nil {
@@ -158,24 +158,25 @@
 // Sidecar starts a sidecar; runner is the settings line of its engine or service.
 func (f *Fleet) Sidecar(name, runner string) error {
 	return f.start(name, platform.RoleSidecar, 2, func(ports []string) string {
-		return fmt.Sprintf("%s\nlisten: {inner: %q, admin: %q}\n%s\n", f.head(name), ports[0], ports[1], runner)
+		return fmt.Sprintf("%s\nlisten: {inner: %q, admin: %q}\n%s\n", f.settingsHead(name), ports[0], ports[1], runner)
 	})
 }
 
 // Gateway starts a gateway.
 func (f *Fleet) Gateway(name string) error {
 	return f.start(name, platform.RoleGateway, 3, func(ports []string) string {
-		return fmt.Sprintf("%s\nlisten: {inner: %q, admin: %q, callers: %q}\ndrain: {balancer_wait: 0s}\nlimits: {open_requests: 20000, open_requests_per_workspace: 20000}\n", f.head(name), ports[0], ports[1], ports[2])
+		return fmt.Sprintf("%s\nlisten: {inner: %q, admin: %q, callers: %q}\ndrain: {balancer_wait: 0s}\nlimits: {open_requests: 20000, open_requests_per_workspace: 20000}\n", f.settingsHead(name), ports[0], ports[1], ports[2])
 	})
 }
 
-// head is what the settings of both roles begin with.
-func (f *Fleet) head(name string) string {
+// settingsHead returns the part of the settings that both roles share.
+func (f *Fleet) settingsHead(name string) string {
 	pool, _, _ := strings.Cut(name, "-")
 	return fmt.Sprintf("instance: {name: %s, domain: d, region: r, labels: {pool: %s}}\nplatform: %s", name, pool, f.platform)
 }
 
-// start writes a settings file, starts the process and lists it.
+// start writes a settings file, starts the process and adds it to the instance
+// list.
 func (f *Fleet) start(name, role string, n int, settings func(ports []string) string) error {
 	ports, err := demo.FreePorts(n)
 	if err != nil {
@@ -193,7 +194,7 @@
 	}
 	d.cmd = exec.Command(f.binary, role, "--config", file)
 	d.cmd.Stderr = os.Stderr
-	if err := d.await(); err != nil {
+	if err := d.startAndWait(); err != nil {
 		return err
 	}
 	f.Daemons[name] = d
@@ -201,8 +202,9 @@
 	return nil
 }
 
-// await starts the process and waits for its line that it is ready.
-func (d *Daemon) await() error {
+// startAndWait starts the process and waits for the line that reports that it is
+// ready.
+func (d *Daemon) startAndWait() error {
 	out, err := d.cmd.StdoutPipe()
 	if err != nil {
 		return err
@@ -225,10 +227,10 @@
 	return f.Daemons[name].cmd.Process.Signal(s)
 }
 
-// Ended is closed when a process has ended.
+// Ended returns a channel that is closed when a process has ended.
 func (f *Fleet) Ended(name string) <-chan struct{} { return f.Daemons[name].ended }
 
-// Held sums the memory that all engines hold.
+// Held returns the KV cache memory in use on all engines, in bytes.
 func (f *Fleet) Held() int64 {
 	var sum int64
 	for _, e := range f.Engines {
@@ -237,7 +239,8 @@
 	return sum
 }
 
-// Close ends all processes that the fleet started, by their IDs.
+// Close kills all processes that the fleet started, by their process IDs, and stops
+// the fakes.
 func (f *Fleet) Close() {
 	for name, d := range f.Daemons {
 		_ = f.Signal(name, syscall.SIGCONT)
@@ -252,19 +255,20 @@
 	}
 }
 
-// Usage is what a process used so far.
+// Usage is the resource usage of a process since its start.
 type Usage struct {
-	// CPU is its processor time, RSS its memory in bytes, IO the bytes that it
-	// read and wrote, files and sockets together.
+	// CPU is the processor time, RSS the resident memory in bytes, IO the number of
+	// bytes read and written, files and sockets together.
 	CPU time.Duration
 	RSS int64
 	IO  int64
 }
 
-// clockTick is the unit of processor times in /proc, in hertz.
+// clockTick is the number of clock ticks per second: /proc reports processor times
+// in ticks.
 const clockTick = 100
 
-// Usage reads what a process used from /proc.
+// Usage reads the resource usage of a process from /proc.
 func (f *Fleet) Usage(name string) (Usage, error) {
 	dir := fmt.Sprintf("/proc/%d/", f.Daemons[name].cmd.Process.Pid)
 	var u Usage
