--- a/pkg/httpapi/api.go
+++ b/pkg/httpapi/api.go
@@ -228,6 +228,6 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// created returns the current time as the API's field of that name has it: in
-// seconds since the Unix epoch.
+// created returns the current time for the field created of a response, in seconds
+// since the Unix epoch.
 func created() int64 { return time.Now().Unix() }
--- a/pkg/httpapi/generate.go
+++ b/pkg/httpapi/generate.go
@@ -102,8 +102,8 @@
 	s.end(&res)
 }
 
-// responseSink writes the response of a generation: whole at its end, or as a stream of
-// server-sent events.
+// responseSink writes the response of a generation: as one body at its end, or as a
+// stream of server-sent events.
 type responseSink struct {
 	w       http.ResponseWriter
 	job     *job
@@ -136,7 +136,7 @@
 	s.w.WriteHeader(http.StatusOK)
 }
 
-// writeEvent sends one server-sent writeEvent.
+// writeEvent sends v as one server-sent event.
 func (s *responseSink) writeEvent(v any) error {
 	data, err := json.Marshal(v)
 	if err != nil {
--- a/pkg/platform/platform.go
+++ b/pkg/platform/platform.go
@@ -31,7 +31,8 @@
 	Get(ctx context.Context, key string) (Value, error)
 	// Swap writes data if the key is still at the given version (0: if the key is
 	// missing) and returns the new version. It fails with *ErrConflict if the key
-	// is at another version. A value with a ttl above 0 is deleted after that time.
+	// is at another version. With a ttl above 0 the value is under a lease of that
+	// time and is deleted when the lease expires.
 	Swap(ctx context.Context, key string, version uint64, data []byte, ttl time.Duration) (uint64, error)
 	// Watch waits until the key's version is above after, for at most wait, and
 	// returns the value at that time.
--- a/pkg/realtest/real_test.go
+++ b/pkg/realtest/real_test.go
@@ -42,8 +42,8 @@
 	return &stream{body: r.Body, lines: bufio.NewScanner(r.Body)}
 }
 
-// next reads one event and reports whether it carried text. It returns false at
-// [DONE] and at the end of the body.
+// next reads one completion event and appends its text. It returns false at [DONE]
+// and at the end of the body.
 func (s *stream) next() bool {
 	for s.lines.Scan() {
 		data, ok := strings.CutPrefix(s.lines.Text(), "data: ")
--- a/pkg/trace/merge.go
+++ b/pkg/trace/merge.go
@@ -10,7 +10,8 @@
 )
 
 // Sort sorts the events of any number of processes in causal order: by logical
-// clock, then by process, then by time since the process's log was created.
+// clock, then by process, then by time since the process's log was created. Events
+// with equal clocks do not depend on each other.
 func Sort(events []Event) {
 	slices.SortFunc(events, func(a, b Event) int {
 		return cmp.Or(cmp.Compare(a.Clock, b.Clock), strings.Compare(a.Process, b.Process), cmp.Compare(a.Mono, b.Mono))
--- a/pkg/wire/wire.go
+++ b/pkg/wire/wire.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	// MaxMessage limits one message of the inner protocol, in bytes. The largest one carries a
-	// configuration document or a request's prompt.
+	// MaxMessage limits one message of the inner protocol, in bytes. The largest
+	// one carries a configuration document or a request's prompt.
 	MaxMessage = 8 << 20
 	// dialTimeout limits the time for opening a connection.
 	dialTimeout = 800 * time.Millisecond
@@ -41,7 +41,8 @@
 	return d.DialContext(ctx, "tcp", address)
 }
 
-// ErrPeer reports that the connection to a process failed.
+// ErrPeer reports that a process could not be reached or that the connection to it
+// failed.
 type ErrPeer struct {
 	Address string
 	Err     error
