--- a/pkg/httpapi/api.go
+++ b/pkg/httpapi/api.go
@@ -209,15 +209,15 @@
 		return badRequest("body", "is not UTF-8")
 	}
 	err := json.Unmarshal(body, into)
-	var syntax *json.SyntaxError
-	var kind *json.UnmarshalTypeError
+	var syntaxErr *json.SyntaxError
+	var typeErr *json.UnmarshalTypeError
 	switch {
 	case err == nil:
 		return nil
-	case errors.As(err, &kind):
-		return badRequest(kind.Field, "expected "+kind.Type.String()+", got "+kind.Value)
-	case errors.As(err, &syntax):
-		return badRequest("body", "not JSON: "+syntax.Error())
+	case errors.As(err, &typeErr):
+		return badRequest(typeErr.Field, "expected "+typeErr.Type.String()+", got "+typeErr.Value)
+	case errors.As(err, &syntaxErr):
+		return badRequest("body", "not JSON: "+syntaxErr.Error())
 	}
 	return badRequest("body", err.Error())
 }
--- a/pkg/httpapi/errors.go
+++ b/pkg/httpapi/errors.go
@@ -51,14 +51,14 @@
 	var shed *gateway.ErrShed
 	var held *claim.ErrHeld
 	var stale *gateway.ErrStale
-	var key *workspace.ErrCredential
-	var used *quota.ErrQuota
+	var credential *workspace.ErrCredential
+	var quotaErr *quota.ErrQuota
 	switch {
-	case errors.As(err, &key):
+	case errors.As(err, &credential):
 		a.set(http.StatusUnauthorized, "invalid_request_error", "invalid_api_key")
-	case errors.As(err, &used):
-		a.set(http.StatusTooManyRequests, string(used.Limit.Unit), "rate_limit_exceeded")
-		a.retryAfter = max(used.After, time.Millisecond)
+	case errors.As(err, &quotaErr):
+		a.set(http.StatusTooManyRequests, string(quotaErr.Limit.Unit), "rate_limit_exceeded")
+		a.retryAfter = max(quotaErr.After, time.Millisecond)
 	case errors.As(err, &bad):
 		a.set(bad.Status, "invalid_request_error", bad.Code)
 		a.body.Message = bad.Message
--- a/pkg/realtest/real_test.go
+++ b/pkg/realtest/real_test.go
@@ -34,7 +34,7 @@
 	done  bool
 }
 
-func open(callers, prompt string, tokens int) *stream {
+func openStream(callers, prompt string, tokens int) *stream {
 	body := fmt.Sprintf(`{"model":%q,"prompt":%q,"max_tokens":%d,"stream":true}`, demo.Model, prompt, tokens)
 	r, err := http.Post("http://"+callers+"/v1/completions", "application/json", strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
@@ -89,9 +89,9 @@
 		// A request may find no runner until both gateways have all runners in their
 		// membership lists.
 		Eventually(func(g Gomega) {
-			answers, err := f.Client.Status(ctx)
+			statuses, err := f.Client.Status(ctx)
 			g.Expect(err).NotTo(HaveOccurred())
-			for _, a := range answers {
+			for _, a := range statuses {
 				g.Expect(a.Err).NotTo(HaveOccurred())
 				g.Expect(a.Value.Members).To(HaveLen(len(f.Daemons)))
 			}
@@ -111,7 +111,7 @@
 	}
 
 	It("frees the engine memory held for a gateway that is killed", func() {
-		s := open(f.Daemons["gateway-1"].Callers, "killed", 20000)
+		s := openStream(f.Daemons["gateway-1"].Callers, "killed", 20000)
 		Expect(s.next()).To(BeTrue())
 		Expect(f.Signal("gateway-1", syscall.SIGKILL)).To(Succeed())
 		expectMemoryFreed()
@@ -119,7 +119,7 @@
 		Expect(s.done).To(BeFalse(), "a broken stream must not end with [DONE]")
 	})
 	It("frees the engine memory held for a gateway that is stopped by SIGSTOP", func() {
-		s := open(f.Daemons["gateway-1"].Callers, "paused", 20000)
+		s := openStream(f.Daemons["gateway-1"].Callers, "paused", 20000)
 		Expect(s.next()).To(BeTrue())
 		Expect(f.Signal("gateway-1", syscall.SIGSTOP)).To(Succeed())
 		expectMemoryFreed()
@@ -130,32 +130,32 @@
 	It("completes a stream whose decode sidecar is stopped by SIGSTOP or killed", func() {
 		for _, sig := range []syscall.Signal{syscall.SIGSTOP, syscall.SIGKILL} {
 			prompt := "sidecar " + sig.String()
-			s := open(f.Daemons["gateway-2"].Callers, prompt, 200)
+			s := openStream(f.Daemons["gateway-2"].Callers, prompt, 200)
 			Expect(s.next()).To(BeTrue())
-			on := streamingDecode()
-			Expect(f.Signal(on, sig)).To(Succeed())
+			sidecar := streamingDecode()
+			Expect(f.Signal(sidecar, sig)).To(Succeed())
 			Expect(s.rest()).To(Equal(fake.Answer(prompt, 200)))
 			Expect(s.done).To(BeTrue())
 			if sig == syscall.SIGSTOP {
-				Expect(f.Signal(on, syscall.SIGCONT)).To(Succeed())
+				Expect(f.Signal(sidecar, syscall.SIGCONT)).To(Succeed())
 				expectMemoryFreed()
 			}
 		}
 	})
 	It("completes open streams when a gateway and a sidecar shut down on SIGTERM", func() {
-		s := open(f.Daemons["gateway-1"].Callers, "planned", 150)
+		s := openStream(f.Daemons["gateway-1"].Callers, "planned", 150)
 		Expect(s.next()).To(BeTrue())
-		on := streamingDecode()
+		sidecar := streamingDecode()
 		Expect(f.Signal("gateway-1", syscall.SIGTERM)).To(Succeed())
-		Expect(f.Signal(on, syscall.SIGTERM)).To(Succeed())
+		Expect(f.Signal(sidecar, syscall.SIGTERM)).To(Succeed())
 		Expect(s.rest()).To(Equal(fake.Answer("planned", 150)))
 		Expect(s.done).To(BeTrue())
 		Eventually(f.Ended("gateway-1")).WithTimeout(testTimeout).Should(BeClosed())
-		Eventually(f.Ended(on)).WithTimeout(testTimeout).Should(BeClosed())
+		Eventually(f.Ended(sidecar)).WithTimeout(testTimeout).Should(BeClosed())
 	})
 	It("runs a request with an idempotency key once if its gateway is killed and the client retries", func() {
 		f.Orders.Delay = 300 * time.Millisecond
-		order := func(gateway string) (*http.Response, error) {
+		sendOrder := func(gateway string) (*http.Response, error) {
 			r, err := http.NewRequest(http.MethodPost, "http://"+f.Daemons[gateway].Callers+"/services/memory/order", strings.NewReader("one keel"))
 			Expect(err).NotTo(HaveOccurred())
 			r.Header.Set("Idempotency-Key", "k1")
@@ -163,11 +163,11 @@
 		}
 		go func() {
 			defer GinkgoRecover()
-			_, _ = order("gateway-1")
+			_, _ = sendOrder("gateway-1")
 		}()
 		Eventually(func() int { return f.Orders.Runs("one keel") }).WithTimeout(testTimeout).WithPolling(5 * time.Millisecond).Should(Equal(1))
 		Expect(f.Signal("gateway-1", syscall.SIGKILL)).To(Succeed())
-		r, err := order("gateway-2")
+		r, err := sendOrder("gateway-2")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(r.StatusCode).To(Equal(http.StatusConflict))
 		Expect(r.Header.Get("Hopwell-Outcome")).To(Equal("unknown"))
--- a/pkg/realtest/realtest.go
+++ b/pkg/realtest/realtest.go
@@ -96,7 +96,7 @@
 	}
 	f.platform = p
 	f.Client = opclient.New(p, nil)
-	if err := f.runners(size); err != nil {
+	if err := f.startRunners(size); err != nil {
 		return nil, err
 	}
 	for i := range size.Gateways {
@@ -107,8 +107,8 @@
 	return f, f.configure(ctx, size.Selectors)
 }
 
-// runners starts all fake runners and their sidecars.
-func (f *Fleet) runners(size Size) error {
+// startRunners starts all fake runners and their sidecars.
+func (f *Fleet) startRunners(size Size) error {
 	fabric := fake.NewFabric()
 	for i := range size.Prefills + size.Decodes {
 		name := fmt.Sprintf("prefill-%d", i+1)
@@ -116,20 +116,20 @@
 			name = fmt.Sprintf("decode-%d", i-size.Prefills+1)
 		}
 		f.Engines[name] = fake.NewEngine(name, size.Engine, fabric)
-		if err := f.runner(name, "engine", fake.EngineHandler(f.Engines[name])); err != nil {
+		if err := f.startRunner(name, "engine", fake.EngineHandler(f.Engines[name])); err != nil {
 			return err
 		}
 	}
 	for i := range size.Services {
-		if err := f.runner(fmt.Sprintf("service-%d", i+1), "service", f.Orders); err != nil {
+		if err := f.startRunner(fmt.Sprintf("service-%d", i+1), "service", f.Orders); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// runner serves one fake runner and starts its sidecar.
-func (f *Fleet) runner(name, kind string, h http.Handler) error {
+// startRunner serves one fake runner and starts its sidecar.
+func (f *Fleet) startRunner(name, kind string, h http.Handler) error {
 	url, err := f.serve(h)
 	if err != nil {
 		return err
--- a/pkg/trace/log.go
+++ b/pkg/trace/log.go
@@ -66,7 +66,7 @@
 	Since    time.Time
 }
 
-func (f Filter) passes(e *Event) bool {
+func (f Filter) matches(e *Event) bool {
 	if f.Request != "" && e.Request != f.Request {
 		return false
 	}
@@ -90,7 +90,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i := range r.events {
-		if f.passes(&r.events[i]) {
+		if f.matches(&r.events[i]) {
 			out = append(out, r.events[i])
 		}
 	}
