--- a/pkg/realtest/real_test.go
+++ b/pkg/realtest/real_test.go
@@ -23,10 +23,10 @@
 
 func TestReal(t *testing.T) { spectest.Run(t, "real processes") }
 
-// patience is long: no verdict here depends on the machine's speed.
-const patience = 2 * time.Minute
+// testTimeout is long so that no result depends on the machine's speed.
+const testTimeout = 2 * time.Minute
 
-// stream is a streamed completion as its caller sees it.
+// stream is a streamed completion as its client receives it.
 type stream struct {
 	body  io.ReadCloser
 	lines *bufio.Scanner
@@ -34,7 +34,7 @@
 	done  bool
 }
 
-func open(callers, prompt string, tokens int) *stream {
+func openStream(callers, prompt string, tokens int) *stream {
 	body := fmt.Sprintf(`{"model":%q,"prompt":%q,"max_tokens":%d,"stream":true}`, demo.Model, prompt, tokens)
 	r, err := http.Post("http://"+callers+"/v1/completions", "application/json", strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
@@ -42,7 +42,8 @@
 	return &stream{body: r.Body, lines: bufio.NewScanner(r.Body)}
 }
 
-// next reads one event and reports whether the stream goes on.
+// next reads one completion event and appends its text. It returns false at [DONE]
+// and at the end of the body.
 func (s *stream) next() bool {
 	for s.lines.Scan() {
 		data, ok := strings.CutPrefix(s.lines.Text(), "data: ")
@@ -62,7 +63,7 @@
 	return false
 }
 
-// rest reads to the end and returns the whole text.
+// rest reads the stream to its end and returns the text received since it was opened.
 func (s *stream) rest() string {
 	for s.next() {
 	}
@@ -79,27 +80,28 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 	BeforeEach(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
 		var err error
 		f, err = Start(ctx, binary, GinkgoT().TempDir(), Small())
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(f.Close)
-		// Until both gateways see all runners, a request may find none.
+		// A request may find no runner until both gateways have all runners in their
+		// membership lists.
 		Eventually(func(g Gomega) {
-			answers, err := f.Client.Status(ctx)
+			statuses, err := f.Client.Status(ctx)
 			g.Expect(err).NotTo(HaveOccurred())
-			for _, a := range answers {
+			for _, a := range statuses {
 				g.Expect(a.Err).NotTo(HaveOccurred())
 				g.Expect(a.Value.Members).To(HaveLen(len(f.Daemons)))
 			}
-		}).WithTimeout(patience).WithPolling(50 * time.Millisecond).Should(Succeed())
+		}).WithTimeout(testTimeout).WithPolling(50 * time.Millisecond).Should(Succeed())
 	})
-	free := func() {
+	expectMemoryFreed := func() {
 		GinkgoHelper()
-		Eventually(f.Held).WithTimeout(patience).WithPolling(20 * time.Millisecond).Should(BeZero())
+		Eventually(f.Held).WithTimeout(testTimeout).WithPolling(20 * time.Millisecond).Should(BeZero())
 	}
-	streaming := func() string {
+	streamingDecode := func() string {
 		for _, name := range []string{"decode-1", "decode-2"} {
 			if f.Engines[name].KVUsed() > 0 {
 				return name
@@ -108,52 +110,52 @@
 		return ""
 	}
 
-	It("frees the engines' memory of a gateway that is killed", func() {
-		s := open(f.Daemons["gateway-1"].Callers, "killed", 20000)
+	It("frees the engine memory held for a gateway that is killed", func() {
+		s := openStream(f.Daemons["gateway-1"].Callers, "killed", 20000)
 		Expect(s.next()).To(BeTrue())
 		Expect(f.Signal("gateway-1", syscall.SIGKILL)).To(Succeed())
-		free()
+		expectMemoryFreed()
 		Expect(s.rest()).NotTo(BeEmpty())
-		Expect(s.done).To(BeFalse(), "a cut stream must not look whole")
+		Expect(s.done).To(BeFalse(), "a broken stream must not end with [DONE]")
 	})
-	It("frees the engines' memory of a gateway that is paused", func() {
-		s := open(f.Daemons["gateway-1"].Callers, "paused", 20000)
+	It("frees the engine memory held for a gateway that is stopped by SIGSTOP", func() {
+		s := openStream(f.Daemons["gateway-1"].Callers, "paused", 20000)
 		Expect(s.next()).To(BeTrue())
 		Expect(f.Signal("gateway-1", syscall.SIGSTOP)).To(Succeed())
-		free()
+		expectMemoryFreed()
 		Expect(f.Signal("gateway-1", syscall.SIGCONT)).To(Succeed())
 		Expect(s.body.Close()).To(Succeed())
-		free()
+		expectMemoryFreed()
 	})
-	It("answers whole though the decode's sidecar is killed or paused", func() {
+	It("completes a stream whose decode sidecar is stopped by SIGSTOP or killed", func() {
 		for _, sig := range []syscall.Signal{syscall.SIGSTOP, syscall.SIGKILL} {
 			prompt := "sidecar " + sig.String()
-			s := open(f.Daemons["gateway-2"].Callers, prompt, 200)
+			s := openStream(f.Daemons["gateway-2"].Callers, prompt, 200)
 			Expect(s.next()).To(BeTrue())
-			on := streaming()
-			Expect(f.Signal(on, sig)).To(Succeed())
+			sidecar := streamingDecode()
+			Expect(f.Signal(sidecar, sig)).To(Succeed())
 			Expect(s.rest()).To(Equal(fake.Answer(prompt, 200)))
 			Expect(s.done).To(BeTrue())
 			if sig == syscall.SIGSTOP {
-				Expect(f.Signal(on, syscall.SIGCONT)).To(Succeed())
-				free()
+				Expect(f.Signal(sidecar, syscall.SIGCONT)).To(Succeed())
+				expectMemoryFreed()
 			}
 		}
 	})
-	It("cuts off nothing when a gateway and a sidecar are stopped as planned", func() {
-		s := open(f.Daemons["gateway-1"].Callers, "planned", 150)
+	It("completes open streams when a gateway and a sidecar shut down on SIGTERM", func() {
+		s := openStream(f.Daemons["gateway-1"].Callers, "planned", 150)
 		Expect(s.next()).To(BeTrue())
-		on := streaming()
+		sidecar := streamingDecode()
 		Expect(f.Signal("gateway-1", syscall.SIGTERM)).To(Succeed())
-		Expect(f.Signal(on, syscall.SIGTERM)).To(Succeed())
+		Expect(f.Signal(sidecar, syscall.SIGTERM)).To(Succeed())
 		Expect(s.rest()).To(Equal(fake.Answer("planned", 150)))
 		Expect(s.done).To(BeTrue())
-		Eventually(f.Ended("gateway-1")).WithTimeout(patience).Should(BeClosed())
-		Eventually(f.Ended(on)).WithTimeout(patience).Should(BeClosed())
+		Eventually(f.Ended("gateway-1")).WithTimeout(testTimeout).Should(BeClosed())
+		Eventually(f.Ended(sidecar)).WithTimeout(testTimeout).Should(BeClosed())
 	})
-	It("runs an order once though its gateway is killed and its caller asks again", func() {
+	It("runs a request with an idempotency key once if its gateway is killed and the client retries", func() {
 		f.Orders.Delay = 300 * time.Millisecond
-		order := func(gateway string) (*http.Response, error) {
+		sendOrder := func(gateway string) (*http.Response, error) {
 			r, err := http.NewRequest(http.MethodPost, "http://"+f.Daemons[gateway].Callers+"/services/memory/order", strings.NewReader("one keel"))
 			Expect(err).NotTo(HaveOccurred())
 			r.Header.Set("Idempotency-Key", "k1")
@@ -161,11 +163,11 @@
 		}
 		go func() {
 			defer GinkgoRecover()
-			_, _ = order("gateway-1")
+			_, _ = sendOrder("gateway-1")
 		}()
-		Eventually(func() int { return f.Orders.Runs("one keel") }).WithTimeout(patience).WithPolling(5 * time.Millisecond).Should(Equal(1))
+		Eventually(func() int { return f.Orders.Runs("one keel") }).WithTimeout(testTimeout).WithPolling(5 * time.Millisecond).Should(Equal(1))
 		Expect(f.Signal("gateway-1", syscall.SIGKILL)).To(Succeed())
-		r, err := order("gateway-2")
+		r, err := sendOrder("gateway-2")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(r.StatusCode).To(Equal(http.StatusConflict))
 		Expect(r.Header.Get("Hopwell-Outcome")).To(Equal("unknown"))
