--- a/experiment/bound.go
+++ b/experiment/bound.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// cost is what a request takes of the pools, in seconds of one engine.
+// cost is the engine time that a request takes in each pool, in seconds of one engine.
 type cost struct {
 	prefill, decode float64
 }
 
-// costOf is the least that an arrival can take: its shared prefix cached, and of
-// each decode step its own time and a part of the fixed time, which is shared by
-// as many streams as the batch or the memory allows.
+// costOf returns the minimum cost of an arrival. It assumes that the shared prefix is
+// cached, and charges for each decode step the time of the stream itself plus a part of
+// the step's fixed time, which is shared by as many streams as the batch limit or the
+// memory allows.
 func (d *Deployment) costOf(a *Arrival) cost {
 	e := &d.Engine
 	memory := float64(int64(a.Prompt+a.Out)*e.KVPerToken) / float64(e.KVTotal)
@@ -23,8 +24,8 @@
 	}
 }
 
-// demand is the mean cost of an arrival.
-func (d *Deployment) demand() cost {
+// meanCost returns the mean cost of an arrival.
+func (d *Deployment) meanCost() cost {
 	const sample = 20000
 	var sum cost
 	load := d.Load(1, 1000, 0, sample*time.Millisecond)
@@ -39,17 +40,17 @@
 	return cost{sum.prefill / n, sum.decode / n}
 }
 
-// Capacity is the rate at which the busier pool has just enough to do, in
-// requests a second.
+// Capacity returns the request rate, per second, at which the busier pool is just fully
+// used.
 func (d *Deployment) Capacity() float64 {
-	c := d.demand()
+	c := d.meanCost()
 	return min(float64(d.Prefills)/c.prefill, float64(d.Decodes)/c.decode)
 }
 
-// Bound is an upper limit of the good answers that any policy could give, were
-// all arrivals known ahead: as many requests as fit the engine time of the whole
-// run, the cheapest first, for each pool by itself, with all prefixes cached and
-// all batches full.
+// Bound returns an upper bound on the number of good responses of any policy, even one
+// that knows all arrivals in advance. It counts how many requests, cheapest first, fit
+// into the engine time of the whole run, for each pool separately, with all prefixes
+// cached and all batches full.
 func (d *Deployment) Bound(load []Arrival, length time.Duration, prefills, decodes float64) int {
 	var free int
 	var pre, dec []float64
@@ -62,11 +63,11 @@
 		pre = append(pre, c.prefill)
 		dec = append(dec, c.decode)
 	}
-	return free + min(fit(pre, prefills*length.Seconds()), fit(dec, decodes*length.Seconds()))
+	return free + min(countFitting(pre, prefills*length.Seconds()), countFitting(dec, decodes*length.Seconds()))
 }
 
-// fit returns how many of the smallest costs fit into a budget.
-func fit(costs []float64, budget float64) int {
+// countFitting returns how many of the smallest costs countFitting into a budget.
+func countFitting(costs []float64, budget float64) int {
 	slices.Sort(costs)
 	for i, c := range costs {
 		if budget -= c; budget < 0 {
--- a/experiment/compare_test.go
+++ b/experiment/compare_test.go
@@ -11,23 +11,23 @@
 )
 
 var (
-	full   = flag.Bool("full", false, "run the whole comparison")
-	only   = flag.String("scene", "", "only scenes whose name contains this")
-	policy = flag.String("setting", "", "only settings whose name contains this")
-	site   = flag.String("site", "", "only deployments whose name contains this")
-	seed   = flag.Uint64("seed", 11, "seed of the load")
-	length = flag.Duration("length", 40*time.Second, "length of the load")
+	full             = flag.Bool("full", false, "run the whole comparison")
+	sceneFilter      = flag.String("scene", "", "only scenes whose name contains this")
+	settingFilter    = flag.String("setting", "", "only settings whose name contains this")
+	deploymentFilter = flag.String("site", "", "only deployments whose name contains this")
+	seed             = flag.Uint64("seed", 11, "seed of the load")
+	length           = flag.Duration("length", 40*time.Second, "length of the load")
 )
 
-// TestCompare prints the tables of the comparison. It judges nothing: its
-// figures go into docs/POLICY.md. Without -full it is a short check that the
-// experiment runs.
+// TestCompare prints the tables of the comparison, whose figures go into docs/POLICY.md.
+// It asserts nothing about them. Without -full it only checks briefly that the experiment
+// runs.
 func TestCompare(t *testing.T) {
 	var mu sync.Mutex
 	tables := map[string][]Row{}
 	t.Run("runs", func(t *testing.T) {
 		for _, d := range []Deployment{Bangkok(), VitiWest()} {
-			if !strings.Contains(d.Name, *site) {
+			if !strings.Contains(d.Name, *deploymentFilter) {
 				continue
 			}
 			compare(t, d, func(rows []Row) {
@@ -39,7 +39,7 @@
 	})
 	for _, d := range []Deployment{Bangkok(), VitiWest()} {
 		WriteTable(os.Stdout, d, tables[d.Name])
-		c := d.demand()
+		c := d.meanCost()
 		t.Logf("%s: capacity %.1f/s, prefill use %.2f, decode use %.2f", d.Name, d.Capacity(), d.Capacity()*c.prefill/float64(d.Prefills), d.Capacity()*c.decode/float64(d.Decodes))
 		for _, r := range tables[d.Name] {
 			t.Logf("%s %s: cached %.2f busy %.2f refused %v", r.Scene, r.Setting, r.Outcome.Cached, r.Outcome.Busy, r.Outcome.Reasons)
@@ -56,7 +56,7 @@
 	var rows []Row
 	for _, scene := range scenes {
 		for _, set := range settings {
-			if strings.Contains(scene.Name, *only) && strings.Contains(set.Name, *policy) {
+			if strings.Contains(scene.Name, *sceneFilter) && strings.Contains(set.Name, *settingFilter) {
 				rows = append(rows, Row{Scene: scene.Name, Setting: set.Name})
 			}
 		}
--- a/experiment/doc.go
+++ b/experiment/doc.go
@@ -1,3 +1,3 @@
-// Package experiment compares routing policies under load and faults, in virtual
-// time, with the real gateway and sidecar code and stand-in engines.
+// Package experiment compares routing policies under load and faults. It runs the real
+// gateway and sidecar code with stand-in engines in virtual time.
 package experiment
--- a/experiment/outcome.go
+++ b/experiment/outcome.go
@@ -12,33 +12,34 @@
 	"github.com/hopwell/hopwell/pkg/request"
 )
 
-// Outcome sums up a run.
+// Outcome summarizes a run.
 type Outcome struct {
-	// Offered, Good and Bound count requests: Good met both targets.
+	// Offered counts the requests sent, Good those that met both latency targets; Bound
+	// is the upper bound on Good from Deployment.Bound.
 	Offered, Good, Bound int
-	// ByClass is the share of good answers of each class.
+	// ByClass is the share of good responses by class.
 	ByClass map[string]float64
-	// Others is the share of good answers of all workspaces but the flooding one.
+	// Others is the share of good responses of all workspaces except the flooding one.
 	Others float64
-	// Prefilled and Wasted count prompt tokens; Gone is the part of Wasted whose
-	// callers went away, or lost their answer with their gateway.
+	// Prefilled and Wasted count prompt tokens. Gone is the part of Wasted whose client
+	// disconnected or lost its response with its gateway.
 	Prefilled, Wasted, Gone int
-	// Recovery is the time from the fault to full goodput of what is left; -1
-	// when it was not reached.
+	// Recovery is the time from the fault until the remaining engines reach full
+	// goodput, or -1 if they did not reach it.
 	Recovery time.Duration
-	// NotRun, Unknown and Late count what was not good; Left the callers that
-	// went away by themselves.
+	// NotRun, Unknown and Late count the requests that were not good. Left counts the
+	// clients that disconnected on their own.
 	NotRun, Unknown, Late, Left int
-	// Reasons counts the refused by class and reason.
+	// Reasons counts the requests that were not good by class and reason.
 	Reasons map[string]int
-	// Cached is the share of prompt tokens that engines had cached; Busy the
-	// share of time that prefill engines computed.
+	// Cached is the share of prompt tokens found in the engines' prefix caches. Busy is
+	// the share of time that the prefill engines computed.
 	Cached, Busy float64
-	// KVReads and KVWrites are calls a second.
+	// KVReads and KVWrites are store calls per second.
 	KVReads, KVWrites float64
 }
 
-// classOf returns the kind of a call.
+// classOf returns the request kind of a call, which names its class.
 func classOf(c *fleettest.Call) string {
 	if c.Service != nil {
 		return c.Service.Kind
@@ -46,7 +47,6 @@
 	return c.Request.Kind
 }
 
-// workspaceOf returns the workspace of a call.
 func workspaceOf(c *fleettest.Call) string {
 	if c.Service != nil {
 		return c.Service.Workspace
@@ -54,7 +54,7 @@
 	return c.Request.Workspace
 }
 
-// summarize counts the calls of a run.
+// summarize computes the outcome of a run from its calls.
 func summarize(d Deployment, load []Arrival, calls []*fleettest.Call, scene Scene, length time.Duration) Outcome {
 	o := Outcome{Offered: len(load), ByClass: map[string]float64{}, Reasons: map[string]int{}}
 	o.Bound = d.Bound(load, length, float64(d.Prefills), float64(d.Decodes))
@@ -109,14 +109,15 @@
 	}
 }
 
-// good reports whether a caller got a whole answer within both targets.
+// good reports whether the client received a complete response within both targets.
 func good(c *fleettest.Call) bool { return !c.Lost && c.Left.IsZero() && c.Result.Good() }
 
-// enough is the share of the goodput before a fault, scaled by the capacity
-// that is left, that counts as full.
-const enough = 0.9
+// recoveredShare is the share of the goodput before a fault, scaled by the remaining
+// capacity, that counts as full goodput.
+const recoveredShare = 0.9
 
-// recovery finds the last second after the fault with too little goodput.
+// recovery returns the time from the fault to the last second after it with too little
+// goodput, or -1 if goodput is still too low at the end of the load.
 func recovery(d Deployment, calls []*fleettest.Call, scene Scene, length time.Duration) time.Duration {
 	if scene.Fault == nil || len(calls) == 0 {
 		return 0
@@ -144,7 +145,7 @@
 	left := min(1-float64(scene.Prefills)/float64(d.Prefills), 1-float64(scene.Decodes)/float64(d.Decodes))
 	for s := n - 3; s >= fault; s-- {
 		window := sum(ok[s:s+3]) / max(1, sum(offered[s:s+3]))
-		if window < enough*before*left {
+		if window < recoveredShare*before*left {
 			if s >= n-4 {
 				return -1
 			}
@@ -162,13 +163,13 @@
 	return t
 }
 
-// Row is a line of the table.
+// Row is a row of the table.
 type Row struct {
 	Scene, Setting string
 	Outcome        Outcome
 }
 
-// WriteTable writes a deployment's table in Markdown.
+// WriteTable writes the results of a deployment as a Markdown table.
 func WriteTable(w io.Writer, d Deployment, rows []Row) {
 	kinds := make([]string, len(d.Classes))
 	for i := range d.Classes {
@@ -195,8 +196,8 @@
 	return fmt.Sprintf("%.0f", d.Seconds())
 }
 
-// use sums up what the prefill engines did.
-func (o *Outcome) use(f *fleettest.Fleet, length time.Duration) {
+// addEngineUse sets Cached and Busy from the statistics of the engines.
+func (o *Outcome) addEngineUse(f *fleettest.Fleet, length time.Duration) {
 	var done, cached int64
 	n := 0
 	for _, e := range f.Engines {
--- a/experiment/run.go
+++ b/experiment/run.go
@@ -10,14 +10,14 @@
 	"github.com/hopwell/hopwell/pkg/sidecar"
 )
 
-// Setting is one way to decide.
+// Setting is a combination of a routing policy and an admission policy.
 type Setting struct {
 	Name, Policy, Admission string
 }
 
-// Settings are compared in one run. The baselines admit everything, as simple
-// routers do; one of them is run with hopwell's admission too, which shows what
-// the choice itself adds.
+// Settings returns the settings to compare. The baselines admit every request, as simple
+// routers do. One baseline also runs with hopwell's admission, to separate the effect of
+// the routing choice from that of admission.
 func Settings() []Setting {
 	return []Setting{
 		{"round_robin", route.NameRoundRobin, sidecar.AdmitFIFO},
@@ -28,22 +28,23 @@
 	}
 }
 
-// Scene is a load with a fault.
+// Scene is a load with an optional fault.
 type Scene struct {
 	Name string
-	// Load is the share of the deployment's capacity; Flood the part of it that
-	// comes from one workspace.
+	// Load is the request rate as a share of the deployment's capacity. Flood is the
+	// share of the requests that come from one workspace.
 	Load, Flood float64
-	// Fault brings the fault about; nil for none.
+	// Fault injects the fault; nil means no fault.
 	Fault func(r *Run)
-	// Prefills and Decodes is what the fault takes for good.
+	// Prefills and Decodes are the numbers of engines that the fault removes
+	// permanently.
 	Prefills, Decodes int
 }
 
-// faultAt is when a scene's fault begins.
+// faultAt is the time from the start of the load to the fault.
 const faultAt = 15 * time.Second
 
-// Run is one experiment on its way.
+// Run is a running experiment.
 type Run struct {
 	Fleet *fleettest.Fleet
 	Spec  fleettest.Spec
@@ -53,10 +54,11 @@
 	cancels []context.CancelFunc
 }
 
-// after is how long callers wait beyond the load's end.
-const after = 25 * time.Second
+// drainTime is how long clients wait for responses after the end of the load.
+const drainTime = 25 * time.Second
 
-// Do runs a load under a setting and a scene; call it inside a bubble.
+// Do runs the load of a scene under a setting and returns the outcome. It must be called
+// inside a synctest bubble.
 func Do(d Deployment, set Setting, scene Scene, seed uint64, length time.Duration) Outcome {
 	spec := fleettest.Spec{
 		Gateways: 3, Prefills: d.Prefills, Decodes: d.Decodes, Services: d.Services,
@@ -71,13 +73,13 @@
 	r.offer(load, scene, length)
 	reads2, writes2 := r.Fleet.KV.Calls()
 	out := summarize(d, load, r.calls, scene, length)
-	out.use(r.Fleet, length)
-	out.KVReads = float64(reads2-reads) / (length + after).Seconds()
-	out.KVWrites = float64(writes2-writes) / (length + after).Seconds()
+	out.addEngineUse(r.Fleet, length)
+	out.KVReads = float64(reads2-reads) / (length + drainTime).Seconds()
+	out.KVWrites = float64(writes2-writes) / (length + drainTime).Seconds()
 	return out
 }
 
-// offer sends the load and waits for the answers.
+// offer sends the load, injects the fault and waits for the responses.
 func (r *Run) offer(load []Arrival, scene Scene, length time.Duration) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -93,13 +95,14 @@
 		time.Sleep(time.Until(began.Add(load[i].At)))
 		wg.Go(func() { r.send(ctx, &load[i], i) })
 	}
-	stop := time.AfterFunc(time.Until(began.Add(length+after)), cancel)
+	stop := time.AfterFunc(time.Until(began.Add(length+drainTime)), cancel)
 	defer stop.Stop()
 	wg.Wait()
-	time.Sleep(time.Until(began.Add(length + after)))
+	time.Sleep(time.Until(began.Add(length + drainTime)))
 }
 
-// send makes one call through a gateway, as a balancer deals them out.
+// send sends the i-th request to the gateway for i, as a load balancer in front of the
+// gateways would.
 func (r *Run) send(ctx context.Context, a *Arrival, i int) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -118,7 +121,8 @@
 	r.calls = append(r.calls, c)
 }
 
-// Scenes are the loads and the faults at full load.
+// Scenes returns the scenes: several load levels without a fault, a flood by one
+// workspace, and faults, at full load or close to it.
 func Scenes(d Deployment) []Scene {
 	out := []Scene{{Name: "60%", Load: 0.6}, {Name: "100%", Load: 1}, {Name: "150%", Load: 1.5}}
 	return append(out,
@@ -149,8 +153,8 @@
 	)
 }
 
-// reportsLate makes the instance list and the engines' reports lag by 5 s and
-// loses every second cache event.
+// reportsLate delays the instance list and the engines' reports by 5 s and drops every
+// second cache event.
 func reportsLate(r *Run) {
 	r.Fleet.List.SetLag(5 * time.Second)
 	for _, e := range r.Fleet.Engines {
@@ -158,8 +162,8 @@
 	}
 }
 
-// domainLost ends all instances of one failure domain but its gateway's callers
-// go to the others.
+// domainLost returns a scene that stops all instances of one failure domain. The clients
+// of the gateway in that domain use the other gateways.
 func domainLost(d Deployment) Scene {
 	lost := d.Domains[1]
 	count := func(n int) int {
@@ -176,7 +180,7 @@
 	}}
 }
 
-// leaveOneAfterAnother reclaims two instances with 15 s notice each.
+// leaveOneAfterAnother reclaims two instances, 3 s apart, with 15 s notice each.
 func leaveOneAfterAnother(r *Run) {
 	for _, name := range []string{"decode-1", "prefill-1"} {
 		deadline := time.Now().Add(15 * time.Second)
--- a/experiment/workload.go
+++ b/experiment/workload.go
@@ -14,24 +14,27 @@
 	"github.com/hopwell/hopwell/pkg/prefix"
 )
 
-// Class is one kind of request of a deployment.
+// Class describes one kind of request of a deployment.
 type Class struct {
-	// Kind is the request kind; Share its part of all requests.
+	// Kind is the request kind, and Share its share of all requests.
 	Kind  string
 	Share float64
-	// Prompt is the range of the prompt's own tokens, Prefix the tokens shared by
-	// all requests of one of Prefixes groups.
+	// PromptMin and PromptMax bound the prompt tokens after the prefix. Prefix is the
+	// number of prefix tokens shared by all requests of a group, and Prefixes the
+	// number of groups.
 	PromptMin, PromptMax int
 	Prefix, Prefixes     int
-	// Out is the range of the answer's tokens; 0 makes it a plain service's call.
+	// OutMin and OutMax bound the tokens of the response. An OutMax of 0 makes it a
+	// request to a plain service.
 	OutMin, OutMax int
-	// Colocate lets decode runners prefill it when the others have no time.
+	// Colocate lets decode runners prefill the request when the prefill runners have
+	// no time for it.
 	Colocate bool
-	// FirstToken and PerToken are the targets.
+	// FirstToken and PerToken are the latency targets.
 	FirstToken, PerToken time.Duration
 }
 
-// Deployment is one of the users' fleets with its load.
+// Deployment describes a fleet of one of the users and its load.
 type Deployment struct {
 	Name                        string
 	Prefills, Decodes, Services int
@@ -43,7 +46,8 @@
 	Workspaces                  int
 }
 
-// Bangkok is the localisation division: 12 model runners and 3 services.
+// Bangkok returns the deployment of the localisation division: 12 model runners and 3
+// services.
 func Bangkok() Deployment {
 	return Deployment{
 		Name: "bangkok", Prefills: 5, Decodes: 7, Services: 3,
@@ -58,7 +62,8 @@
 	}
 }
 
-// VitiWest is the chandleries: 18 model runners and 3 ordering services.
+// VitiWest returns the deployment of the chandleries: 18 model runners and 3 ordering
+// services.
 func VitiWest() Deployment {
 	return Deployment{
 		Name: "viti-west", Prefills: 10, Decodes: 8, Services: 3,
@@ -73,13 +78,13 @@
 	}
 }
 
-// flooding is the workspace that floods in a scene with a flood.
+// flooding is the workspace that sends the flood in a scene with Flood set.
 const flooding = "workspace-0"
 
-// service reports whether a class goes to a plain service.
+// service reports whether requests of the class go to a plain service.
 func (c *Class) service() bool { return c.OutMax == 0 }
 
-// Selectors is the deployment's configuration: one selector for each class and
+// Selectors returns the configuration of the deployment: one selector per class and
 // role.
 func (d *Deployment) Selectors() []fleet.Selector {
 	var out []fleet.Selector
@@ -113,8 +118,9 @@
 	PrefixID int
 }
 
-// Load draws the arrivals of a run: a Poisson process of a rate. Of its requests
-// the share flood comes from the first workspace, the rest from all alike.
+// Load generates the arrivals of a run as a Poisson process with the given rate, in
+// requests per second. The share flood of the requests comes from the first workspace;
+// the rest is distributed uniformly over all workspaces.
 func (d *Deployment) Load(seed uint64, rate, flood float64, length time.Duration) []Arrival {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	var out []Arrival
@@ -155,7 +161,7 @@
 	return a
 }
 
-// text repeats a word to a length in tokens.
+// text repeats a word up to a length in tokens.
 func text(word string, tokens int) string {
 	n := tokens * prefix.TokenBytes
 	return strings.Repeat(word, n/len(word)+1)[:n]
--- a/pkg/demo/demo.go
+++ b/pkg/demo/demo.go
@@ -1,6 +1,6 @@
-// Package demo runs a whole small fleet in one process on loopback: stand-ins
-// for the platform and the runners, a sidecar beside each runner, and two
-// gateways. Everything between them goes over TCP as it does in a real fleet.
+// Package demo runs a small fleet in one process on loopback: stand-ins for the
+// platform and the runners, a sidecar beside each runner, and two gateways. They
+// communicate over TCP as in a real fleet.
 package demo
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/hopwell/hopwell/pkg/process"
 )
 
-// Model and Service are what the demo offers.
+// Model and Service name the model and the plain service that the demo serves.
 const (
 	Model   = "translate-1"
 	Service = "memory"
@@ -32,34 +32,37 @@
 	services = 1
 )
 
-// region is where all of the demo is.
+// region is the region of all instances of the demo.
 const region = "loopback"
 
 // domains are the demo's failure domains.
 var domains = []string{"hall-a", "hall-b", "hall-c"}
 
-// Options choose the demo's addresses; empty ones take free ports.
+// Options configures the listen addresses of the demo. An empty or missing address
+// selects a free port.
 type Options struct {
 	// Platform is the stand-in platform's address.
 	Platform string
-	// Callers and Admin are addresses for the gateways, in order.
+	// Callers and Admin are the gateways' addresses for clients and for administration,
+	// in order of the gateways.
 	Callers, Admin []string
 }
 
-// Demo is the running fleet.
+// Demo is a running fleet.
 type Demo struct {
 	KV       *fake.KV
 	List     *fake.List
 	Gateways []*process.Process
 	Sidecars []*process.Process
-	// PlatformURL is where `hopwell` finds the fleet.
+	// PlatformURL is the URL of the stand-in platform, through which the `hopwell`
+	// command finds the fleet.
 	PlatformURL string
 
 	servers []*httpd.Server
 	engines []*fake.Engine
 }
 
-// Start brings the fleet up and waits until it is ready.
+// Start starts and configures the fleet and waits until it is ready.
 func Start(ctx context.Context, o Options) (*Demo, error) {
 	d := &Demo{KV: fake.NewKV(), List: fake.NewList()}
 	if err := d.start(o); err != nil {
@@ -74,7 +77,7 @@
 }
 
 func (d *Demo) start(o Options) error {
-	s, err := process.ListenHTTP(or(o.Platform), fake.PlatformHandler(d.KV, d.List, fake.NewWeights(20)))
+	s, err := process.ListenHTTP(addressOrFreePort(o.Platform), fake.PlatformHandler(d.KV, d.List, fake.NewWeights(20)))
 	if err != nil {
 		return err
 	}
@@ -99,20 +102,21 @@
 	return nil
 }
 
-// or returns an address, or a free port of loopback for an empty one.
-func or(address string) string {
+// addressOrFreePort returns an address, addressOrFreePort a free port of loopback for an empty one.
+func addressOrFreePort(address string) string {
 	if address == "" {
 		return "127.0.0.1:0"
 	}
 	return address
 }
 
-// nth returns the i-th address of a list, or a free port.
-func nth(list []string, i int) string {
+// addressAt returns the i-th address of a list, or a loopback address with port 0 if the
+// list is shorter.
+func addressAt(list []string, i int) string {
 	if i < len(list) {
 		return list[i]
 	}
-	return or("")
+	return addressOrFreePort("")
 }
 
 func instance(name string, i int, labels map[string]string) config.Instance {
@@ -128,7 +132,7 @@
 	name := fmt.Sprintf("%s-%d", pool, n+1)
 	e := fake.NewEngine(name, fake.DefaultSpec(), fabric)
 	d.engines = append(d.engines, e)
-	s, err := process.ListenHTTP(or(""), fake.EngineHandler(e))
+	s, err := process.ListenHTTP(addressOrFreePort(""), fake.EngineHandler(e))
 	if err != nil {
 		return err
 	}
@@ -144,7 +148,7 @@
 
 // startService starts a plain service and its sidecar.
 func (d *Demo) startService(i int) error {
-	s, err := process.ListenHTTP(or(""), fake.NewService(5*time.Millisecond))
+	s, err := process.ListenHTTP(addressOrFreePort(""), fake.NewService(5*time.Millisecond))
 	if err != nil {
 		return err
 	}
@@ -158,14 +162,14 @@
 	return d.startSidecar(c)
 }
 
-// sidecarSettings returns the default settings with free ports.
+// sidecarSettings returns the default sidecar settings with free ports and no engine.
 func sidecarSettings() (*config.Sidecar, error) {
 	c, err := config.ParseSidecar("default", []byte(config.SidecarDefault))
 	if err != nil {
 		return nil, err
 	}
 	c.Engine = ""
-	c.Listen = config.Listen{Inner: or(""), Admin: or("")}
+	c.Listen = config.Listen{Inner: addressOrFreePort(""), Admin: addressOrFreePort("")}
 	return c, nil
 }
 
@@ -185,7 +189,7 @@
 		return err
 	}
 	c.Instance = instance(fmt.Sprintf("gateway-%d", i+1), i, nil)
-	c.Listen = config.Listen{Callers: nth(o.Callers, i), Inner: or(""), Admin: nth(o.Admin, i)}
+	c.Listen = config.Listen{Callers: addressAt(o.Callers, i), Inner: addressOrFreePort(""), Admin: addressAt(o.Admin, i)}
 	c.Drain.BalancerWait = 0
 	p, err := process.StartGateway(c, process.FromURL(d.PlatformURL))
 	if err != nil {
@@ -196,14 +200,14 @@
 	return nil
 }
 
-// configure makes the first configuration, as an operator would.
+// configure applies the first configuration, as an operator would.
 func (d *Demo) configure(ctx context.Context) error {
 	_, err := d.Gateways[0].Node.Agent.Change(ctx, &fleet.Change{ID: "demo", Apply: Selectors()},
 		func(_, _ *fleet.Document) error { return nil })
 	return err
 }
 
-// Selectors are the demo's first selectors.
+// Selectors returns the selectors of the demo's first configuration.
 func Selectors() []fleet.Selector {
 	return []fleet.Selector{
 		{Name: "prefill", Kind: fleet.AnyKind, Role: fleet.RolePrefill, Model: Model, Match: "pool=prefill"},
@@ -212,8 +216,8 @@
 	}
 }
 
-// await waits until all processes have the configuration and each gateway sees
-// the runners.
+// await waits until all processes have the configuration and each gateway has all
+// processes in its membership list.
 func (d *Demo) await(ctx context.Context) error {
 	for {
 		if d.ready() {
@@ -241,7 +245,7 @@
 	return true
 }
 
-// Close ends the whole fleet.
+// Close stops all processes and stand-ins.
 func (d *Demo) Close() {
 	for _, p := range append(d.Gateways, d.Sidecars...) {
 		p.Close()
@@ -255,23 +259,25 @@
 }
 
 const (
-	// firstPort and ports are the range that FreePorts takes from: below those that
-	// the system gives to outgoing connections, which would take a port away while
-	// its process restarts.
-	firstPort, ports = 12000, 16000
-	// portTries bounds the ports that are tried for each that is wanted.
+	// firstPort and portRange are the start and the size of the port range of FreePorts. The
+	// range lies below the system's ephemeral portRange, because an outgoing connection
+	// could otherwise occupy a port while the process that owns it restarts.
+	firstPort, portRange = 12000, 16000
+	// portTries bounds the number of ports tried per requested port.
 	portTries = 200
-	// portStride keeps the ports of processes that start one after the other apart.
+	// portStride separates the port ranges of processes that start one after the other
+	// and so have consecutive process IDs.
 	portStride = 397
 )
 
-// lastPort counts the ports handed out, so that none is given twice before its process
-// has taken it; processes begin at different places.
-var lastPort atomic.Uint32
+// portCounter counts the ports tried, so that no port is returned twice before the process
+// that it was allocated for listens on it. Its start depends on the process ID, so that
+// processes start at different ports.
+var portCounter atomic.Uint32
 
-func init() { lastPort.Store(uint32(os.Getpid()) * portStride) }
+func init() { portCounter.Store(uint32(os.Getpid()) * portStride) }
 
-// ErrNoPort reports that no free port was found.
+// ErrNoPort reports that FreePorts found too few free ports.
 type ErrNoPort struct {
 	Tries int
 	Err   error
@@ -282,11 +288,10 @@
 	return fmt.Sprintf("no free port: tries=%d cause=%v", e.Tries, e.Err)
 }
 
-// Unwrap returns the cause.
 func (e *ErrNoPort) Unwrap() error { return e.Err }
 
-// FreePorts returns n addresses on loopback whose ports are free for TCP and UDP, for
-// tests that must know an address before its process starts.
+// FreePorts returns n loopback addresses whose ports are free for both TCP and UDP. It
+// serves tests that must know an address before the process that uses it starts.
 func FreePorts(n int) ([]string, error) {
 	var out []string
 	var last error
@@ -294,7 +299,7 @@
 		if tries == n*portTries {
 			return nil, &ErrNoPort{Tries: tries, Err: last}
 		}
-		address := fmt.Sprintf("127.0.0.1:%d", firstPort+lastPort.Add(1)%ports)
+		address := fmt.Sprintf("127.0.0.1:%d", firstPort+portCounter.Add(1)%portRange)
 		l, err := net.Listen("tcp", address)
 		if err != nil {
 			last = err
--- a/pkg/demo/demo_test.go
+++ b/pkg/demo/demo_test.go
@@ -40,7 +40,7 @@
 	})
 	AfterAll(func() { d.Close() })
 
-	It("streams a completion from two runners", func() {
+	It("streams a completion that is prefilled and decoded on separate engines", func() {
 		s, err := client.CreateCompletionStream(ctx, openai.CompletionRequest{Model: Model, Prompt: prompt, MaxTokens: 16, Stream: true})
 		Expect(err).NotTo(HaveOccurred())
 		defer s.Close()
@@ -62,7 +62,7 @@
 		Expect(prefilled).To(BeNumerically(">", 0))
 	})
 
-	It("answers a chat in one piece", func() {
+	It("serves a chat completion without streaming", func() {
 		r, err := client.CreateChatCompletion(ctx, openai.ChatCompletionRequest{
 			Model: Model, MaxCompletionTokens: 8,
 			Messages: []openai.ChatCompletionMessage{{Role: openai.ChatMessageRoleUser, Content: "Is the part in stock?"}},
@@ -73,7 +73,7 @@
 		Expect(r.Usage.CompletionTokens).To(Equal(8))
 	})
 
-	It("streams a chat", func() {
+	It("streams a chat completion", func() {
 		s, err := client.CreateChatCompletionStream(ctx, openai.ChatCompletionRequest{
 			Model: Model, MaxCompletionTokens: 8, Stream: true,
 			Messages: []openai.ChatCompletionMessage{{Role: openai.ChatMessageRoleUser, Content: "And this one?"}},
@@ -92,14 +92,14 @@
 		Expect(pieces).To(Equal(9))
 	})
 
-	It("lists the models that selectors offer", func() {
+	It("lists the models of the selectors", func() {
 		l, err := client.ListModels(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(l.Models).To(HaveLen(1))
 		Expect(l.Models[0].ID).To(Equal(Model))
 	})
 
-	It("tells an unknown model in the client's own error type", func() {
+	It("reports an unknown model as an API error of the client library", func() {
 		_, err := client.CreateCompletion(ctx, openai.CompletionRequest{Model: "nope", Prompt: "x"})
 		var api *openai.APIError
 		Expect(errors.As(err, &api)).To(BeTrue())
@@ -107,7 +107,7 @@
 		Expect(api.Code).To(Equal("model_not_found"))
 	})
 
-	It("reaches the plain service", func() {
+	It("forwards a request to the plain service", func() {
 		r, err := http.Post(base+"/services/memory/lookup", "text/plain", strings.NewReader("keel"))
 		Expect(err).NotTo(HaveOccurred())
 		defer r.Body.Close()
@@ -117,7 +117,7 @@
 		Expect(r.Header.Get("Hopwell-Outcome")).To(Equal("done"))
 	})
 
-	It("answers a body of 40 MB with 413", func() {
+	It("rejects a body of 40 MB with 413", func() {
 		res, err := http.Post(base+"/v1/completions", "application/json", strings.NewReader(strings.Repeat(" ", 40<<20)))
 		Expect(err).NotTo(HaveOccurred())
 		defer res.Body.Close()
@@ -127,21 +127,21 @@
 		Expect(string(text)).To(ContainSubstring("body_too_large"))
 	})
 
-	It("frees all engine memory of a caller that goes away", func() {
+	It("frees the engine memory of a client that disconnects", func() {
 		gone, cancel := context.WithCancel(ctx)
 		s, err := client.CreateCompletionStream(gone, openai.CompletionRequest{Model: Model, Prompt: "A long answer", MaxTokens: 20000, Stream: true})
 		Expect(err).NotTo(HaveOccurred())
 		_, err = s.Recv()
 		Expect(err).NotTo(HaveOccurred())
-		Expect(held(d)).To(BeNumerically(">", 0))
+		Expect(kvUsed(d)).To(BeNumerically(">", 0))
 		cancel()
 		s.Close()
-		Eventually(func() int64 { return held(d) }).WithTimeout(10 * time.Second).WithPolling(10 * time.Millisecond).Should(BeZero())
+		Eventually(func() int64 { return kvUsed(d) }).WithTimeout(10 * time.Second).WithPolling(10 * time.Millisecond).Should(BeZero())
 	})
 })
 
-// held sums the memory that all engines hold.
-func held(d *Demo) int64 {
+// kvUsed returns the KV cache memory in use on all engines together.
+func kvUsed(d *Demo) int64 {
 	var sum int64
 	for _, e := range d.engines {
 		sum += e.KVUsed()
--- a/pkg/ingressdemo/demo.go
+++ b/pkg/ingressdemo/demo.go
@@ -1,7 +1,7 @@
-// Package ingressdemo runs what the users run, in one process on loopback: some
-// ingresses before stand-ins of the platform's store, its model engines and its plain
-// runners, with clients that ask all the time, faults on request, and a view of what
-// goes on.
+// Package ingressdemo runs a deployment like those of the users in one process on
+// loopback: several gateways in front of stand-ins for the platform's store, model
+// engines and plain runners. Clients send requests continuously, faults are injected on
+// request, and a text view shows the current state.
 package ingressdemo
 
 import (
@@ -19,44 +19,45 @@
 )
 
 const (
-	// engineService and plainService are the services of the stand-in's configuration.
+	// engineService and plainService are the services in the stand-ins' configuration.
 	engineService, plainService = "llm", "app"
-	// engineMemory is an engine's, in tokens, as the configuration says.
-	engineMemory = 20000
-	// readRate is how many prompt tokens an engine reads in a millisecond, stride how
-	// many tokens an event holds, and eventPause the time of an event: engines as
-	// fast as those of the users' sheets.
-	readRate   = 30
-	stride     = 12
-	eventPause = 60 * time.Millisecond
-	// changeTime is how long a change of stage takes.
-	changeTime = 2 * time.Second
-	// gatewayMemory is a gateway's limit, in MB.
-	gatewayMemory = 512
-	// lease is the right to order's.
-	lease = time.Second
-	// startTime bounds the time until a gateway serves, startLook is between two looks.
-	startTime = 10 * time.Second
-	startLook = 20 * time.Millisecond
-	// prefillPart of prefillOf engines read prompts at first.
+	// engineMemoryTokens is the memory of one engine in tokens, as in the configuration.
+	engineMemoryTokens = 20000
+	// prefillTokensPerMs is the prefill rate of an engine in prompt tokens per millisecond,
+	// stride the number of tokens per stream event, and eventPause the time between
+	// events. They match the engine speeds in the users' data sheets.
+	prefillTokensPerMs = 30
+	stride             = 12
+	eventPause         = 60 * time.Millisecond
+	// stageChangeTime is how long a stage change of an engine takes.
+	stageChangeTime = 2 * time.Second
+	// gatewayMemoryMB is the memory limit of one gateway, in MB.
+	gatewayMemoryMB = 512
+	// orderLease is the duration of the lease that lets a gateway order stage changes.
+	orderLease = time.Second
+	// startTimeout bounds the time until all gateways are ready; startPollInterval is
+	// the time between two readiness checks.
+	startTimeout      = 10 * time.Second
+	startPollInterval = 20 * time.Millisecond
+	// prefillPart of every prefillOf engines start in the prefill stage.
 	prefillPart, prefillOf = 1, 3
 )
 
-// domains are the failure domains.
+// domains are the failure domains of the gateways and runners.
 var domains = []string{"hall-a", "hall-b", "hall-c"}
 
-// Options are the demo's sizes.
+// Options configures the size and load of the demo.
 type Options struct {
-	// Gateways, Engines and Plain are how many of each there are.
+	// Gateways, Engines and Plain are the numbers of gateways, engines and plain runners.
 	Gateways, Engines, Plain int
-	// Rate is how many requests all clients begin in a second.
+	// Rate is the number of requests per second that all clients together start.
 	Rate float64
 	// Log receives the gateways' decision logs.
 	Log io.Writer
-	// Workspaces has the clients belong to three workspaces, of which one sends more than
-	// its limit.
+	// Workspaces divides the clients among three workspaces, one of which exceeds its
+	// rate limit.
 	Workspaces bool
-	// Seed makes the clients' choices and the random faults repeat.
+	// Seed seeds the random choices of the clients and of StrikeAtRandom.
 	Seed uint64
 }
 
@@ -65,7 +66,7 @@
 	return Options{Gateways: 3, Engines: 6, Plain: 2, Rate: 12, Log: io.Discard, Seed: 1}
 }
 
-// ErrOption reports a size that the demo can't have.
+// ErrOption reports an option that is out of range.
 type ErrOption struct {
 	Option   string
 	Expected string
@@ -76,7 +77,7 @@
 	return fmt.Sprintf("bad option: option=%s expected=%s", e.Option, e.Expected)
 }
 
-// check fails with *ErrOption.
+// check returns an *ErrOption if an option is out of range.
 func (o Options) check() error {
 	const leastEngines = 2
 	switch {
@@ -92,10 +93,11 @@
 	return nil
 }
 
-// maxRate is the most requests a second that one process of stand-ins bears.
+// maxRate is the highest request rate, per second, that the stand-ins of one process
+// sustain.
 const maxRate = 500
 
-// Demo is the running fleet.
+// Demo is a running fleet with its clients.
 type Demo struct {
 	options Options
 	tally   *tally
@@ -107,22 +109,22 @@
 	mu       sync.Mutex
 	standIns *standin.Fleet
 	gateways []*process.Ingress
-	// down are the runners and gateways that a fault took away, by name, with the time
-	// when they come back.
-	down   map[string]time.Time
-	closed bool // set by Close: nothing comes back after it
-	// burst is by how much the clients' rate is raised until burstEnd.
-	burst    float64
-	burstEnd time.Time
+	// faultEnds maps the name of each runner and gateway with a fault to the time at
+	// which the fault ends.
+	faultEnds map[string]time.Time
+	closed    bool // set by Close; no runner or gateway is restarted afterwards
+	// rateFactor multiplies the clients' request rate until burstEnd.
+	rateFactor float64
+	burstEnd   time.Time
 }
 
-// Start brings the fleet up and starts the clients once it serves.
+// Start starts the fleet, waits until it is ready, and then starts the clients.
 func Start(ctx context.Context, o Options) (*Demo, error) {
 	if err := o.check(); err != nil {
 		return nil, err
 	}
 	d := &Demo{
-		options: o, tally: &tally{}, began: time.Now(), standIns: standin.NewFleet(), down: map[string]time.Time{},
+		options: o, tally: &tally{}, began: time.Now(), standIns: standin.NewFleet(), faultEnds: map[string]time.Time{},
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxRate}},
 	}
 	config := standin.Config(1)
@@ -163,14 +165,14 @@
 
 func newEngine(id, domain, stage string) *standin.Runner {
 	r := standin.NewRunner(id, engineService, domain, stage)
-	r.Memory, r.ReadRate, r.Stride, r.Pause, r.ChangeTime = engineMemory, readRate, stride, eventPause, changeTime
+	r.Memory, r.ReadRate, r.Stride, r.Pause, r.ChangeTime = engineMemoryTokens, prefillTokensPerMs, stride, eventPause, stageChangeTime
 	return r
 }
 
-// gatewayName names the i-th gateway.
+// gatewayName returns the name of the i-th gateway.
 func gatewayName(i int) string { return fmt.Sprintf("gateway-%d", i+1) }
 
-// startGateway starts the i-th gateway, or starts it again.
+// startGateway starts or restarts the i-th gateway.
 func (d *Demo) startGateway(i int) error {
 	const anyPort = "127.0.0.1:0"
 	c, err := config.ParseIngress("default", []byte(config.IngressDefault))
@@ -181,8 +183,8 @@
 	c.Store = d.standIns.Address
 	c.Seeds = nil
 	c.Listen = config.IngressListen{Callers: anyPort, Health: anyPort, Metrics: anyPort, Peers: anyPort}
-	c.Limits.MemoryMB = gatewayMemory
-	c.Lease = fleet.Duration(lease)
+	c.Limits.MemoryMB = gatewayMemoryMB
+	c.Lease = fleet.Duration(orderLease)
 	p, err := process.StartIngress(c, d.options.Log)
 	if err != nil {
 		return err
@@ -197,13 +199,13 @@
 	return nil
 }
 
-// await waits until all gateways serve and know all runners.
+// await waits until all gateways are ready and have all runners in their directory.
 func (d *Demo) await(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, startTime)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for !d.ready() {
 		select {
-		case <-time.After(startLook):
+		case <-time.After(startPollInterval):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -222,7 +224,7 @@
 	return true
 }
 
-// Callers returns where the gateways that are up take requests.
+// Callers returns the base URLs at which the running gateways accept client requests.
 func (d *Demo) Callers() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -235,7 +237,7 @@
 	return out
 }
 
-// Close ends the whole fleet.
+// Close stops the clients, the gateways and the stand-ins.
 func (d *Demo) Close() {
 	if d.cancel != nil {
 		d.cancel()
--- a/pkg/ingressdemo/demo_test.go
+++ b/pkg/ingressdemo/demo_test.go
@@ -20,7 +20,8 @@
 	spectest.Run(t, "ingressdemo")
 }
 
-// start runs a small demo, and a server of its view.
+// start runs a demo and an HTTP server for its handler. It returns the demo and the
+// server's URL.
 func start() (*Demo, string) {
 	GinkgoHelper()
 	o := DefaultOptions()
@@ -54,7 +55,7 @@
 }
 
 var _ = Describe("the ingress demo", func() {
-	It("serves its clients, and shows gateways, runners and outcomes", func() {
+	It("serves requests and shows gateways, runners and results in the view", func() {
 		d, url := start()
 		Eventually(func() int { all, _ := d.tally.read(time.Now()); return all[inTime] }).Should(BeNumerically(">", 30))
 		view := get(url)
@@ -65,7 +66,7 @@
 		Expect(all[lost]).To(BeZero(), view)
 	})
 
-	It("goes on serving after each fault, and what went comes back", func() {
+	It("recovers from every fault and continues to serve requests", func() {
 		d, url := start()
 		for _, f := range Faults {
 			status, text := post(url + "/faults/" + string(f) + "?for=300ms")
@@ -77,28 +78,28 @@
 		Eventually(func() int { all, _ := d.tally.read(time.Now()); return all[inTime] }).Should(BeNumerically(">", before[inTime]+30))
 	})
 
-	It("shows a runner that is gone", func() {
+	It("shows a killed runner as gone", func() {
 		_, url := start()
 		status, text := post(url + "/faults/kill?target=engine-2&for=10s")
 		Expect(status).To(Equal(http.StatusOK), text)
 		Expect(get(url)).To(MatchRegexp(`engine-2 +gone`))
 	})
 
-	DescribeTable("refuses faults that it does not know",
+	DescribeTable("rejects an invalid fault request with 400",
 		func(path, why string) {
 			_, url := start()
 			status, text := post(url + path)
 			Expect(status).To(Equal(http.StatusBadRequest))
 			Expect(text).To(ContainSubstring(why))
 		},
-		Entry("of no such kind", "/faults/flood", "expected one of [kill"),
-		Entry("at no such runner", "/faults/kill?target=engine-99", "no such runner is up"),
-		Entry("at no such gateway", "/faults/restart?target=gateway-99", "no such gateway is up"),
-		Entry("of too long a time", "/faults/outage?for=1h", "at most 1m"),
-		Entry("of no time", "/faults/outage?for=soon", "invalid duration"),
+		Entry("unknown fault", "/faults/flood", "expected one of [kill"),
+		Entry("unknown runner", "/faults/kill?target=engine-99", "no such runner is up"),
+		Entry("unknown gateway", "/faults/restart?target=gateway-99", "no such gateway is up"),
+		Entry("duration above the limit", "/faults/outage?for=1h", "at most 1m"),
+		Entry("malformed duration", "/faults/outage?for=soon", "invalid duration"),
 	)
 
-	DescribeTable("refuses sizes that it can't have",
+	DescribeTable("rejects options out of range",
 		func(change func(*Options), option string) {
 			o := DefaultOptions()
 			change(&o)
@@ -110,6 +111,6 @@
 		Entry("no gateways", func(o *Options) { o.Gateways = 0 }, "gateways"),
 		Entry("one engine", func(o *Options) { o.Engines = 1 }, "engines"),
 		Entry("no plain runner", func(o *Options) { o.Plain = 0 }, "plain"),
-		Entry("no requests", func(o *Options) { o.Rate = 0 }, "rate"),
+		Entry("request rate of zero", func(o *Options) { o.Rate = 0 }, "rate"),
 	)
 })
--- a/pkg/ingressdemo/faults.go
+++ b/pkg/ingressdemo/faults.go
@@ -11,24 +11,24 @@
 	"github.com/hopwell/hopwell/platform/standin"
 )
 
-// Fault is what may be made to happen.
+// Fault is a kind of fault that the demo can inject.
 type Fault string
 
-// The faults.
+// The kinds of faults.
 const (
-	// Kill ends a runner; an empty one comes back.
+	// Kill stops a runner and later replaces it by one with an empty cache.
 	Kill Fault = "kill"
-	// Silent lets a runner leave requests unanswered.
+	// Silent makes a runner accept requests without responding.
 	Silent Fault = "silent"
-	// Failing lets a runner fail requests.
+	// Failing makes a runner respond to requests with errors.
 	Failing Fault = "failing"
-	// Leaving takes a runner out in an orderly way, and brings it back.
+	// Leaving drains a runner and later replaces it.
 	Leaving Fault = "leaving"
-	// Restart ends a gateway at once and starts it again.
+	// Restart stops a gateway without draining it and later starts it again.
 	Restart Fault = "restart"
-	// Outage keeps the store from answering.
+	// Outage makes the store fail all calls.
 	Outage Fault = "outage"
-	// Burst doubles the requests.
+	// Burst doubles the clients' request rate.
 	Burst Fault = "burst"
 )
 
@@ -36,17 +36,17 @@
 var Faults = []Fault{Kill, Silent, Failing, Leaving, Restart, Outage, Burst}
 
 const (
-	// DefaultFault is how long a fault lasts.
+	// DefaultFault is the default duration of a fault.
 	DefaultFault = 5 * time.Second
-	// LongestFault bounds it.
+	// LongestFault is the maximum duration of a fault.
 	LongestFault = time.Minute
-	// burstRate is by how much a burst raises the rate.
-	burstRate = 2
-	// allRequests is more requests than a fault meets.
+	// burstFactor multiplies the clients' request rate during a burst.
+	burstFactor = 2
+	// allRequests exceeds the number of requests that a runner receives during a fault.
 	allRequests = 1 << 30
 )
 
-// ErrFault reports a fault that can't be made to happen.
+// ErrFault reports a fault that can't be injected.
 type ErrFault struct {
 	Fault  Fault
 	Target string
@@ -58,32 +58,32 @@
 	return fmt.Sprintf("no such fault: fault=%s target=%s reason=%s", e.Fault, e.Target, e.Why)
 }
 
-// Strike makes a fault happen. The target is a runner or a gateway; empty takes one that
-// is up. It fails with *ErrFault.
+// Strike injects a fault and returns the name of its target. The target is a runner or a
+// gateway; if it is empty, Strike picks one without a fault. Errors are of type *ErrFault.
 func (d *Demo) Strike(f Fault, target string, lasts time.Duration) (string, error) {
 	if lasts <= 0 || lasts > LongestFault {
 		return "", &ErrFault{Fault: f, Target: target, Why: "lasts more than 0, at most " + LongestFault.String()}
 	}
 	switch f {
 	case Kill, Silent, Failing, Leaving:
-		return d.strikeRunner(f, target, lasts)
+		return d.injectRunnerFault(f, target, lasts)
 	case Restart:
-		return d.restart(target, lasts)
+		return d.restartGateway(target, lasts)
 	case Outage:
 		d.standIns.Store.Fail("busy")
-		d.later(lasts, func() { d.standIns.Store.Fail("") })
+		d.afterDelay(lasts, func() { d.standIns.Store.Fail("") })
 		return "store", nil
 	case Burst:
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		d.burst, d.burstEnd = burstRate, time.Now().Add(lasts)
+		d.rateFactor, d.burstEnd = burstFactor, time.Now().Add(lasts)
 		return "clients", nil
 	}
 	return "", &ErrFault{Fault: f, Target: target, Why: "expected one of " + fmt.Sprint(Faults)}
 }
 
-// later does something after a time, unless the demo ends before.
-func (d *Demo) later(after time.Duration, do func()) {
+// afterDelay calls do after a delay, unless the demo has been closed by then.
+func (d *Demo) afterDelay(after time.Duration, do func()) {
 	time.AfterFunc(after, func() {
 		d.mu.Lock()
 		closed := d.closed
@@ -94,8 +94,8 @@
 	})
 }
 
-// strikeRunner makes a fault of one runner happen.
-func (d *Demo) strikeRunner(f Fault, target string, lasts time.Duration) (string, error) {
+// injectRunnerFault injects a fault into one runner.
+func (d *Demo) injectRunnerFault(f Fault, target string, lasts time.Duration) (string, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if target == "" {
@@ -105,31 +105,32 @@
 	if r == nil {
 		return "", &ErrFault{Fault: f, Target: target, Why: "no such runner is up"}
 	}
-	d.down[target] = time.Now().Add(lasts)
+	d.faultEnds[target] = time.Now().Add(lasts)
 	switch f {
 	case Kill:
 		d.standIns.Kill(target)
-		d.later(lasts, func() { d.replace(r) })
+		d.afterDelay(lasts, func() { d.replaceRunner(r) })
 		return target, nil
 	case Leaving:
 		d.standIns.Drain(target)
-		d.later(lasts, func() { d.standIns.Kill(target); d.replace(r) })
+		d.afterDelay(lasts, func() { d.standIns.Kill(target); d.replaceRunner(r) })
 		return target, nil
 	case Silent:
 		r.Break(standin.Mute, allRequests)
-		d.later(lasts, func() { r.Break(standin.Mute, 0); d.recovered(target) })
+		d.afterDelay(lasts, func() { r.Break(standin.Mute, 0); d.clearFault(target) })
 	case Failing:
 		r.Break(standin.Errors, allRequests)
-		d.later(lasts, func() { r.Break(standin.Errors, 0); d.recovered(target) })
+		d.afterDelay(lasts, func() { r.Break(standin.Errors, 0); d.clearFault(target) })
 	}
 	return target, nil
 }
 
-// anyRunner returns a runner that no fault has met. The caller holds the lock.
+// anyRunner returns the ID of a random runner without a fault, or "" if there is none.
+// The caller holds d.mu.
 func (d *Demo) anyRunner() string {
 	var up []string
 	for id := range d.standIns.Runners {
-		if _, down := d.down[id]; !down {
+		if _, down := d.faultEnds[id]; !down {
 			up = append(up, id)
 		}
 	}
@@ -140,8 +141,8 @@
 	return up[rand.IntN(len(up))]
 }
 
-// replace starts an empty runner in place of one that has gone.
-func (d *Demo) replace(old *standin.Runner) {
+// replaceRunner starts a runner with an empty cache in place of a stopped one.
+func (d *Demo) replaceRunner(old *standin.Runner) {
 	stage, _ := old.Stage()
 	fresh := standin.NewRunner(old.ID, old.Service, old.Zone, stage)
 	if stage != "" {
@@ -150,17 +151,18 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.standIns.Add(fresh)
-	delete(d.down, old.ID)
+	delete(d.faultEnds, old.ID)
 }
 
-func (d *Demo) recovered(name string) {
+func (d *Demo) clearFault(name string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	delete(d.down, name)
+	delete(d.faultEnds, name)
 }
 
-// restart ends a gateway at once and starts it again after a time.
-func (d *Demo) restart(target string, lasts time.Duration) (string, error) {
+// restartGateway stops a gateway without draining it and starts it again when the fault ends.
+// An empty target selects the first running gateway.
+func (d *Demo) restartGateway(target string, lasts time.Duration) (string, error) {
 	d.mu.Lock()
 	at := -1
 	for i, g := range d.gateways {
@@ -175,20 +177,20 @@
 	}
 	g := d.gateways[at]
 	d.gateways[at] = nil
-	d.down[gatewayName(at)] = time.Now().Add(lasts)
+	d.faultEnds[gatewayName(at)] = time.Now().Add(lasts)
 	d.mu.Unlock()
 	g.Close()
-	d.later(lasts, func() {
+	d.afterDelay(lasts, func() {
 		if err := d.startGateway(at); err != nil {
 			fmt.Fprintf(d.options.Log, "gateway not started: gateway=%s error=%v\n", gatewayName(at), err)
 		}
-		d.recovered(gatewayName(at))
+		d.clearFault(gatewayName(at))
 	})
 	return gatewayName(at), nil
 }
 
-// StrikeAtRandom makes random faults happen until the context ends; struck is called
-// after each.
+// StrikeAtRandom injects a random fault at each interval until the context ends. It calls
+// struck after each injected fault.
 func (d *Demo) StrikeAtRandom(ctx context.Context, every time.Duration, struck func(f Fault, target string)) {
 	random := rand.New(rand.NewPCG(d.options.Seed, 2))
 	tick := time.NewTicker(every)
@@ -206,7 +208,7 @@
 	}
 }
 
-// ParseFault reads a fault's name.
+// ParseFault parses the name of a fault, in any case.
 func ParseFault(name string) (Fault, error) {
 	f := Fault(strings.ToLower(name))
 	if !slices.Contains(Faults, f) {
--- a/pkg/ingressdemo/load.go
+++ b/pkg/ingressdemo/load.go
@@ -16,25 +16,25 @@
 )
 
 const (
-	// lookupPart is the part of the requests that goes to the plain service.
-	lookupPart = 0.4
-	// resumablePart is the part of the generations whose stream may be resumed.
-	resumablePart = 0.5
-	// leastPrompt and mostPrompt bound a prompt, mostOut is an answer's limit; in
-	// tokens.
-	leastPrompt, mostPrompt = 300, 3000
-	mostOut                 = 720
-	// patience is how long a client waits in all.
-	patience = 12 * time.Second
-	// aim is the time to the first byte that the stand-in's routes promise.
-	aim = 900 * time.Millisecond
-	// maxTries is how often a client asks.
-	maxTries = 3
-	// failedPause is how long a client waits after a try that got no answer.
-	failedPause = 200 * time.Millisecond
+	// plainShare is the share of the requests that go to the plain service.
+	plainShare = 0.4
+	// resumableShare is the share of the generation requests whose stream may be resumed.
+	resumableShare = 0.5
+	// minPromptTokens and maxPromptTokens bound the length of a prompt, and mostOut the length
+	// of a response, in tokens.
+	minPromptTokens, maxPromptTokens = 300, 3000
+	maxOutputTokens                  = 720
+	// requestTimeout bounds the time of a request over all of its attempts.
+	requestTimeout = 12 * time.Second
+	// firstByteTarget is the target of the stand-ins' routes for the time to first byte.
+	firstByteTarget = 900 * time.Millisecond
+	// maxAttempts is the maximum number of attempts per request.
+	maxAttempts = 3
+	// failureBackoff is the delay after an attempt that failed without a Retry-After.
+	failureBackoff = 200 * time.Millisecond
 )
 
-// load begins requests at random moments until the context ends.
+// load starts requests as a Poisson process until the context ends.
 func (d *Demo) load(ctx context.Context) {
 	random := rand.New(rand.NewPCG(d.options.Seed, 1))
 	for serial := 0; ; serial++ {
@@ -44,45 +44,46 @@
 			return
 		case <-time.After(pause):
 		}
-		u := newUser(d, serial, random)
-		d.done.Go(func() { d.tally.add(time.Now(), u.ask(ctx)) })
+		u := newClientRequest(d, serial, random)
+		d.done.Go(func() { d.tally.add(time.Now(), u.run(ctx)) })
 	}
 }
 
-// rate returns how many requests begin in a second now.
+// rate returns the current request rate, per second.
 func (d *Demo) rate(now time.Time) float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if now.Before(d.burstEnd) {
-		return d.options.Rate * d.burst
+		return d.options.Rate * d.rateFactor
 	}
 	return d.options.Rate
 }
 
-// user is a client with one request.
-type user struct {
-	demo           *Demo
-	name, path     string
-	prompt         int
-	began          time.Time
-	after          string
-	tries, gateway int
-	// first is the time to the first byte of an answer; 0 before it.
+// clientRequest is one request of a client with its attempts.
+type clientRequest struct {
+	demo              *Demo
+	name, path        string
+	prompt            int
+	began             time.Time
+	lastEventID       string
+	attempts, gateway int
+	// first is the time from the start of the request to the first byte of a response,
+	// or 0 if none was received.
 	first time.Duration
-	// refused is set when a try was turned away.
+	// refused is set once an attempt was refused with 429 or 503.
 	refused bool
-	// workspace is whose request it is; nil where there are no workspaces.
+	// workspace is the workspace of the request, or nil if the demo has no workspaces.
 	workspace *demoWorkspace
 }
 
-func newUser(d *Demo, serial int, random *rand.Rand) *user {
-	u := &user{
+func newClientRequest(d *Demo, serial int, random *rand.Rand) *clientRequest {
+	u := &clientRequest{
 		demo: d, name: fmt.Sprintf("request-%d", serial), gateway: random.IntN(d.options.Gateways), path: "/once/",
-		prompt: leastPrompt + random.IntN(mostPrompt-leastPrompt),
+		prompt: minPromptTokens + random.IntN(maxPromptTokens-minPromptTokens),
 	}
-	if random.Float64() < lookupPart {
+	if random.Float64() < plainShare {
 		u.path, u.prompt = "/read/", 0
-	} else if random.Float64() < resumablePart {
+	} else if random.Float64() < resumableShare {
 		u.path = "/again/"
 	}
 	if d.options.Workspaces {
@@ -91,13 +92,14 @@
 	return u
 }
 
-// ask asks, and comes back as it is told, until the request ends.
-func (u *user) ask(ctx context.Context) result {
+// run sends the request and retries it, after the delay that the response asks for, until
+// it succeeds, must not be retried, or runs out of attempts or time.
+func (u *clientRequest) run(ctx context.Context) result {
 	u.began = time.Now()
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	for u.tries = 1; u.tries <= maxTries; u.tries++ {
-		again, err := u.try(ctx)
+	for u.attempts = 1; u.attempts <= maxAttempts; u.attempts++ {
+		again, err := u.attempt(ctx)
 		if err == nil {
 			return u.served()
 		}
@@ -116,15 +118,15 @@
 	return lost
 }
 
-// served tells how well a request was served.
-func (u *user) served() result {
-	if u.first > aim || u.refused {
+// served returns the result of a request that received a whole response.
+func (u *clientRequest) served() result {
+	if u.first > firstByteTarget || u.refused {
 		return late
 	}
 	return inTime
 }
 
-// errTry reports why a try did not serve a request.
+// errTry reports why an attempt failed.
 type errTry struct {
 	Status int
 	Err    error
@@ -135,18 +137,19 @@
 	return fmt.Sprintf("not served: status=%d cause=%v", e.Status, e.Err)
 }
 
-// never is the pause before another try where none may follow.
-const never = time.Duration(-1)
+// noRetry is the delay returned for a request that must not be retried.
+const noRetry = time.Duration(-1)
 
-// try asks once. After a failure it returns when to ask again.
-func (u *user) try(ctx context.Context) (time.Duration, error) {
+// attempt sends the request once. After a failure it returns the delay before the next
+// attempt, or noRetry.
+func (u *clientRequest) attempt(ctx context.Context) (time.Duration, error) {
 	r, err := u.request(ctx)
 	if err != nil {
-		return failedPause, err
+		return failureBackoff, err
 	}
 	res, err := u.demo.client.Do(r)
 	if err != nil {
-		return u.afterLoss(), &errTry{Err: err}
+		return u.backoffAfterFailure(), &errTry{Err: err}
 	}
 	defer res.Body.Close()
 	if res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusTooManyRequests {
@@ -154,16 +157,16 @@
 		return retryAfter(res), &errTry{Status: res.StatusCode}
 	}
 	if res.StatusCode != http.StatusOK {
-		return u.afterLoss(), &errTry{Status: res.StatusCode}
+		return u.backoffAfterFailure(), &errTry{Status: res.StatusCode}
 	}
 	if err := u.read(res.Body); err != nil {
-		return u.afterLoss(), &errTry{Status: res.StatusCode, Err: err}
+		return u.backoffAfterFailure(), &errTry{Status: res.StatusCode, Err: err}
 	}
 	return 0, nil
 }
 
-// request writes a try. Each has an ID of its own.
-func (u *user) request(ctx context.Context) (*http.Request, error) {
+// request builds the HTTP request of one attempt. Each attempt has its own request ID.
+func (u *clientRequest) request(ctx context.Context) (*http.Request, error) {
 	gateways := u.demo.Callers()
 	if len(gateways) == 0 {
 		return nil, &errTry{Err: errors.New("no gateway is up")}
@@ -174,41 +177,43 @@
 		return nil, err
 	}
 	call := standin.Call{
-		ID: fmt.Sprintf("%s.%d", u.name, u.tries), Left: patience - time.Since(u.began),
-		PromptID: u.name, Prompt: u.prompt, MaxOut: mostOut, After: u.after,
+		ID: fmt.Sprintf("%s.%d", u.name, u.attempts), Left: requestTimeout - time.Since(u.began),
+		PromptID: u.name, Prompt: u.prompt, MaxOut: maxOutputTokens, After: u.lastEventID,
 	}
 	call.Write(r)
 	u.authorize(r)
 	return r, nil
 }
 
-// afterLoss returns when a request whose answer was lost is asked again: what must not
-// be repeated never is.
-func (u *user) afterLoss() time.Duration {
+// backoffAfterFailure returns the delay before a request whose response was lost is
+// retried, or noRetry if the request must not be repeated.
+func (u *clientRequest) backoffAfterFailure() time.Duration {
 	if u.path == "/once/" {
-		return never
+		return noRetry
 	}
-	return failedPause
+	return failureBackoff
 }
 
-// retryAfter returns when a refused request may come back.
+// retryAfter returns the delay from the Retry-After header of a refusal, or
+// failureBackoff if the header is missing or invalid.
 func retryAfter(res *http.Response) time.Duration {
 	seconds, err := strconv.ParseFloat(res.Header.Get("Retry-After"), 64)
 	if err != nil || seconds < 0 {
-		return failedPause
+		return failureBackoff
 	}
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// read reads an answer and remembers the last event of a stream.
-func (u *user) read(body io.Reader) error {
+// read reads a response body. It records the time of the first line and the ID of the last
+// event, from which the next attempt resumes the stream.
+func (u *clientRequest) read(body io.Reader) error {
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
 		if u.first == 0 {
 			u.first = time.Since(u.began)
 		}
 		if id, ok := strings.CutPrefix(lines.Text(), "id: "); ok {
-			u.after = id
+			u.lastEventID = id
 		}
 	}
 	return lines.Err()
--- a/pkg/ingressdemo/tally.go
+++ b/pkg/ingressdemo/tally.go
@@ -5,23 +5,24 @@
 	"time"
 )
 
-// result is how a request ended for its client.
+// result classifies how a request ended for its client.
 type result int
 
 // The results.
 const (
 	inTime result = iota
-	// late answers came after the promised time, or after a refusal.
+	// late requests got their first byte after the target time, or were refused at least
+	// once before they were served.
 	late
-	// refused requests were never run.
+	// refused requests were refused and received no part of a response.
 	refused
-	// lost requests got no whole answer.
+	// lost requests received no complete response.
 	lost
 	results
 )
 
-// recent is how far back the tally looks for the present state.
-const recent = 10 * time.Second
+// recentWindow is the period over which the recent counts are taken.
+const recentWindow = 10 * time.Second
 
 // ended is one request that has ended.
 type ended struct {
@@ -29,7 +30,7 @@
 	result result
 }
 
-// counts are requests by result.
+// counts holds the number of requests for each result.
 type counts [results]int
 
 func (c counts) sum() int {
@@ -40,7 +41,7 @@
 	return sum
 }
 
-// tally counts how requests end.
+// tally counts requests by result, since the start and within recentWindow.
 type tally struct {
 	mu   sync.Mutex
 	all  counts
@@ -52,23 +53,23 @@
 	defer t.mu.Unlock()
 	t.all[r]++
 	t.last = append(t.last, ended{at, r})
-	t.forget(at)
+	t.evict(at)
 }
 
-// forget drops what is not recent. The caller holds the lock.
-func (t *tally) forget(now time.Time) {
+// evict drops the requests that ended before recentWindow. The caller holds t.mu.
+func (t *tally) evict(now time.Time) {
 	old := 0
-	for old < len(t.last) && now.Sub(t.last[old].at) > recent {
+	for old < len(t.last) && now.Sub(t.last[old].at) > recentWindow {
 		old++
 	}
 	t.last = t.last[old:]
 }
 
-// read returns the counts since the start, and of late.
+// read returns the counts since the start and those within recentWindow.
 func (t *tally) read(now time.Time) (all, lately counts) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.forget(now)
+	t.evict(now)
 	for _, e := range t.last {
 		lately[e.result]++
 	}
--- a/pkg/ingressdemo/view.go
+++ b/pkg/ingressdemo/view.go
@@ -14,11 +14,11 @@
 	"github.com/hopwell/hopwell/platform/standin"
 )
 
-// percent is of a whole.
+// percent converts a fraction to a percentage.
 const percent = 100
 
-// WriteView writes the present state as text: gateways, runners, what waits, and how
-// requests end.
+// WriteView writes the current state as text: gateways with their queues, runners,
+// workspaces, and requests by result.
 func (d *Demo) WriteView(w io.Writer) {
 	now := time.Now()
 	var text strings.Builder
@@ -32,7 +32,7 @@
 	_, _ = io.WriteString(w, text.String())
 }
 
-// writeGateways writes each gateway with what waits there.
+// writeGateways writes the state of each gateway and of its queue for the engines.
 func (d *Demo) writeGateways(w io.Writer, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -48,7 +48,8 @@
 	fmt.Fprintln(w)
 }
 
-// pools sums what a gateway knows of the engines' queues.
+// pools returns a gateway's view of the engine pool: the number of waiting requests, the
+// prompt tokens being prefilled and the reserved share of the engines' memory.
 func pools(g *process.Ingress, now time.Time) (waiting, reading int, reserved float64) {
 	pool := g.Ingress.Pools()[engineService]
 	if pool == nil {
@@ -58,7 +59,7 @@
 	return s.Waiting, s.Reading, s.Reserved
 }
 
-// writeRunners writes each runner's stage, state, work and memory.
+// writeRunners writes the stage, state, load and memory use of each runner.
 func (d *Demo) writeRunners(w io.Writer, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -77,7 +78,7 @@
 		answers, used := r.Running()
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d%%\t%d\n", r.ID, r.Zone, cmp.Or(stage, "-"), state, answers, used*percent/r.Memory, r.Prefills())
 	}
-	for name, back := range d.down {
+	for name, back := range d.faultEnds {
 		if _, up := d.standIns.Runners[name]; !up && !strings.HasPrefix(name, "gateway") {
 			fmt.Fprintf(w, "%s\t\t\tgone, back in %.0f s\t\t\t\n", name, back.Sub(now).Seconds())
 		}
@@ -85,16 +86,17 @@
 	fmt.Fprintln(w)
 }
 
-// state tells whether a fault has met a runner or a gateway. The caller holds the lock.
+// state returns "up", or the remaining time of the fault of a runner or a gateway. The
+// caller holds d.mu.
 func (d *Demo) state(name string, now time.Time) string {
-	back, down := d.down[name]
+	back, down := d.faultEnds[name]
 	if !down {
 		return "up"
 	}
 	return fmt.Sprintf("at fault for %.0f s", back.Sub(now).Seconds())
 }
 
-// writeResults writes how requests ended.
+// writeResults writes the number of requests by result.
 func (d *Demo) writeResults(w io.Writer, now time.Time) {
 	all, lately := d.tally.read(now)
 	fmt.Fprintln(w, "REQUESTS\tENDED\tIN TIME\tLATE\tREFUSED\tLOST")
@@ -106,10 +108,10 @@
 	}
 }
 
-// Handler serves the view, and faults on request:
+// Handler returns an HTTP handler that serves the view and injects faults:
 //
-//	GET  /                                    the view
-//	POST /faults/FAULT?target=NAME&for=5s     a fault
+//	GET  /                                    writes the view
+//	POST /faults/FAULT?target=NAME&for=5s     injects a fault
 func (d *Demo) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /{$}", func(w http.ResponseWriter, _ *http.Request) {
--- a/pkg/ingressdemo/workspaces.go
+++ b/pkg/ingressdemo/workspaces.go
@@ -10,53 +10,54 @@
 	"github.com/hopwell/hopwell/platform/standin"
 )
 
-// demoWorkspace is a workspace of the demo with its part of the requests.
+// demoWorkspace is a workspace of the demo with its share of the requests.
 type demoWorkspace struct {
-	name string
-	part float64
-	// limit is the tokens a second that it may use, with as many at once.
+	name  string
+	share float64
+	// limit is the rate limit in tokens per second, and also the burst size in tokens.
 	limit float64
 }
 
-// demoWorkspaces are the demo's workspaces. The last sends more than twice what it may: at 12 requests
-// a second, of which 0.6 have some 2,400 tokens, half of them are 8,600 tokens a second.
+// demoWorkspaces are the workspaces of the demo. The last one sends more than twice its
+// limit: at 12 requests per second, of which a share of 0.6 uses some 2,400 tokens each,
+// half of the requests use 8,600 tokens per second.
 var demoWorkspaces = []demoWorkspace{{"counter", 0.3, 60000}, {"phone-desk", 0.2, 60000}, {"night-batch", 0.5, 4000}}
 
-// plainTokens is what a lookup counts.
-const plainTokens = 50
+// plainRequestTokens is the number of tokens charged for a request to the plain service.
+const plainRequestTokens = 50
 
-// key returns a workspace's key.
+// key returns the API key of the workspace.
 func (t *demoWorkspace) key() string { return "demo-key-" + t.name }
 
 // workspaces returns the stand-ins' configuration of the workspaces.
 func workspaces() []standin.Workspace {
 	var out []standin.Workspace
 	for _, t := range demoWorkspaces {
-		out = append(out, standin.Workspace{Name: t.name, Keys: []string{t.key()}, Rate: t.limit, Burst: t.limit, PlainTokens: plainTokens})
+		out = append(out, standin.Workspace{Name: t.name, Keys: []string{t.key()}, Rate: t.limit, Burst: t.limit, PlainTokens: plainRequestTokens})
 	}
 	return out
 }
 
-// pickWorkspace draws whose request the next one is.
+// pickWorkspace picks a random workspace, weighted by share, for the next request.
 func pickWorkspace(random *rand.Rand) *demoWorkspace {
 	draw := random.Float64()
 	for i := range demoWorkspaces {
-		if draw -= demoWorkspaces[i].part; draw < 0 {
+		if draw -= demoWorkspaces[i].share; draw < 0 {
 			return &demoWorkspaces[i]
 		}
 	}
 	return &demoWorkspaces[len(demoWorkspaces)-1]
 }
 
-// authorize shows the key of the user's workspace.
-func (u *user) authorize(r *http.Request) {
+// authorize sets the Authorization header to the API key of the request's workspace.
+func (u *clientRequest) authorize(r *http.Request) {
 	if u.workspace != nil {
 		r.Header.Set("Authorization", "Bearer "+u.workspace.key())
 	}
 }
 
-// writeWorkspaces writes what the workspaces use: spent by all gateways, left as one of them
-// counts it.
+// writeWorkspaces writes the usage of each workspace: the tokens spent at all gateways
+// together, and the tokens left according to one of the gateways.
 func (d *Demo) writeWorkspaces(w io.Writer) {
 	if !d.options.Workspaces {
 		return
--- a/pkg/ingressdemo/workspaces_test.go
+++ b/pkg/ingressdemo/workspaces_test.go
@@ -9,8 +9,8 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("workspaces of the demo", func() {
-	It("use what they may, and the one that sends more is kept to its limit", func() {
+var _ = Describe("demo workspaces", func() {
+	It("serves workspaces within their limit and throttles the one that exceeds it", func() {
 		o := DefaultOptions()
 		o.Workspaces, o.Rate = true, 40
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
