--- a/experiment/bound.go
+++ b/experiment/bound.go
@@ -66,7 +66,7 @@
 	return free + min(countFitting(pre, prefills*length.Seconds()), countFitting(dec, decodes*length.Seconds()))
 }
 
-// countFitting returns how many of the smallest costs countFitting into a budget.
+// countFitting returns how many of the smallest costs fit into a budget.
 func countFitting(costs []float64, budget float64) int {
 	slices.Sort(costs)
 	for i, c := range costs {
--- a/experiment/outcome.go
+++ b/experiment/outcome.go
@@ -24,18 +24,18 @@
 	// Prefilled and Wasted count prompt tokens. Gone is the part of Wasted whose client
 	// disconnected or lost its response with its gateway.
 	Prefilled, Wasted, Gone int
-	// Recovery is the time from the fault until the remaining engines reach full
-	// goodput, or -1 if they did not reach it.
+	// Recovery is the time from the fault until the remaining engines reach their full
+	// goodput, or -1 if they do not reach it.
 	Recovery time.Duration
 	// NotRun, Unknown and Late count the requests that were not good. Left counts the
 	// clients that disconnected on their own.
 	NotRun, Unknown, Late, Left int
-	// Reasons counts the requests that were not good by class and reason.
+	// Reasons counts the requests in NotRun, Unknown and Late by class and reason.
 	Reasons map[string]int
 	// Cached is the share of prompt tokens found in the engines' prefix caches. Busy is
 	// the share of time that the prefill engines computed.
 	Cached, Busy float64
-	// KVReads and KVWrites are store calls per second.
+	// KVReads and KVWrites are the read and write calls to the store per second.
 	KVReads, KVWrites float64
 }
 
@@ -117,7 +117,8 @@
 const recoveredShare = 0.9
 
 // recovery returns the time from the fault to the last second after it with too little
-// goodput, or -1 if goodput is still too low at the end of the load.
+// goodput, or -1 if goodput is still too low at the end of the load. Goodput is averaged
+// over 3 s.
 func recovery(d Deployment, calls []*fleettest.Call, scene Scene, length time.Duration) time.Duration {
 	if scene.Fault == nil || len(calls) == 0 {
 		return 0
--- a/pkg/demo/demo.go
+++ b/pkg/demo/demo.go
@@ -85,7 +85,7 @@
 	d.PlatformURL = "http://" + s.Addr()
 	fabric := fake.NewFabric()
 	for i := range prefills + decodes {
-		if err := d.startModel(i, fabric); err != nil {
+		if err := d.startEngine(i, fabric); err != nil {
 			return err
 		}
 	}
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// addressOrFreePort returns an address, addressOrFreePort a free port of loopback for an empty one.
+// addressOrFreePort returns the address, or a loopback address with port 0 if it is empty.
 func addressOrFreePort(address string) string {
 	if address == "" {
 		return "127.0.0.1:0"
@@ -123,8 +123,8 @@
 	return config.Instance{Name: name, Domain: domains[i%len(domains)], Region: region, Labels: labels}
 }
 
-// startModel starts a model engine and its sidecar.
-func (d *Demo) startModel(i int, fabric *fake.Fabric) error {
+// startEngine starts a model engine and its sidecar.
+func (d *Demo) startEngine(i int, fabric *fake.Fabric) error {
 	pool, n := "prefill", i
 	if i >= prefills {
 		pool, n = "decode", i-prefills
@@ -260,7 +260,7 @@
 
 const (
 	// firstPort and portRange are the start and the size of the port range of FreePorts. The
-	// range lies below the system's ephemeral portRange, because an outgoing connection
+	// range lies below the system's ephemeral ports, because an outgoing connection
 	// could otherwise occupy a port while the process that owns it restarts.
 	firstPort, portRange = 12000, 16000
 	// portTries bounds the number of ports tried per requested port.
--- a/pkg/ingressdemo/demo.go
+++ b/pkg/ingressdemo/demo.go
@@ -24,10 +24,10 @@
 	// engineMemoryTokens is the memory of one engine in tokens, as in the configuration.
 	engineMemoryTokens = 20000
 	// prefillTokensPerMs is the prefill rate of an engine in prompt tokens per millisecond,
-	// stride the number of tokens per stream event, and eventPause the time between
-	// events. They match the engine speeds in the users' data sheets.
+	// tokensPerEvent the number of tokens per stream event, and eventPause the time
+	// between events. The engines are as fast as those in the users' sheets.
 	prefillTokensPerMs = 30
-	stride             = 12
+	tokensPerEvent     = 12
 	eventPause         = 60 * time.Millisecond
 	// stageChangeTime is how long a stage change of an engine takes.
 	stageChangeTime = 2 * time.Second
@@ -61,7 +61,7 @@
 	Seed uint64
 }
 
-// DefaultOptions are the sizes of a small deployment.
+// DefaultOptions returns the options of a small deployment.
 func DefaultOptions() Options {
 	return Options{Gateways: 3, Engines: 6, Plain: 2, Rate: 12, Log: io.Discard, Seed: 1}
 }
@@ -165,7 +165,7 @@
 
 func newEngine(id, domain, stage string) *standin.Runner {
 	r := standin.NewRunner(id, engineService, domain, stage)
-	r.Memory, r.ReadRate, r.Stride, r.Pause, r.ChangeTime = engineMemoryTokens, prefillTokensPerMs, stride, eventPause, stageChangeTime
+	r.Memory, r.ReadRate, r.Stride, r.Pause, r.ChangeTime = engineMemoryTokens, prefillTokensPerMs, tokensPerEvent, eventPause, stageChangeTime
 	return r
 }
 
--- a/pkg/ingressdemo/faults.go
+++ b/pkg/ingressdemo/faults.go
@@ -18,15 +18,15 @@
 const (
 	// Kill stops a runner and later replaces it by one with an empty cache.
 	Kill Fault = "kill"
-	// Silent makes a runner accept requests without responding.
+	// Silent makes a runner accept requests and never respond.
 	Silent Fault = "silent"
-	// Failing makes a runner respond to requests with errors.
+	// Failing makes a runner respond to requests with 500.
 	Failing Fault = "failing"
 	// Leaving drains a runner and later replaces it.
 	Leaving Fault = "leaving"
 	// Restart stops a gateway without draining it and later starts it again.
 	Restart Fault = "restart"
-	// Outage makes the store fail all calls.
+	// Outage makes the store respond to all calls with 503.
 	Outage Fault = "outage"
 	// Burst doubles the clients' request rate.
 	Burst Fault = "burst"
@@ -59,7 +59,7 @@
 }
 
 // Strike injects a fault and returns the name of its target. The target is a runner or a
-// gateway; if it is empty, Strike picks one without a fault. Errors are of type *ErrFault.
+// gateway; if it is empty, Strike picks one that is up. Errors are of type *ErrFault.
 func (d *Demo) Strike(f Fault, target string, lasts time.Duration) (string, error) {
 	if lasts <= 0 || lasts > LongestFault {
 		return "", &ErrFault{Fault: f, Target: target, Why: "lasts more than 0, at most " + LongestFault.String()}
@@ -190,7 +190,7 @@
 }
 
 // StrikeAtRandom injects a random fault at each interval until the context ends. It calls
-// struck after each injected fault.
+// struck after each injected fault and skips faults that can't be injected.
 func (d *Demo) StrikeAtRandom(ctx context.Context, every time.Duration, struck func(f Fault, target string)) {
 	random := rand.New(rand.NewPCG(d.options.Seed, 2))
 	tick := time.NewTicker(every)
--- a/pkg/ingressdemo/load.go
+++ b/pkg/ingressdemo/load.go
@@ -20,8 +20,8 @@
 	plainShare = 0.4
 	// resumableShare is the share of the generation requests whose stream may be resumed.
 	resumableShare = 0.5
-	// minPromptTokens and maxPromptTokens bound the length of a prompt, and mostOut the length
-	// of a response, in tokens.
+	// minPromptTokens and maxPromptTokens bound the length of a prompt, and
+	// maxOutputTokens the length of a response, in tokens.
 	minPromptTokens, maxPromptTokens = 300, 3000
 	maxOutputTokens                  = 720
 	// requestTimeout bounds the time of a request over all of its attempts.
@@ -99,16 +99,16 @@
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	for u.attempts = 1; u.attempts <= maxAttempts; u.attempts++ {
-		again, err := u.attempt(ctx)
+		delay, err := u.attempt(ctx)
 		if err == nil {
 			return u.served()
 		}
-		if again < 0 || ctx.Err() != nil {
+		if delay < 0 || ctx.Err() != nil {
 			break
 		}
 		u.gateway++
 		select {
-		case <-time.After(again):
+		case <-time.After(delay):
 		case <-ctx.Done():
 		}
 	}
@@ -118,7 +118,7 @@
 	return lost
 }
 
-// served returns the result of a request that received a whole response.
+// served returns the result of a request that received a complete response.
 func (u *clientRequest) served() result {
 	if u.first > firstByteTarget || u.refused {
 		return late
--- a/pkg/ingressdemo/tally.go
+++ b/pkg/ingressdemo/tally.go
@@ -8,13 +8,13 @@
 // result classifies how a request ended for its client.
 type result int
 
-// The results.
+// The results of a request.
 const (
 	inTime result = iota
 	// late requests got their first byte after the target time, or were refused at least
 	// once before they were served.
 	late
-	// refused requests were refused and received no part of a response.
+	// refused requests were refused and never run: they received no part of a response.
 	refused
 	// lost requests received no complete response.
 	lost
@@ -24,8 +24,8 @@
 // recentWindow is the period over which the recent counts are taken.
 const recentWindow = 10 * time.Second
 
-// ended is one request that has ended.
-type ended struct {
+// endedRequest is a request that has ended.
+type endedRequest struct {
 	at     time.Time
 	result result
 }
@@ -43,35 +43,35 @@
 
 // tally counts requests by result, since the start and within recentWindow.
 type tally struct {
-	mu   sync.Mutex
-	all  counts
-	last []ended
+	mu     sync.Mutex
+	all    counts
+	recent []endedRequest
 }
 
 func (t *tally) add(at time.Time, r result) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.all[r]++
-	t.last = append(t.last, ended{at, r})
+	t.recent = append(t.recent, endedRequest{at, r})
 	t.evict(at)
 }
 
 // evict drops the requests that ended before recentWindow. The caller holds t.mu.
 func (t *tally) evict(now time.Time) {
 	old := 0
-	for old < len(t.last) && now.Sub(t.last[old].at) > recentWindow {
+	for old < len(t.recent) && now.Sub(t.recent[old].at) > recentWindow {
 		old++
 	}
-	t.last = t.last[old:]
+	t.recent = t.recent[old:]
 }
 
 // read returns the counts since the start and those within recentWindow.
-func (t *tally) read(now time.Time) (all, lately counts) {
+func (t *tally) read(now time.Time) (all, recent counts) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.evict(now)
-	for _, e := range t.last {
-		lately[e.result]++
+	for _, e := range t.recent {
+		recent[e.result]++
 	}
-	return t.all, lately
+	return t.all, recent
 }
--- a/pkg/ingressdemo/view.go
+++ b/pkg/ingressdemo/view.go
@@ -42,15 +42,15 @@
 			fmt.Fprintf(w, "%s\t%s\t\t\t\t\n", gatewayName(i), d.state(gatewayName(i), now))
 			continue
 		}
-		waiting, reading, reserved := pools(g, now)
+		waiting, reading, reserved := poolLoad(g, now)
 		fmt.Fprintf(w, "%s\tup\thttp://%s\t%d\t%d\t%.0f%%\n", gatewayName(i), g.Ports().Callers, waiting, reading, reserved*percent)
 	}
 	fmt.Fprintln(w)
 }
 
-// pools returns a gateway's view of the engine pool: the number of waiting requests, the
-// prompt tokens being prefilled and the reserved share of the engines' memory.
-func pools(g *process.Ingress, now time.Time) (waiting, reading int, reserved float64) {
+// poolLoad returns a gateway's view of the engine pool: the number of waiting requests, the
+// prompt tokens that wait or are being prefilled, and the reserved share of the memory.
+func poolLoad(g *process.Ingress, now time.Time) (waiting, reading int, reserved float64) {
 	pool := g.Ingress.Pools()[engineService]
 	if pool == nil {
 		return 0, 0, 0
