--- a/pkg/ingressdemo/load.go
+++ b/pkg/ingressdemo/load.go
@@ -44,8 +44,8 @@
 			return
 		case <-time.After(pause):
 		}
-		u := newClientRequest(d, serial, random)
-		d.done.Go(func() { d.tally.add(time.Now(), u.run(ctx)) })
+		c := newClientRequest(d, serial, random)
+		d.done.Go(func() { d.tally.add(time.Now(), c.run(ctx)) })
 	}
 }
 
@@ -77,50 +77,50 @@
 }
 
 func newClientRequest(d *Demo, serial int, random *rand.Rand) *clientRequest {
-	u := &clientRequest{
+	c := &clientRequest{
 		demo: d, name: fmt.Sprintf("request-%d", serial), gateway: random.IntN(d.options.Gateways), path: "/once/",
 		prompt: minPromptTokens + random.IntN(maxPromptTokens-minPromptTokens),
 	}
 	if random.Float64() < plainShare {
-		u.path, u.prompt = "/read/", 0
+		c.path, c.prompt = "/read/", 0
 	} else if random.Float64() < resumableShare {
-		u.path = "/again/"
+		c.path = "/again/"
 	}
 	if d.options.Workspaces {
-		u.workspace = pickWorkspace(random)
+		c.workspace = pickWorkspace(random)
 	}
-	return u
+	return c
 }
 
 // run sends the request and retries it, after the delay that the response asks for, until
 // it succeeds, must not be retried, or runs out of attempts or time.
-func (u *clientRequest) run(ctx context.Context) result {
-	u.began = time.Now()
+func (c *clientRequest) run(ctx context.Context) result {
+	c.began = time.Now()
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	for u.attempts = 1; u.attempts <= maxAttempts; u.attempts++ {
-		delay, err := u.attempt(ctx)
+	for c.attempts = 1; c.attempts <= maxAttempts; c.attempts++ {
+		delay, err := c.attempt(ctx)
 		if err == nil {
-			return u.served()
+			return c.served()
 		}
 		if delay < 0 || ctx.Err() != nil {
 			break
 		}
-		u.gateway++
+		c.gateway++
 		select {
 		case <-time.After(delay):
 		case <-ctx.Done():
 		}
 	}
-	if u.refused && u.first == 0 {
+	if c.refused && c.first == 0 {
 		return refused
 	}
 	return lost
 }
 
 // served returns the result of a request that received a complete response.
-func (u *clientRequest) served() result {
-	if u.first > firstByteTarget || u.refused {
+func (c *clientRequest) served() result {
+	if c.first > firstByteTarget || c.refused {
 		return late
 	}
 	return inTime
@@ -142,53 +142,53 @@
 
 // attempt sends the request once. After a failure it returns the delay before the next
 // attempt, or noRetry.
-func (u *clientRequest) attempt(ctx context.Context) (time.Duration, error) {
-	r, err := u.request(ctx)
+func (c *clientRequest) attempt(ctx context.Context) (time.Duration, error) {
+	r, err := c.request(ctx)
 	if err != nil {
 		return failureBackoff, err
 	}
-	res, err := u.demo.client.Do(r)
+	res, err := c.demo.client.Do(r)
 	if err != nil {
-		return u.backoffAfterFailure(), &errTry{Err: err}
+		return c.backoffAfterFailure(), &errTry{Err: err}
 	}
 	defer res.Body.Close()
 	if res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusTooManyRequests {
-		u.refused = true
+		c.refused = true
 		return retryAfter(res), &errTry{Status: res.StatusCode}
 	}
 	if res.StatusCode != http.StatusOK {
-		return u.backoffAfterFailure(), &errTry{Status: res.StatusCode}
+		return c.backoffAfterFailure(), &errTry{Status: res.StatusCode}
 	}
-	if err := u.read(res.Body); err != nil {
-		return u.backoffAfterFailure(), &errTry{Status: res.StatusCode, Err: err}
+	if err := c.read(res.Body); err != nil {
+		return c.backoffAfterFailure(), &errTry{Status: res.StatusCode, Err: err}
 	}
 	return 0, nil
 }
 
 // request builds the HTTP request of one attempt. Each attempt has its own request ID.
-func (u *clientRequest) request(ctx context.Context) (*http.Request, error) {
-	gateways := u.demo.Callers()
+func (c *clientRequest) request(ctx context.Context) (*http.Request, error) {
+	gateways := c.demo.Callers()
 	if len(gateways) == 0 {
 		return nil, &errTry{Err: errors.New("no gateway is up")}
 	}
-	url := gateways[u.gateway%len(gateways)] + u.path + u.name
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader("prompt of "+u.name))
+	url := gateways[c.gateway%len(gateways)] + c.path + c.name
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader("prompt of "+c.name))
 	if err != nil {
 		return nil, err
 	}
 	call := standin.Call{
-		ID: fmt.Sprintf("%s.%d", u.name, u.attempts), Left: requestTimeout - time.Since(u.began),
-		PromptID: u.name, Prompt: u.prompt, MaxOut: maxOutputTokens, After: u.lastEventID,
+		ID: fmt.Sprintf("%s.%d", c.name, c.attempts), Left: requestTimeout - time.Since(c.began),
+		PromptID: c.name, Prompt: c.prompt, MaxOut: maxOutputTokens, After: c.lastEventID,
 	}
 	call.Write(r)
-	u.authorize(r)
+	c.authorize(r)
 	return r, nil
 }
 
 // backoffAfterFailure returns the delay before a request whose response was lost is
 // retried, or noRetry if the request must not be repeated.
-func (u *clientRequest) backoffAfterFailure() time.Duration {
-	if u.path == "/once/" {
+func (c *clientRequest) backoffAfterFailure() time.Duration {
+	if c.path == "/once/" {
 		return noRetry
 	}
 	return failureBackoff
@@ -206,14 +206,14 @@
 
 // read reads a response body. It records the time of the first line and the ID of the last
 // event, from which the next attempt resumes the stream.
-func (u *clientRequest) read(body io.Reader) error {
+func (c *clientRequest) read(body io.Reader) error {
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
-		if u.first == 0 {
-			u.first = time.Since(u.began)
+		if c.first == 0 {
+			c.first = time.Since(c.began)
 		}
 		if id, ok := strings.CutPrefix(lines.Text(), "id: "); ok {
-			u.lastEventID = id
+			c.lastEventID = id
 		}
 	}
 	return lines.Err()
--- a/pkg/ingressdemo/workspaces.go
+++ b/pkg/ingressdemo/workspaces.go
@@ -50,9 +50,9 @@
 }
 
 // authorize sets the Authorization header to the API key of the request's workspace.
-func (u *clientRequest) authorize(r *http.Request) {
-	if u.workspace != nil {
-		r.Header.Set("Authorization", "Bearer "+u.workspace.key())
+func (c *clientRequest) authorize(r *http.Request) {
+	if c.workspace != nil {
+		r.Header.Set("Authorization", "Bearer "+c.workspace.key())
 	}
 }
 
