--- a/experiment/bound.go
+++ b/experiment/bound.go
@@ -17,10 +17,10 @@
 func (d *Deployment) costOf(a *Arrival) cost {
 	e := &d.Engine
 	memory := float64(int64(a.Prompt+a.Out)*e.KVPerToken) / float64(e.KVTotal)
-	part := max(1/float64(e.BatchLimit), memory)
+	fixedShare := max(1/float64(e.BatchLimit), memory)
 	return cost{
 		prefill: float64(a.Prompt-a.Shared) / e.PrefillRate,
-		decode:  float64(a.Out) * (e.StepSlope.Seconds() + part*e.StepBase.Seconds()),
+		decode:  float64(a.Out) * (e.StepSlope.Seconds() + fixedShare*e.StepBase.Seconds()),
 	}
 }
 
@@ -52,18 +52,18 @@
 // into the engine time of the whole run, for each pool separately, with all prefixes
 // cached and all batches full.
 func (d *Deployment) Bound(load []Arrival, length time.Duration, prefills, decodes float64) int {
-	var free int
+	var plainRequests int
 	var pre, dec []float64
 	for i := range load {
 		if load[i].Request == nil {
-			free++
+			plainRequests++
 			continue
 		}
 		c := d.costOf(&load[i])
 		pre = append(pre, c.prefill)
 		dec = append(dec, c.decode)
 	}
-	return free + min(countFitting(pre, prefills*length.Seconds()), countFitting(dec, decodes*length.Seconds()))
+	return plainRequests + min(countFitting(pre, prefills*length.Seconds()), countFitting(dec, decodes*length.Seconds()))
 }
 
 // countFitting returns how many of the smallest costs fit into a budget.
--- a/experiment/outcome.go
+++ b/experiment/outcome.go
@@ -59,13 +59,13 @@
 	o := Outcome{Offered: len(load), ByClass: map[string]float64{}, Reasons: map[string]int{}}
 	o.Bound = d.Bound(load, length, float64(d.Prefills), float64(d.Decodes))
 	total := map[string]float64{}
-	others, ok := 0.0, 0.0
+	others, othersGood := 0.0, 0.0
 	for _, c := range calls {
 		total[classOf(c)]++
-		if workspaceOf(c) != flooding {
+		if workspaceOf(c) != floodingWorkspace {
 			others++
 			if good(c) {
-				ok++
+				othersGood++
 			}
 		}
 		o.Prefilled += c.Result.Prefilled
@@ -78,7 +78,7 @@
 	for kind, n := range total {
 		o.ByClass[kind] /= n
 	}
-	o.Others = ok / max(others, 1)
+	o.Others = othersGood / max(others, 1)
 	o.Recovery = recovery(d, calls, scene, length)
 	return o
 }
@@ -143,10 +143,10 @@
 	}
 	fault := int(faultAt.Seconds())
 	before := sum(ok[2:fault]) / sum(offered[2:fault])
-	left := min(1-float64(scene.Prefills)/float64(d.Prefills), 1-float64(scene.Decodes)/float64(d.Decodes))
+	remaining := min(1-float64(scene.Prefills)/float64(d.Prefills), 1-float64(scene.Decodes)/float64(d.Decodes))
 	for s := n - 3; s >= fault; s-- {
 		window := sum(ok[s:s+3]) / max(1, sum(offered[s:s+3]))
-		if window < recoveredShare*before*left {
+		if window < recoveredShare*before*remaining {
 			if s >= n-4 {
 				return -1
 			}
--- a/experiment/run.go
+++ b/experiment/run.go
@@ -140,7 +140,7 @@
 			time.Sleep(15 * time.Second)
 			r.Fleet.KV.SetDown(false)
 		}},
-		Scene{Name: "leaving", Load: 0.8, Decodes: 1, Prefills: 1, Fault: leaveOneAfterAnother},
+		Scene{Name: "leaving", Load: 0.8, Decodes: 1, Prefills: 1, Fault: reclaimTwoInstances},
 		Scene{Name: "cancels", Load: 1, Fault: func(r *Run) {
 			r.mu.Lock()
 			defer r.mu.Unlock()
@@ -180,8 +180,8 @@
 	}}
 }
 
-// leaveOneAfterAnother reclaims two instances, 3 s apart, with 15 s notice each.
-func leaveOneAfterAnother(r *Run) {
+// reclaimTwoInstances reclaims two instances, 3 s apart, with 15 s notice each.
+func reclaimTwoInstances(r *Run) {
 	for _, name := range []string{"decode-1", "prefill-1"} {
 		deadline := time.Now().Add(15 * time.Second)
 		r.Fleet.List.Reclaim(name, deadline)
--- a/experiment/workload.go
+++ b/experiment/workload.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// flooding is the workspace that sends the flood in a scene with Flood set.
-const flooding = "workspace-0"
+// floodingWorkspace is the workspace that sends the flood in a scene with Flood set.
+const floodingWorkspace = "workspace-0"
 
 // service reports whether requests of the class go to a plain service.
 func (c *Class) service() bool { return c.OutMax == 0 }
@@ -138,7 +138,7 @@
 	id := fmt.Sprintf("%s-%d", c.Kind, n)
 	workspace := fmt.Sprintf("workspace-%d", rng.IntN(d.Workspaces))
 	if flood > 0 && rng.Float64() < flood {
-		workspace = flooding
+		workspace = floodingWorkspace
 	}
 	a := Arrival{At: at, Class: c}
 	if c.service() {
