--- a/pkg/ingressdemo/tally.go
+++ b/pkg/ingressdemo/tally.go
@@ -5,31 +5,32 @@
 	"time"
 )
 
-// result is how a request ended for its client.
+// result classifies how a request ended for its client.
 type result int
 
-// The results.
+// The results of a request.
 const (
 	inTime result = iota
-	// late answers came after the promised time, or after a refusal.
+	// late requests got their first byte after the target time, or were refused at least
+	// once before they were served.
 	late
-	// refused requests were never run.
+	// refused requests were refused and never run: they received no part of a response.
 	refused
-	// lost requests got no whole answer.
+	// lost requests received no complete response.
 	lost
 	results
 )
 
-// recent is how far back the tally looks for the present state.
-const recent = 10 * time.Second
+// recentWindow is the period over which the recent counts are taken.
+const recentWindow = 10 * time.Second
 
-// ended is one request that has ended.
-type ended struct {
+// endedRequest is a request that has ended.
+type endedRequest struct {
 	at     time.Time
 	result result
 }
 
-// counts are requests by result.
+// counts holds the number of requests for each result.
 type counts [results]int
 
 func (c counts) sum() int {
@@ -40,37 +41,37 @@
 	return sum
 }
 
-// tally counts how requests end.
+// tally counts requests by result, since the start and within recentWindow.
 type tally struct {
-	mu   sync.Mutex
-	all  counts
-	last []ended
+	mu     sync.Mutex
+	all    counts
+	recent []endedRequest
 }
 
 func (t *tally) add(at time.Time, r result) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.all[r]++
-	t.last = append(t.last, ended{at, r})
-	t.forget(at)
+	t.recent = append(t.recent, endedRequest{at, r})
+	t.evict(at)
 }
 
-// forget drops what is not recent. The caller holds the lock.
-func (t *tally) forget(now time.Time) {
+// evict drops the requests that ended before recentWindow. The caller holds t.mu.
+func (t *tally) evict(now time.Time) {
 	old := 0
-	for old < len(t.last) && now.Sub(t.last[old].at) > recent {
+	for old < len(t.recent) && now.Sub(t.recent[old].at) > recentWindow {
 		old++
 	}
-	t.last = t.last[old:]
+	t.recent = t.recent[old:]
 }
 
-// read returns the counts since the start, and of late.
-func (t *tally) read(now time.Time) (all, lately counts) {
+// read returns the counts since the start and those within recentWindow.
+func (t *tally) read(now time.Time) (all, recent counts) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.forget(now)
-	for _, e := range t.last {
-		lately[e.result]++
+	t.evict(now)
+	for _, e := range t.recent {
+		recent[e.result]++
 	}
-	return t.all, lately
+	return t.all, recent
 }
