--- a/pkg/fake/cache.go
+++ b/pkg/fake/cache.go
@@ -2,8 +2,8 @@
 
 import "container/list"
 
-// blockCache is a prefix cache with limited memory that forgets the blocks
-// used longest ago.
+// blockCache is a prefix cache of at most limit blocks. It evicts the least
+// recently used blocks and reports every added or evicted block.
 type blockCache struct {
 	limit  int
 	note   func(block uint64, evicted bool)
@@ -15,7 +15,8 @@
 	return &blockCache{limit: limit, note: note, order: list.New(), blocks: map[uint64]*list.Element{}}
 }
 
-// match returns how many leading blocks are cached.
+// match returns the number of leading blocks that are cached, and marks them as
+// recently used.
 func (c *blockCache) match(blocks []uint64) int {
 	for i, b := range blocks {
 		el, ok := c.blocks[b]
@@ -27,7 +28,7 @@
 	return len(blocks)
 }
 
-// add keeps blocks and evicts others where memory runs out.
+// add caches blocks and evicts the least recently used ones above the limit.
 func (c *blockCache) add(blocks []uint64) {
 	for _, b := range blocks {
 		if el, ok := c.blocks[b]; ok {
--- a/pkg/fake/engine.go
+++ b/pkg/fake/engine.go
@@ -8,31 +8,36 @@
 	"github.com/hopwell/hopwell/pkg/engine"
 )
 
-// Spec gives the speeds and sizes of a fake engine.
+// Spec sets the speeds and capacities of a fake engine.
 type Spec struct {
-	// PrefillRate is in tokens a second.
+	// PrefillRate is the number of prompt tokens computed per second.
 	PrefillRate float64
-	// StepBase and StepSlope give the time of a decode step: base + slope × batch.
+	// StepBase and StepSlope give the duration of a decode step: base + slope ×
+	// number of running streams.
 	StepBase, StepSlope time.Duration
-	// BatchLimit is the largest decode batch.
+	// BatchLimit is the maximum number of streams in the decode batch.
 	BatchLimit int
-	// KVTotal is the memory for KV caches and KVPerToken what a token takes, in bytes.
+	// KVTotal is the memory for KV caches and KVPerToken the KV cache size of one
+	// token, both in bytes.
 	KVTotal, KVPerToken int64
 	// CacheBlocks is the size of the prefix cache in blocks.
 	CacheBlocks int
-	// LinkRate is shared by all exports that leave the engine, in bytes a second.
+	// LinkRate is the bandwidth in bytes per second that all transfers out of the
+	// engine share.
 	LinkRate float64
-	// ExportTTL is how long an export is kept.
+	// ExportTTL is the time after which an export is freed.
 	ExportTTL time.Duration
-	// ReportLag delays load reports and cache events; each EventGap-th event is lost.
+	// ReportLag delays load reports and cache events. Every EventGap-th event is
+	// lost; 0 loses none.
 	ReportLag time.Duration
 	EventGap  uint64
-	// ChecksFence is false for an engine that takes any order.
+	// ChecksFence makes the engine refuse assignments with an older fencing token.
+	// An engine without this check accepts every assignment.
 	ChecksFence bool
 }
 
-// DefaultSpec is a model engine of the brief's kind: full at a few tens of
-// requests, with a prefill that costs hundreds of output tokens.
+// DefaultSpec describes a typical model engine: it is full at a few tens of
+// requests, and a prefill costs as much as hundreds of output tokens.
 func DefaultSpec() Spec {
 	return Spec{
 		PrefillRate: 12000,
@@ -50,25 +55,27 @@
 	}
 }
 
-// chunkTokens is how much of a prompt an engine computes before it looks again
-// for more urgent work.
+// chunkTokens is the maximum number of prompt tokens that an engine computes in
+// one step. Each step selects the most urgent prefill again.
 const chunkTokens = 512
 
-// Stats is what an engine did, for the checks and measures of tests.
+// Stats counts the work of an engine, for checks and measurements in tests.
 type Stats struct {
-	// Prefilled counts the prompt tokens computed, Cached those found.
+	// Prefilled counts the prompt tokens that were computed, Cached those that were
+	// found in the prefix cache.
 	Prefilled, Cached int64
-	// Wasted counts prefilled tokens whose export nobody imported, or whose
-	// work ended before its export.
+	// Wasted counts prefilled tokens whose export was never imported, or whose
+	// work ended before the export.
 	Wasted int64
-	// Decoded counts tokens generated.
+	// Decoded counts the generated tokens.
 	Decoded int64
-	// Wrong counts resumed answers that did not match what was generated.
+	// Wrong counts resumed streams whose Generated text was not the start of the
+	// response to their prompt.
 	Wrong int
 }
 
-// Engine is a model engine in memory. Its time is that of package time, so
-// that it runs in a synctest bubble too.
+// Engine is an in-memory model engine. It takes the time from package time only,
+// so that it also runs in a synctest bubble.
 type Engine struct {
 	address string
 	spec    Spec
@@ -102,7 +109,7 @@
 	cached int
 	blocks []uint64
 	bytes  int64
-	// local is set for the prefill of a decode order without a source.
+	// local is set for the prefill of a decode call without a source.
 	local    bool
 	finished chan error
 }
@@ -133,7 +140,8 @@
 	engine.CacheEvent
 }
 
-// NewEngine starts an engine. Fabric carries transfers between engines.
+// NewEngine starts an engine and adds it to fabric, which carries transfers
+// between engines.
 func NewEngine(address string, spec Spec, fabric *Fabric) *Engine {
 	e := &Engine{
 		address: address,
@@ -150,7 +158,7 @@
 	return e
 }
 
-// Close ends the engine and all its work.
+// Close stops the engine and ends all its work with an error.
 func (e *Engine) Close() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -173,19 +181,20 @@
 	e.exports = map[string]*export{}
 }
 
-// lost is the error of work on an engine that ended.
+// lost returns the error for work on an engine that was closed.
 func (e *Engine) lost() error {
 	return &engine.ErrUnreachable{Address: e.address, Sent: true, Err: errOutage}
 }
 
-// waste counts an export that nobody imported. The caller holds the lock.
+// waste adds the prefilled tokens of an export to the wasted ones, unless the
+// export was imported. The caller holds the lock.
 func (e *Engine) waste(x *export) {
 	if !x.imported {
 		e.stats.Wasted += x.paid
 	}
 }
 
-// Stall stops all transfers out of the engine until the returned function is called.
+// Stall blocks all transfers out of the engine until resume is called.
 func (e *Engine) Stall() (resume func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -201,29 +210,31 @@
 	}
 }
 
-// SetReports makes load reports and cache events later, and every gap-th event
-// lost.
+// SetReports sets the delay of load reports and cache events. Every gap-th event
+// is lost; 0 loses none.
 func (e *Engine) SetReports(lag time.Duration, gap uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.spec.ReportLag, e.spec.EventGap = lag, gap
 }
 
-// Stats returns what the engine did so far.
+// Stats returns the counts since the engine started.
 func (e *Engine) Stats() Stats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.stats
 }
 
-// Began returns when each piece of work came to the engine, by its ID.
+// Began returns the time when the engine first received each piece of work, by
+// work ID.
 func (e *Engine) Began() map[string]time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return maps.Clone(e.began)
 }
 
-// beginWork records that work came. The caller holds the lock.
+// beginWork records when a piece of work was first received. The caller holds
+// the lock.
 func (e *Engine) beginWork(id string) {
 	if _, ok := e.began[id]; !ok {
 		e.began[id] = time.Now()
--- a/pkg/fake/engine_calls.go
+++ b/pkg/fake/engine_calls.go
@@ -29,7 +29,8 @@
 	return x.Export, nil
 }
 
-// queue admits a prefill to the engine's own queue.
+// queue appends a prefill to the engine's queue. It reserves memory except for a
+// local prefill, whose decode has reserved it.
 func (e *Engine) queue(p engine.Prefill, blocks []uint64, bytes int64, local bool) (*prefillJob, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -51,7 +52,8 @@
 	return j, nil
 }
 
-// await waits for a prefill and drops it when the caller is gone.
+// await waits for the end of a prefill. It drops a prefill that failed or whose
+// context ended.
 func (e *Engine) await(ctx context.Context, j *prefillJob) error {
 	var err error
 	select {
@@ -75,7 +77,8 @@
 	return err
 }
 
-// hold keeps a KV cache for import. The caller holds the lock.
+// hold keeps a KV cache for import until ExportTTL has passed. The caller holds
+// the lock.
 func (e *Engine) hold(id string, bytes int64, j *prefillJob) *export {
 	e.nextName++
 	x := &export{id: id, expires: time.Now().Add(e.spec.ExportTTL)}
@@ -127,7 +130,7 @@
 	return e.relay(ctx, job, token)
 }
 
-// admit takes memory for a whole answer.
+// admit reserves memory for the prompt and the longest possible response.
 func (e *Engine) admit(d engine.Decode) (*decodeJob, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -148,7 +151,8 @@
 	return job, nil
 }
 
-// load imports the KV cache, or computes it where there is no source.
+// load imports the KV cache of a decode, or computes it if the decode has no
+// source.
 func (e *Engine) load(ctx context.Context, job *decodeJob) error {
 	if job.order.Source != nil {
 		return e.fabric.transfer(ctx, job.order.Source)
@@ -163,7 +167,7 @@
 	return e.await(ctx, j)
 }
 
-// relay hands over tokens until the last one.
+// relay passes the tokens of a stream to token until the final one.
 func (e *Engine) relay(ctx context.Context, job *decodeJob, token func(engine.Token) error) error {
 	for {
 		select {
@@ -260,7 +264,7 @@
 	return all, nil
 }
 
-// loadNow is the load without its lag. The caller holds the lock.
+// loadNow returns the load without the report lag. The caller holds the lock.
 func (e *Engine) loadNow() engine.Load {
 	l := engine.Load{
 		Running: len(e.running), BatchLimit: e.spec.BatchLimit,
@@ -292,14 +296,15 @@
 	return l, nil
 }
 
-// KVUsed returns the memory held now, without a lag.
+// KVUsed returns the KV cache memory in use in bytes, without the report lag.
 func (e *Engine) KVUsed() int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.kvUsed
 }
 
-// note records a cache event. The caller holds the lock.
+// note records a cache event, or loses it if its sequence number is a multiple
+// of EventGap. The caller holds the lock.
 func (e *Engine) note(block uint64, evicted bool) {
 	e.sequence++
 	if e.spec.EventGap > 0 && e.sequence%e.spec.EventGap == 0 {
@@ -311,7 +316,8 @@
 	}
 }
 
-// eventWindow is how many cache events an engine keeps at least.
+// eventWindow is the number of most recent cache events that an engine always
+// keeps.
 const eventWindow = 4096
 
 // Events implements engine.Engine.
--- a/pkg/fake/engine_http.go
+++ b/pkg/fake/engine_http.go
@@ -44,7 +44,8 @@
 	return mux
 }
 
-// handle reads an order and writes what doing it gave.
+// handle decodes the JSON body of a call, passes it to do and writes the result
+// as JSON.
 func handle[T any](do func(*http.Request, T) (any, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var body T
@@ -73,7 +74,7 @@
 	return &engine.ErrEngine{Code: engine.CodeBroken, Detail: err.Error()}
 }
 
-// serveDecode streams a decode's steps, one for each line.
+// serveDecode streams the steps of a decode as JSON, one per line.
 func serveDecode(e engine.Engine, w http.ResponseWriter, r *http.Request) {
 	var d engine.Decode
 	if err := json.NewDecoder(r.Body).Decode(&d); err != nil {
--- a/pkg/fake/engine_steps.go
+++ b/pkg/fake/engine_steps.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// plan returns the time of the next step, or 0 when there is no work.
+// plan returns the duration of the next step, or 0 if there is no work.
 func (e *Engine) plan() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -41,7 +41,8 @@
 	return d
 }
 
-// first returns the most urgent prefill. The caller holds the lock.
+// first returns the prefill with the highest priority, the oldest among equals,
+// or nil. The caller holds the lock.
 func (e *Engine) first() *prefillJob {
 	var best *prefillJob
 	for _, j := range e.jobs {
@@ -57,7 +58,8 @@
 	return time.Duration(float64(n) / e.spec.PrefillRate * float64(time.Second))
 }
 
-// advance records one step of work.
+// advance applies the results of one step: a prefill chunk and a token for each
+// running stream.
 func (e *Engine) advance() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -94,7 +96,7 @@
 	d.tokens <- t
 }
 
-// trim forgets load reports older than needed. The caller holds the lock.
+// trim drops load reports that are older than the one that Load returns. The caller holds the lock.
 func (e *Engine) trim() {
 	old := time.Now().Add(-e.spec.ReportLag)
 	for len(e.reports) > 1 && e.reports[1].at.Before(old) {
@@ -118,7 +120,8 @@
 	}
 }
 
-// dropDecode frees a stream's memory. The caller holds the lock.
+// dropDecode removes a stream from the batch and frees its memory. It returns
+// false if the stream is not in the batch. The caller holds the lock.
 func (e *Engine) dropDecode(d *decodeJob) bool {
 	for i, x := range e.running {
 		if x == d {
--- a/pkg/fake/fabric.go
+++ b/pkg/fake/fabric.go
@@ -12,10 +12,11 @@
 	"github.com/hopwell/hopwell/pkg/engine"
 )
 
-// transferSlices is how often a transfer looks again at its share of the link.
+// transferSlices is the number of parts of a transfer. The transfer's share of
+// the link is computed anew for each part.
 const transferSlices = 8
 
-// Fabric carries transfers between engines.
+// Fabric carries KV cache transfers between engines.
 type Fabric struct {
 	mu      sync.Mutex
 	engines map[string]*Engine
@@ -38,7 +39,7 @@
 	return f.engines[address]
 }
 
-// transfer moves an export over its engine's link.
+// transfer moves an export over the outgoing link of its engine.
 func (f *Fabric) transfer(ctx context.Context, x *engine.Export) error {
 	src := f.find(x.Address)
 	if src == nil {
@@ -56,7 +57,7 @@
 	return src.imported(x.Handle)
 }
 
-// begin opens a transfer out of e.
+// begin counts a new transfer out of e. It fails if the export no longer exists.
 func (e *Engine) begin(handle string) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -73,7 +74,7 @@
 	e.active--
 }
 
-// slice moves some bytes at the transfer's share of the link.
+// slice waits as long as bytes take at one transfer's share of the link.
 func (e *Engine) slice(ctx context.Context, bytes int64) error {
 	e.mu.Lock()
 	d := time.Duration(float64(bytes) * float64(e.active) / e.spec.LinkRate * float64(time.Second))
@@ -90,7 +91,7 @@
 	return sleep(ctx, d)
 }
 
-// imported records an export as used.
+// imported marks an export as imported.
 func (e *Engine) imported(handle string) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -102,14 +103,15 @@
 	return nil
 }
 
-// TokenText is the text of an answer's token: the same for the same prompt and
-// offset on every engine, so that a test knows each whole answer.
+// TokenText returns the text of the token at an offset of a response. It is the
+// same for the same prompt and offset on every engine, so that a test can compute
+// each complete response.
 func TokenText(prompt string, offset int) string {
 	h := xxhash.Sum64String(prompt[max(0, len(prompt)-64):]) + uint64(offset)*0x9e3779b97f4a7c15
 	return " " + strconv.FormatUint(h>>52, 36)
 }
 
-// Answer is the first n tokens of the answer to a prompt.
+// Answer returns the first n tokens of the response to a prompt.
 func Answer(prompt string, n int) string {
 	var b strings.Builder
 	for i := range n {
--- a/pkg/fake/kv.go
+++ b/pkg/fake/kv.go
@@ -1,5 +1,5 @@
-// Package fake holds small stand-ins for the platform and for runners. They
-// keep their own records, which tests compare with what hopwell says it did.
+// Package fake provides in-memory fakes of the platform and of runners. They
+// keep their own records, which tests compare with what hopwell reports.
 package fake
 
 import (
@@ -11,12 +11,12 @@
 	"github.com/hopwell/hopwell/pkg/platform"
 )
 
-// errOutage is the cause inside the errors of a service that is down.
+// errOutage is the cause wrapped in the errors of a service that is down.
 var errOutage = errors.New("outage")
 
-// KV is a key-value service in memory.
+// KV is an in-memory key-value service.
 type KV struct {
-	// Delay is added to each call.
+	// Delay is added to each Get and Swap.
 	Delay time.Duration
 
 	mu      sync.Mutex
@@ -41,21 +41,23 @@
 	k.wake()
 }
 
-// LoseAnswers makes the next n successful writes fail after their effect.
+// LoseAnswers makes the next n successful writes return an error although they
+// took effect.
 func (k *KV) LoseAnswers(n int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.lose = n
 }
 
-// Calls returns how many reads and writes were asked so far.
+// Calls returns the number of reads and writes so far, including those that
+// failed in an outage.
 func (k *KV) Calls() (reads, writes int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.reads, k.writes
 }
 
-// wake ends the waits of all watches. The caller holds the lock.
+// wake makes all waiting watches check their value again. The caller holds the lock.
 func (k *KV) wake() {
 	close(k.changed)
 	k.changed = make(chan struct{})
@@ -110,7 +112,7 @@
 	return next.Version, nil
 }
 
-// expire drops a value whose lease ran out, unless it was written again.
+// expire deletes a value whose TTL has passed, unless it was written again.
 func (k *KV) expire(key string, version uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -146,7 +148,7 @@
 	}
 }
 
-// sleep waits for d or for the context's end.
+// sleep waits until d has passed or the context ends.
 func sleep(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
--- a/pkg/fake/list.go
+++ b/pkg/fake/list.go
@@ -8,7 +8,7 @@
 	"github.com/hopwell/hopwell/pkg/platform"
 )
 
-// List is an instance list whose answers lag behind.
+// List is an in-memory instance list that may return outdated contents.
 type List struct {
 	mu        sync.Mutex
 	lag       time.Duration
@@ -18,7 +18,7 @@
 	empty     bool
 }
 
-// listVersion is the whole list as it was from a time on.
+// listVersion is the whole list as of a time.
 type listVersion struct {
 	at        time.Time
 	instances []platform.Instance
@@ -65,21 +65,22 @@
 	l.down = down
 }
 
-// SetLag sets the age of what the list shows.
+// SetLag sets the age of the list that Instances returns.
 func (l *List) SetLag(lag time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lag = lag
 }
 
-// SetEmpty makes the list come back empty, as a failing platform may.
+// SetEmpty makes Instances return an empty list without an error, as a failing
+// platform may.
 func (l *List) SetEmpty(empty bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.empty = empty
 }
 
-// record keeps the present list as a version. The caller holds the lock.
+// record stores the current list as a version. The caller holds the lock.
 func (l *List) record() {
 	v := listVersion{at: time.Now()}
 	for _, in := range l.instances {
--- a/pkg/fake/platform_http.go
+++ b/pkg/fake/platform_http.go
@@ -45,8 +45,8 @@
 	return mux
 }
 
-// writeTagged answers with the list, or that it is still the one that the caller
-// has.
+// writeTagged sends the list with its ETag, or 304 Not Modified if the client
+// has the same list.
 func writeTagged(w http.ResponseWriter, r *http.Request, all []platform.Instance) {
 	slices.SortFunc(all, func(a, b platform.Instance) int { return strings.Compare(a.Name, b.Name) })
 	data, err := json.Marshal(all)
--- a/pkg/fake/service.go
+++ b/pkg/fake/service.go
@@ -10,9 +10,10 @@
 	"time"
 )
 
-// Service is a plain service that counts how often each call ran.
+// Service is a plain service that counts the runs of each call, by the call's
+// body.
 type Service struct {
-	// Delay is the time that a call takes.
+	// Delay is the duration of a call.
 	Delay time.Duration
 
 	mu   sync.Mutex
@@ -24,14 +25,14 @@
 	return &Service{Delay: delay, runs: map[string]int{}}
 }
 
-// Runs returns how often the call with that body ran.
+// Runs returns the number of runs of the call with that body.
 func (s *Service) Runs(body string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runs[body]
 }
 
-// ServeHTTP answers a call with its own path and body.
+// ServeHTTP responds to a call with its method, path and body.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
--- a/pkg/fake/weights.go
+++ b/pkg/fake/weights.go
@@ -9,7 +9,7 @@
 	"github.com/hopwell/hopwell/pkg/platform"
 )
 
-// Weights is a rate-limited weight store.
+// Weights is a fake weight store with a rate limit.
 type Weights struct {
 	limit *rate.Limiter
 
@@ -17,12 +17,13 @@
 	fetches int
 }
 
-// NewWeights returns a store that allows perSecond fetches a second.
+// NewWeights returns a store that allows perSecond fetches per second, without
+// bursts.
 func NewWeights(perSecond float64) *Weights {
 	return &Weights{limit: rate.NewLimiter(rate.Limit(perSecond), 1)}
 }
 
-// Fetches returns how many fetches were allowed.
+// Fetches returns the number of fetches that were allowed.
 func (w *Weights) Fetches() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
