--- a/pkg/fake/cache.go
+++ b/pkg/fake/cache.go
@@ -5,14 +5,14 @@
 // blockCache is a prefix cache of at most limit blocks. It evicts the least
 // recently used blocks and reports every added or evicted block.
 type blockCache struct {
-	limit  int
-	note   func(block uint64, evicted bool)
-	order  *list.List
-	blocks map[uint64]*list.Element
+	limit   int
+	onEvent func(block uint64, evicted bool)
+	order   *list.List
+	blocks  map[uint64]*list.Element
 }
 
 func newBlockCache(limit int, note func(uint64, bool)) *blockCache {
-	return &blockCache{limit: limit, note: note, order: list.New(), blocks: map[uint64]*list.Element{}}
+	return &blockCache{limit: limit, onEvent: note, order: list.New(), blocks: map[uint64]*list.Element{}}
 }
 
 // match returns the number of leading blocks that are cached, and marks them as
@@ -36,12 +36,12 @@
 			continue
 		}
 		c.blocks[b] = c.order.PushFront(b)
-		c.note(b, false)
+		c.onEvent(b, false)
 	}
 	for c.order.Len() > c.limit {
 		el := c.order.Back()
 		c.order.Remove(el)
 		delete(c.blocks, el.Value.(uint64))
-		c.note(el.Value.(uint64), true)
+		c.onEvent(el.Value.(uint64), true)
 	}
 }
--- a/pkg/fake/engine.go
+++ b/pkg/fake/engine.go
@@ -81,29 +81,29 @@
 	spec    Spec
 	fabric  *Fabric
 
-	mu       sync.Mutex
-	jobs     []*prefillJob
-	running  []*decodeJob
-	exports  map[string]*export
-	kvUsed   int64
-	cache    *blockCache
-	reports  []loadReport
-	events   []cacheEvent
-	sequence uint64
-	fence    engine.Fence
-	assigned engine.Assignment
-	active   int
-	stalled  chan struct{}
-	dead     bool
-	wake     chan struct{}
-	stop     chan struct{}
-	stats    Stats
-	nextName int
-	began    map[string]time.Time
+	mu              sync.Mutex
+	jobs            []*prefillJob
+	running         []*decodeJob
+	exports         map[string]*export
+	kvUsed          int64
+	cache           *blockCache
+	reports         []loadReport
+	events          []cacheEvent
+	sequence        uint64
+	fence           engine.Fence
+	assigned        engine.Assignment
+	activeTransfers int
+	stalled         chan struct{}
+	dead            bool
+	wake            chan struct{}
+	stop            chan struct{}
+	stats           Stats
+	lastHandle      int
+	began           map[string]time.Time
 }
 
 type prefillJob struct {
-	order  engine.Prefill
+	call   engine.Prefill
 	left   int
 	done   int
 	cached int
@@ -115,7 +115,7 @@
 }
 
 type decodeJob struct {
-	order  engine.Decode
+	call   engine.Decode
 	bytes  int64
 	next   int
 	tokens chan engine.Token
@@ -124,10 +124,10 @@
 
 type export struct {
 	engine.Export
-	id       string
-	expires  time.Time
-	imported bool
-	paid     int64
+	id        string
+	expires   time.Time
+	imported  bool
+	prefilled int64
 }
 
 type loadReport struct {
@@ -152,7 +152,7 @@
 		wake:    make(chan struct{}, 1),
 		stop:    make(chan struct{}),
 	}
-	e.cache = newBlockCache(spec.CacheBlocks, e.note)
+	e.cache = newBlockCache(spec.CacheBlocks, e.recordCacheEvent)
 	fabric.add(e)
 	go e.run()
 	return e
@@ -169,28 +169,28 @@
 	close(e.stop)
 	for _, j := range e.jobs {
 		e.stats.Wasted += int64(j.done)
-		j.finished <- e.lost()
+		j.finished <- e.closedError()
 	}
 	for _, d := range e.running {
-		d.ended <- e.lost()
+		d.ended <- e.closedError()
 	}
 	for _, x := range e.exports {
-		e.waste(x)
+		e.countWasted(x)
 	}
 	e.jobs, e.running, e.kvUsed = nil, nil, 0
 	e.exports = map[string]*export{}
 }
 
-// lost returns the error for work on an engine that was closed.
-func (e *Engine) lost() error {
+// closedError returns the error for work on an engine that was closed.
+func (e *Engine) closedError() error {
 	return &engine.ErrUnreachable{Address: e.address, Sent: true, Err: errOutage}
 }
 
-// waste adds the prefilled tokens of an export to the wasted ones, unless the
+// countWasted adds the prefilled tokens of an export to Stats.Wasted unless the
 // export was imported. The caller holds the lock.
-func (e *Engine) waste(x *export) {
+func (e *Engine) countWasted(x *export) {
 	if !x.imported {
-		e.stats.Wasted += x.paid
+		e.stats.Wasted += x.prefilled
 	}
 }
 
--- a/pkg/fake/engine_calls.go
+++ b/pkg/fake/engine_calls.go
@@ -13,29 +13,29 @@
 func (e *Engine) Prefill(ctx context.Context, p engine.Prefill) (engine.Export, error) {
 	salt := prefix.Salt(p.Model, p.Version, p.Adapter)
 	bytes := int64(p.Tokens) * e.spec.KVPerToken
-	j, err := e.queue(p, prefix.Blocks(nil, salt, p.Prompt), bytes, false)
+	j, err := e.queuePrefill(p, prefix.Blocks(nil, salt, p.Prompt), bytes, false)
 	if err != nil {
 		return engine.Export{}, err
 	}
-	if err := e.await(ctx, j); err != nil {
+	if err := e.awaitPrefill(ctx, j); err != nil {
 		return engine.Export{}, err
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.dead {
-		return engine.Export{}, e.lost()
+		return engine.Export{}, e.closedError()
 	}
-	x := e.hold(p.ID, bytes, j)
+	x := e.addExport(p.ID, bytes, j)
 	return x.Export, nil
 }
 
-// queue appends a prefill to the engine's queue. It reserves memory except for a
-// local prefill, whose decode has reserved it.
-func (e *Engine) queue(p engine.Prefill, blocks []uint64, bytes int64, local bool) (*prefillJob, error) {
+// queuePrefill appends a prefill to the engine's queue. It reserves memory except
+// for a local prefill, whose decode has reserved it.
+func (e *Engine) queuePrefill(p engine.Prefill, blocks []uint64, bytes int64, local bool) (*prefillJob, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.dead {
-		return nil, e.lost()
+		return nil, e.closedError()
 	}
 	if !local {
 		if e.kvUsed+bytes > e.spec.KVTotal {
@@ -45,16 +45,16 @@
 	}
 	e.beginWork(p.ID)
 	cached := min(e.cache.match(blocks)*prefix.BlockTokens, p.Tokens-1)
-	j := &prefillJob{order: p, left: p.Tokens - cached, cached: cached, blocks: blocks, bytes: bytes, local: local, finished: make(chan error, 1)}
+	j := &prefillJob{call: p, left: p.Tokens - cached, cached: cached, blocks: blocks, bytes: bytes, local: local, finished: make(chan error, 1)}
 	e.stats.Cached += int64(cached)
 	e.jobs = append(e.jobs, j)
-	e.kick()
+	e.signalWork()
 	return j, nil
 }
 
-// await waits for the end of a prefill. It drops a prefill that failed or whose
-// context ended.
-func (e *Engine) await(ctx context.Context, j *prefillJob) error {
+// awaitPrefill waits for the end of a prefill. It drops a prefill that failed or
+// whose context ended.
+func (e *Engine) awaitPrefill(ctx context.Context, j *prefillJob) error {
 	var err error
 	select {
 	case err = <-j.finished:
@@ -67,7 +67,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.dead {
-		return e.lost()
+		return e.closedError()
 	}
 	e.dropJob(j)
 	e.stats.Wasted += int64(j.done)
@@ -77,22 +77,22 @@
 	return err
 }
 
-// hold keeps a KV cache for import until ExportTTL has passed. The caller holds
+// addExport keeps a KV cache for import until ExportTTL has passed. The caller holds
 // the lock.
-func (e *Engine) hold(id string, bytes int64, j *prefillJob) *export {
-	e.nextName++
+func (e *Engine) addExport(id string, bytes int64, j *prefillJob) *export {
+	e.lastHandle++
 	x := &export{id: id, expires: time.Now().Add(e.spec.ExportTTL)}
-	x.Export = engine.Export{Handle: fmt.Sprintf("%s/%d", e.address, e.nextName), Address: e.address, Bytes: bytes}
+	x.Export = engine.Export{Handle: fmt.Sprintf("%s/%d", e.address, e.lastHandle), Address: e.address, Bytes: bytes}
 	if j != nil {
-		x.Tokens, x.Cached, x.paid = j.order.Tokens, j.cached, int64(j.done)
+		x.Tokens, x.Cached, x.prefilled = j.call.Tokens, j.cached, int64(j.done)
 	}
 	e.exports[x.Handle] = x
-	time.AfterFunc(e.spec.ExportTTL, func() { e.drop(x.Handle) })
+	time.AfterFunc(e.spec.ExportTTL, func() { e.freeExport(x.Handle) })
 	return x
 }
 
-// drop frees an export.
-func (e *Engine) drop(handle string) {
+// freeExport removes an export, if it still exists, and frees its memory.
+func (e *Engine) freeExport(handle string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	x, ok := e.exports[handle]
@@ -101,16 +101,16 @@
 	}
 	delete(e.exports, handle)
 	e.kvUsed -= x.Bytes
-	e.waste(x)
+	e.countWasted(x)
 }
 
 // Decode implements engine.Engine.
 func (e *Engine) Decode(ctx context.Context, d engine.Decode, imported func(), token func(engine.Token) error) error {
-	job, err := e.admit(d)
+	job, err := e.admitDecode(d)
 	if err != nil {
 		return err
 	}
-	if err := e.load(ctx, job); err != nil {
+	if err := e.loadKV(ctx, job); err != nil {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		if !e.dead {
@@ -122,16 +122,16 @@
 	e.mu.Lock()
 	if e.dead {
 		e.mu.Unlock()
-		return e.lost()
+		return e.closedError()
 	}
 	e.running = append(e.running, job)
 	e.mu.Unlock()
-	e.kick()
-	return e.relay(ctx, job, token)
+	e.signalWork()
+	return e.streamTokens(ctx, job, token)
 }
 
-// admit reserves memory for the prompt and the longest possible response.
-func (e *Engine) admit(d engine.Decode) (*decodeJob, error) {
+// admitDecode reserves memory for the prompt and the longest possible response.
+func (e *Engine) admitDecode(d engine.Decode) (*decodeJob, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.dead {
@@ -146,29 +146,29 @@
 	}
 	e.beginWork(d.ID)
 	e.kvUsed += bytes
-	job := &decodeJob{order: d, bytes: bytes, next: d.Offset, ended: make(chan error, 1)}
+	job := &decodeJob{call: d, bytes: bytes, next: d.Offset, ended: make(chan error, 1)}
 	job.tokens = make(chan engine.Token, d.MaxTokens-d.Offset+1)
 	return job, nil
 }
 
-// load imports the KV cache of a decode, or computes it if the decode has no
+// loadKV imports the KV cache of a decode, or computes it if the decode has no
 // source.
-func (e *Engine) load(ctx context.Context, job *decodeJob) error {
-	if job.order.Source != nil {
-		return e.fabric.transfer(ctx, job.order.Source)
+func (e *Engine) loadKV(ctx context.Context, job *decodeJob) error {
+	if job.call.Source != nil {
+		return e.fabric.transfer(ctx, job.call.Source)
 	}
-	d := job.order
+	d := job.call
 	p := engine.Prefill{ID: d.ID, Tokens: d.PromptTokens + d.Offset, Priority: d.Priority}
 	salt := prefix.Salt(d.Model, d.Version, d.Adapter)
-	j, err := e.queue(p, prefix.Blocks(nil, salt, d.Prompt+d.Generated), 0, true)
+	j, err := e.queuePrefill(p, prefix.Blocks(nil, salt, d.Prompt+d.Generated), 0, true)
 	if err != nil {
 		return err
 	}
-	return e.await(ctx, j)
+	return e.awaitPrefill(ctx, j)
 }
 
-// relay passes the tokens of a stream to token until the final one.
-func (e *Engine) relay(ctx context.Context, job *decodeJob, token func(engine.Token) error) error {
+// streamTokens passes the tokens of a stream to token until the final one.
+func (e *Engine) streamTokens(ctx context.Context, job *decodeJob, token func(engine.Token) error) error {
 	for {
 		select {
 		case t := <-job.tokens:
@@ -199,15 +199,15 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, d := range e.running {
-		if d.order.ID != id {
+		if d.call.ID != id {
 			continue
 		}
 		e.dropDecode(d)
-		bytes := int64(d.order.PromptTokens+d.next) * e.spec.KVPerToken
+		bytes := int64(d.call.PromptTokens+d.next) * e.spec.KVPerToken
 		e.kvUsed += bytes
-		x := e.hold(id, bytes, nil)
-		x.Tokens, x.Offset = d.order.PromptTokens+d.next, d.next
-		x.Generated = Answer(d.order.Prompt, d.next)
+		x := e.addExport(id, bytes, nil)
+		x.Tokens, x.Offset = d.call.PromptTokens+d.next, d.next
+		x.Generated = Answer(d.call.Prompt, d.next)
 		d.ended <- &engine.ErrEngine{Code: engine.CodeMoved}
 		return x.Export, nil
 	}
@@ -216,7 +216,7 @@
 
 // Release implements engine.Engine.
 func (e *Engine) Release(_ context.Context, handle string) error {
-	e.drop(handle)
+	e.freeExport(handle)
 	return nil
 }
 
@@ -225,12 +225,12 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, d := range append([]*decodeJob(nil), e.running...) {
-		if d.order.ID == id && e.dropDecode(d) {
+		if d.call.ID == id && e.dropDecode(d) {
 			d.ended <- &engine.ErrEngine{Code: engine.CodeGone, Detail: "cancelled"}
 		}
 	}
 	for _, j := range append([]*prefillJob(nil), e.jobs...) {
-		if j.order.ID == id {
+		if j.call.ID == id {
 			j.finished <- &engine.ErrEngine{Code: engine.CodeGone, Detail: "cancelled"}
 		}
 	}
@@ -238,7 +238,7 @@
 		if x.id == id {
 			delete(e.exports, h)
 			e.kvUsed -= x.Bytes
-			e.waste(x)
+			e.countWasted(x)
 		}
 	}
 	return nil
@@ -253,19 +253,19 @@
 	}
 	var all []engine.Holding
 	for _, j := range e.jobs {
-		all = append(all, engine.Holding{ID: j.order.ID, What: "prefill", Bytes: j.bytes})
+		all = append(all, engine.Holding{ID: j.call.ID, What: "prefill", Bytes: j.bytes})
 	}
 	for _, x := range e.exports {
 		all = append(all, engine.Holding{ID: x.id, What: "export", Bytes: x.Bytes})
 	}
 	for _, d := range e.running {
-		all = append(all, engine.Holding{ID: d.order.ID, What: "decode", Bytes: d.bytes})
+		all = append(all, engine.Holding{ID: d.call.ID, What: "decode", Bytes: d.bytes})
 	}
 	return all, nil
 }
 
-// loadNow returns the load without the report lag. The caller holds the lock.
-func (e *Engine) loadNow() engine.Load {
+// currentLoad returns the load without the report lag. The caller holds the lock.
+func (e *Engine) currentLoad() engine.Load {
 	l := engine.Load{
 		Running: len(e.running), BatchLimit: e.spec.BatchLimit,
 		KVUsed: e.kvUsed, KVTotal: e.spec.KVTotal, KVPerToken: e.spec.KVPerToken,
@@ -285,7 +285,7 @@
 		return engine.Load{}, &engine.ErrUnreachable{Address: e.address, Err: errOutage}
 	}
 	old := time.Now().Add(-e.spec.ReportLag)
-	l := e.loadNow()
+	l := e.currentLoad()
 	for i := len(e.reports) - 1; i >= 0; i-- {
 		if e.reports[i].at.Before(old) {
 			r := e.reports[i].load
@@ -303,9 +303,9 @@
 	return e.kvUsed
 }
 
-// note records a cache event, or loses it if its sequence number is a multiple
-// of EventGap. The caller holds the lock.
-func (e *Engine) note(block uint64, evicted bool) {
+// recordCacheEvent records a cache event, or loses it if its sequence number is a
+// multiple of EventGap. The caller holds the lock.
+func (e *Engine) recordCacheEvent(block uint64, evicted bool) {
 	e.sequence++
 	if e.spec.EventGap > 0 && e.sequence%e.spec.EventGap == 0 {
 		return
--- a/pkg/fake/engine_steps.go
+++ b/pkg/fake/engine_steps.go
@@ -9,7 +9,7 @@
 // run computes prefill chunks and decode steps until Close.
 func (e *Engine) run() {
 	for {
-		d := e.plan()
+		d := e.stepTime()
 		if d == 0 {
 			select {
 			case <-e.wake:
@@ -27,12 +27,12 @@
 	}
 }
 
-// plan returns the duration of the next step, or 0 if there is no work.
-func (e *Engine) plan() time.Duration {
+// stepTime returns the duration of the next step, or 0 if there is no work.
+func (e *Engine) stepTime() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var d time.Duration
-	if j := e.first(); j != nil {
+	if j := e.mostUrgent(); j != nil {
 		d += e.chunkTime(j)
 	}
 	if n := len(e.running); n > 0 {
@@ -41,12 +41,12 @@
 	return d
 }
 
-// first returns the prefill with the highest priority, the oldest among equals,
-// or nil. The caller holds the lock.
-func (e *Engine) first() *prefillJob {
+// mostUrgent returns the prefill with the highest priority, the oldest among
+// equals, or nil. The caller holds the lock.
+func (e *Engine) mostUrgent() *prefillJob {
 	var best *prefillJob
 	for _, j := range e.jobs {
-		if best == nil || j.order.Priority > best.order.Priority {
+		if best == nil || j.call.Priority > best.call.Priority {
 			best = j
 		}
 	}
@@ -66,7 +66,7 @@
 	if e.dead {
 		return
 	}
-	if j := e.first(); j != nil {
+	if j := e.mostUrgent(); j != nil {
 		n := min(j.left, chunkTokens)
 		j.left -= n
 		j.done += n
@@ -80,31 +80,32 @@
 	for _, d := range append([]*decodeJob(nil), e.running...) {
 		e.emit(d)
 	}
-	e.reports = append(e.reports, loadReport{time.Now(), e.loadNow()})
-	e.trim()
+	e.reports = append(e.reports, loadReport{time.Now(), e.currentLoad()})
+	e.trimReports()
 }
 
 // emit generates the next token of a stream. The caller holds the lock.
 func (e *Engine) emit(d *decodeJob) {
-	t := engine.Token{Offset: d.next, Text: TokenText(d.order.Prompt, d.next)}
+	t := engine.Token{Offset: d.next, Text: TokenText(d.call.Prompt, d.next)}
 	d.next++
 	e.stats.Decoded++
-	if d.next >= d.order.MaxTokens {
+	if d.next >= d.call.MaxTokens {
 		t.Final, t.Reason = true, "length"
 		e.dropDecode(d)
 	}
 	d.tokens <- t
 }
 
-// trim drops load reports that are older than the one that Load returns. The caller holds the lock.
-func (e *Engine) trim() {
+// trimReports drops load reports that are older than the one that Load returns.
+// The caller holds the lock.
+func (e *Engine) trimReports() {
 	old := time.Now().Add(-e.spec.ReportLag)
 	for len(e.reports) > 1 && e.reports[1].at.Before(old) {
 		e.reports = e.reports[1:]
 	}
 }
 
-func (e *Engine) kick() {
+func (e *Engine) signalWork() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
--- a/pkg/fake/fabric.go
+++ b/pkg/fake/fabric.go
@@ -12,8 +12,8 @@
 	"github.com/hopwell/hopwell/pkg/engine"
 )
 
-// transferSlices is the number of parts of a transfer. The transfer's share of
-// the link is computed anew for each part.
+// transferSlices is the number of slices of a transfer. The transfer's share of
+// the link is computed anew for each slice.
 const transferSlices = 8
 
 // Fabric carries KV cache transfers between engines.
@@ -45,39 +45,40 @@
 	if src == nil {
 		return &engine.ErrEngine{Code: engine.CodeGone, Detail: x.Handle}
 	}
-	if err := src.begin(x.Handle); err != nil {
+	if err := src.beginTransfer(x.Handle); err != nil {
 		return err
 	}
-	defer src.end()
+	defer src.endTransfer()
 	for range transferSlices {
-		if err := src.slice(ctx, x.Bytes/transferSlices); err != nil {
+		if err := src.transferSlice(ctx, x.Bytes/transferSlices); err != nil {
 			return err
 		}
 	}
-	return src.imported(x.Handle)
+	return src.markImported(x.Handle)
 }
 
-// begin counts a new transfer out of e. It fails if the export no longer exists.
-func (e *Engine) begin(handle string) error {
+// beginTransfer counts a new transfer out of e. It fails if the export no longer
+// exists.
+func (e *Engine) beginTransfer(handle string) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if _, ok := e.exports[handle]; !ok || e.dead {
 		return &engine.ErrEngine{Code: engine.CodeGone, Detail: handle}
 	}
-	e.active++
+	e.activeTransfers++
 	return nil
 }
 
-func (e *Engine) end() {
+func (e *Engine) endTransfer() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.active--
+	e.activeTransfers--
 }
 
-// slice waits as long as bytes take at one transfer's share of the link.
-func (e *Engine) slice(ctx context.Context, bytes int64) error {
+// transferSlice waits as long as bytes take at one transfer's share of the link.
+func (e *Engine) transferSlice(ctx context.Context, bytes int64) error {
 	e.mu.Lock()
-	d := time.Duration(float64(bytes) * float64(e.active) / e.spec.LinkRate * float64(time.Second))
+	d := time.Duration(float64(bytes) * float64(e.activeTransfers) / e.spec.LinkRate * float64(time.Second))
 	stalled := e.stalled
 	e.mu.Unlock()
 	if stalled != nil {
@@ -91,8 +92,9 @@
 	return sleep(ctx, d)
 }
 
-// imported marks an export as imported.
-func (e *Engine) imported(handle string) error {
+// markImported records that an export was imported. Its prefill does not count as
+// wasted then.
+func (e *Engine) markImported(handle string) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	x, ok := e.exports[handle]
--- a/pkg/fake/kv.go
+++ b/pkg/fake/kv.go
@@ -19,13 +19,13 @@
 	// Delay is added to each Get and Swap.
 	Delay time.Duration
 
-	mu      sync.Mutex
-	values  map[string]platform.Value
-	changed chan struct{}
-	down    bool
-	lose    int
-	reads   int
-	writes  int
+	mu            sync.Mutex
+	values        map[string]platform.Value
+	changed       chan struct{}
+	down          bool
+	lostResponses int
+	reads         int
+	writes        int
 }
 
 // NewKV returns an empty service.
@@ -38,7 +38,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.down = down
-	k.wake()
+	k.wakeWatches()
 }
 
 // LoseAnswers makes the next n successful writes return an error although they
@@ -46,7 +46,7 @@
 func (k *KV) LoseAnswers(n int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.lose = n
+	k.lostResponses = n
 }
 
 // Calls returns the number of reads and writes so far, including those that
@@ -57,8 +57,9 @@
 	return k.reads, k.writes
 }
 
-// wake makes all waiting watches check their value again. The caller holds the lock.
-func (k *KV) wake() {
+// wakeWatches makes all waiting watches check their value again. The caller holds
+// the lock.
+func (k *KV) wakeWatches() {
 	close(k.changed)
 	k.changed = make(chan struct{})
 }
@@ -104,9 +105,9 @@
 	if ttl > 0 {
 		time.AfterFunc(ttl, func() { k.expire(key, next.Version) })
 	}
-	k.wake()
-	if k.lose > 0 {
-		k.lose--
+	k.wakeWatches()
+	if k.lostResponses > 0 {
+		k.lostResponses--
 		return 0, unavailable("swap")
 	}
 	return next.Version, nil
--- a/pkg/fake/list.go
+++ b/pkg/fake/list.go
@@ -99,9 +99,9 @@
 	if l.empty {
 		return nil, nil
 	}
-	seen := time.Now().Add(-l.lag)
+	asOf := time.Now().Add(-l.lag)
 	for i := len(l.versions) - 1; i >= 0; i-- {
-		if !l.versions[i].at.After(seen) {
+		if !l.versions[i].at.After(asOf) {
 			return append([]platform.Instance(nil), l.versions[i].instances...), nil
 		}
 	}
--- a/pkg/fake/platform_http.go
+++ b/pkg/fake/platform_http.go
@@ -36,18 +36,18 @@
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
 			return
 		}
-		writeTagged(w, r, all)
+		writeList(w, r, all)
 	})
 	mux.HandleFunc("POST /weights", func(w http.ResponseWriter, r *http.Request) {
 		q := r.URL.Query()
-		writeThrottled(w, weights.Fetch(r.Context(), q.Get("model"), q.Get("version"), q.Get("adapter")))
+		writeFetchResult(w, weights.Fetch(r.Context(), q.Get("model"), q.Get("version"), q.Get("adapter")))
 	})
 	return mux
 }
 
-// writeTagged sends the list with its ETag, or 304 Not Modified if the client
+// writeList sends the list with its ETag, or 304 Not Modified if the client
 // has the same list.
-func writeTagged(w http.ResponseWriter, r *http.Request, all []platform.Instance) {
+func writeList(w http.ResponseWriter, r *http.Request, all []platform.Instance) {
 	slices.SortFunc(all, func(a, b platform.Instance) int { return strings.Compare(a.Name, b.Name) })
 	data, err := json.Marshal(all)
 	if err != nil {
@@ -90,10 +90,10 @@
 	writeValue(w, platform.Value{Version: next}, err)
 }
 
-func writeThrottled(w http.ResponseWriter, err error) {
-	var slow *platform.ErrThrottled
-	if errors.As(err, &slow) {
-		w.Header().Set("Retry-After", strconv.FormatFloat(slow.RetryAfter.Seconds(), 'f', 3, 64))
+func writeFetchResult(w http.ResponseWriter, err error) {
+	var throttled *platform.ErrThrottled
+	if errors.As(err, &throttled) {
+		w.Header().Set("Retry-After", strconv.FormatFloat(throttled.RetryAfter.Seconds(), 'f', 3, 64))
 		w.WriteHeader(http.StatusTooManyRequests)
 		return
 	}
--- a/pkg/fleettest/caller.go
+++ b/pkg/fleettest/caller.go
@@ -11,25 +11,28 @@
 	"github.com/hopwell/hopwell/pkg/platform"
 )
 
-// Call is one request as its caller saw it.
+// Call is one request as its client observed it.
 type Call struct {
 	ID      string
 	Gateway string
-	// Request or Service is nil.
+	// Exactly one of Request and Service is set.
 	Request *gateway.Request
 	Service *gateway.ServiceRequest
-	// Began and Ended frame the call; Left is when the caller went away, zero if
-	// it stayed.
+	// Began and Ended are the start and the end of the call. Left is the time when
+	// the client disconnected, zero if it did not.
 	Began, Ended, Left time.Time
-	// Result is what the gateway answered, unless the answer was Lost with it.
+	// Result is the result that the gateway returned. If Lost is set, the gateway
+	// had crashed and its client did not receive the result.
 	Result gateway.Result
 	Lost   bool
-	// Text is what came, Answers how many whole answers.
+	// Text is the text that the client received, Answers the number of complete
+	// responses.
 	Text    string
 	Answers int
 }
 
-// sink collects what the caller gets. A dead gateway delivers nothing.
+// sink collects the text that the client receives. A crashed gateway delivers
+// nothing.
 type sink struct {
 	text strings.Builder
 	dead func() bool
@@ -57,7 +60,7 @@
 	})
 }
 
-// Order sends a plain service's call to a gateway and waits for its end.
+// Order sends a request for a plain service to a gateway and waits for its end.
 func (f *Fleet) Order(ctx context.Context, p *Process, req *gateway.ServiceRequest) *Call {
 	return f.call(ctx, p, &Call{ID: req.ID, Service: req}, func(ctx context.Context, s *sink) gateway.Result {
 		return p.Gateway.Call(ctx, req, s)
@@ -83,7 +86,7 @@
 	return c
 }
 
-// NewOrder is an order confirmation, which must not be repeated.
+// NewOrder returns an order confirmation, which must not be repeated.
 func NewOrder(id, key string) *gateway.ServiceRequest {
 	return &gateway.ServiceRequest{
 		ID: id, Workspace: "counter", Kind: "order", Service: Service, Method: http.MethodPost,
@@ -91,7 +94,8 @@
 	}
 }
 
-// NewRequest is a generation whose prompt has so many tokens and is its own.
+// NewRequest returns a generation request whose prompt has about promptTokens
+// tokens, at 4 bytes a token, and is unique to its ID.
 func NewRequest(id string, promptTokens, maxTokens int) *gateway.Request {
 	unique := fmt.Sprintf(" the end of %s.", id)
 	return &gateway.Request{
@@ -100,7 +104,7 @@
 	}
 }
 
-// Gateway returns the i-th live gateway, going round.
+// Gateway returns the live gateway with index i modulo their number.
 func (f *Fleet) Gateway(i int) *Process {
 	live := f.Live(platform.RoleGateway)
 	return live[i%len(live)]
--- a/pkg/fleettest/chaos.go
+++ b/pkg/fleettest/chaos.go
@@ -12,10 +12,10 @@
 	"github.com/hopwell/hopwell/pkg/platform"
 )
 
-// Fault is one kind of fault.
+// Fault is a kind of injected fault.
 type Fault int
 
-// The faults that a plan mixes.
+// The faults that RandomPlan draws from.
 const (
 	CrashSidecar Fault = iota
 	CrashGateway
@@ -34,7 +34,7 @@
 	faultKinds
 )
 
-// String names a fault.
+// String returns the name of a fault.
 func (f Fault) String() string {
 	return [...]string{
 		"crash_sidecar", "crash_gateway", "freeze_sidecar", "freeze_gateway", "lose_runner", "stall_link",
@@ -42,15 +42,15 @@
 	}[f]
 }
 
-// Step is one fault at a time of a run, with a number that chooses its victim
-// and a length.
+// Step is one fault of a plan. At is its time since the start of the run and For
+// its duration; Pick selects its target among the candidates.
 type Step struct {
 	At, For time.Duration
 	Fault   Fault
 	Pick    int
 }
 
-// RandomPlan draws n faults within a run's length.
+// RandomPlan draws n faults that begin within a run's length.
 func RandomPlan(rng *rand.Rand, n int, length time.Duration) []Step {
 	var out []Step
 	for range n {
@@ -68,7 +68,8 @@
 type Chaos struct {
 	F      *Fleet
 	Record *Record
-	// Length is how long load is offered, Rate how many requests a second.
+	// Length is the time during which requests are sent, Rate the average number
+	// of requests per second.
 	Length time.Duration
 	Rate   float64
 
@@ -78,29 +79,30 @@
 	changes int
 }
 
-// Run offers load under the plan, heals all faults, waits until all is quiet,
-// and returns the violations.
+// Run sends requests while the plan's faults occur, heals the faults, waits for
+// the fleet to come to rest, and returns the violations.
 func (c *Chaos) Run(rng *rand.Rand, plan []Step) []Violation {
 	stop := make(chan struct{})
 	var watch sync.WaitGroup
 	watch.Go(func() { c.F.Watch(c.Record, stop) })
 	for _, s := range plan {
-		c.wg.Go(func() { c.carryOut(s) })
+		c.wg.Go(func() { c.injectFault(s) })
 	}
-	c.load(rng)
+	c.sendLoad(rng)
 	c.wg.Wait()
-	time.Sleep(quiet)
+	time.Sleep(quiescence)
 	close(stop)
 	watch.Wait()
 	return c.F.Judge(c.Record)
 }
 
-// quiet is the time after which nothing may be held or behind.
-const quiet = 12 * time.Second
+// quiescence is the time after the last request and fault after which no engine may
+// hold memory for a request and no process may have an old revision.
+const quiescence = 12 * time.Second
 
-// load offers requests: generations of several sizes and orders, some of which
-// are sent again with the same key.
-func (c *Chaos) load(rng *rand.Rand) {
+// sendLoad sends requests: generations of several sizes, and orders, some of which
+// repeat the key of another order.
+func (c *Chaos) sendLoad(rng *rand.Rand) {
 	n := int(c.Rate * c.Length.Seconds())
 	gap := time.Duration(float64(time.Second) / c.Rate)
 	for i := range n {
@@ -118,7 +120,7 @@
 	}
 }
 
-// context returns one that a cancel burst ends.
+// context returns a context that a cancel burst may cancel.
 func (c *Chaos) context() context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	c.mu.Lock()
@@ -127,33 +129,34 @@
 	return ctx
 }
 
-func (c *Chaos) add(call *Call) {
+func (c *Chaos) recordCall(call *Call) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.Record.Calls = append(c.Record.Calls, call)
 }
 
 func (c *Chaos) order(g *Process, id, key string) {
-	c.wg.Go(func() { c.add(c.F.Order(c.context(), g, NewOrder(id, key))) })
+	c.wg.Go(func() { c.recordCall(c.F.Order(c.context(), g, NewOrder(id, key))) })
 }
 
-// impatience is when an impatient caller goes away.
-const impatience = 700 * time.Millisecond
+// impatientTimeout is the time after which an impatient client disconnects.
+const impatientTimeout = 700 * time.Millisecond
 
 func (c *Chaos) generate(g *Process, req *gateway.Request, impatient bool) {
 	c.wg.Go(func() {
 		ctx := c.context()
 		if impatient {
 			var cancel context.CancelFunc
-			ctx, cancel = context.WithTimeout(ctx, impatience)
+			ctx, cancel = context.WithTimeout(ctx, impatientTimeout)
 			defer cancel()
 		}
-		c.add(c.F.Generate(ctx, g, req))
+		c.recordCall(c.F.Generate(ctx, g, req))
 	})
 }
 
-// carryOut brings one fault about and heals it again.
-func (c *Chaos) carryOut(s Step) {
+// injectFault waits for the time of a fault, injects it, and heals it if the fault
+// has a duration.
+func (c *Chaos) injectFault(s Step) {
 	time.Sleep(s.At)
 	f := c.F
 	switch s.Fault {
@@ -163,15 +166,15 @@
 		c.crash(f.Live(platform.RoleGateway), s, 2)
 	case FreezeSidecar:
 		r := pick(f.Live(platform.RoleSidecar), s.Pick)
-		c.cutOff(r.Entry.Name)
+		c.recordCutOff(r.Entry.Name)
 		c.freeze(r.Entry.Inner, s)
 	case FreezeGateway:
 		g := pick(f.Live(platform.RoleGateway), s.Pick)
-		c.cutOff(g.Entry.Name)
+		c.recordCutOff(g.Entry.Name)
 		c.freeze(g.Entry.Inner, s)
 	case CutWay:
 		g, r := pick(f.Live(platform.RoleGateway), s.Pick), pick(f.Live(platform.RoleSidecar), s.Pick/7)
-		c.cutOff(g.Entry.Name)
+		c.recordCutOff(g.Entry.Name)
 		c.freeze(g.Entry.Inner+">"+r.Entry.Inner, s)
 	case LoseRunner:
 		if live := f.Sidecars("decode"); len(live) > 2 {
@@ -196,22 +199,23 @@
 	case Relabel:
 		c.relabel(s)
 	case CancelBurst:
-		c.burst()
+		c.cancelHalf()
 	}
 }
 
 func pick(all []*Process, n int) *Process { return all[n%len(all)] }
 
-// cutOff records a process that others can't reach any more.
-func (c *Chaos) cutOff(name string) {
+// recordCutOff records that other processes cannot reach a process from now on.
+func (c *Chaos) recordCutOff(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.Record.CutOff[name] = time.Now()
 }
 
-// crash ends a process, as long as enough others live, and starts it again.
-func (c *Chaos) crash(live []*Process, s Step, least int) {
-	if len(live) < least+1 {
+// crash ends one of the live processes and starts it again after the duration of
+// the fault. It does nothing if fewer than least processes would stay alive.
+func (c *Chaos) crash(live []*Process, s Step, minLive int) {
+	if len(live) < minLive+1 {
 		return
 	}
 	p := pick(live, s.Pick)
@@ -222,8 +226,8 @@
 	}
 }
 
-func (c *Chaos) freeze(what string, s Step) {
-	thaw := c.F.Net.Freeze(what)
+func (c *Chaos) freeze(target string, s Step) {
+	thaw := c.F.Net.Freeze(target)
 	time.Sleep(s.For)
 	thaw()
 }
@@ -235,7 +239,8 @@
 	resume()
 }
 
-// reclaim lets an instance leave: it is listed as leaving and told by a notice.
+// reclaim makes an instance leave: the list shows it as leaving and its sidecar
+// receives a notice. It does nothing if the pool has fewer than 3 sidecars.
 func (c *Chaos) reclaim(s Step) {
 	live := c.F.Live(platform.RoleSidecar)
 	p := pick(live, s.Pick)
@@ -251,7 +256,7 @@
 	p.Sidecar.Leave(deadline, "notice")
 }
 
-// relabel makes a harmless change of the configuration.
+// relabel changes the configuration by a label that has no effect.
 func (c *Chaos) relabel(s Step) {
 	c.mu.Lock()
 	c.changes++
@@ -267,8 +272,8 @@
 	c.Record.Accepted[doc.Revision] = time.Now()
 }
 
-// burst makes half of all callers go away at once.
-func (c *Chaos) burst() {
+// cancelHalf cancels half of all requests at once.
+func (c *Chaos) cancelHalf() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i, cancel := range c.cancels {
--- a/pkg/fleettest/failures.go
+++ b/pkg/fleettest/failures.go
@@ -7,8 +7,8 @@
 	"github.com/hopwell/hopwell/pkg/platform"
 )
 
-// Crash ends a process as kill -9 does: nothing more comes from it, its
-// connections break, and its runner goes on with what it had.
+// Crash ends a process as kill -9 does: it sends nothing more, its connections
+// break, and its runner continues the work that it has.
 func (f *Fleet) Crash(name string) {
 	f.mu.Lock()
 	p := f.processes[name]
@@ -25,7 +25,7 @@
 	f.Net.Reset(name)
 }
 
-// Lose ends an instance with all on it: the process, its runner and its entry.
+// Lose removes an instance with its process, its runner and its list entry.
 func (f *Fleet) Lose(name string) {
 	f.Crash(name)
 	if e := f.Engines[name]; e != nil {
@@ -34,7 +34,7 @@
 	f.List.Remove(name)
 }
 
-// LoseDomain ends all instances of a failure domain.
+// LoseDomain removes all instances of a failure domain.
 func (f *Fleet) LoseDomain(domain string) {
 	for _, p := range f.Processes() {
 		if p.Entry.Domain == domain {
@@ -43,7 +43,7 @@
 	}
 }
 
-// Restart brings a crashed sidecar or gateway back under its address.
+// Restart starts a crashed sidecar or gateway again under the same address.
 func (f *Fleet) Restart(in platform.Instance) *Process {
 	if in.Role == platform.RoleGateway {
 		return f.StartGateway(in)
@@ -51,7 +51,7 @@
 	return f.StartSidecar(in)
 }
 
-// Close ends everything, so that the bubble can end.
+// Close stops all processes and engines, so that the synctest bubble can end.
 func (f *Fleet) Close() {
 	for _, p := range f.Processes() {
 		p.cancel()
@@ -66,8 +66,8 @@
 	}
 }
 
-// Drain carries out the planned stop of a process: it ends when no work is
-// left. A deadline other than zero is when its instance ends.
+// Drain performs the planned stop of a process, which ends when no work is left.
+// A non-zero deadline is the time when the process's instance ends.
 func (f *Fleet) Drain(name string, deadline time.Time) {
 	p := f.Process(name)
 	ctx := context.Background()
@@ -76,11 +76,11 @@
 	} else {
 		p.Gateway.Drain(ctx)
 	}
-	f.end(p)
+	f.removeDrained(p)
 }
 
-// end removes a process that has nothing left to do.
-func (f *Fleet) end(p *Process) {
+// removeDrained stops a drained process and removes its list entry.
+func (f *Fleet) removeDrained(p *Process) {
 	f.mu.Lock()
 	delete(f.processes, p.Entry.Name)
 	f.past = append(f.past, p)
--- a/pkg/fleettest/fleet.go
+++ b/pkg/fleettest/fleet.go
@@ -20,41 +20,43 @@
 	"github.com/hopwell/hopwell/pkg/wire/wirepb"
 )
 
-// Names of what the fleets of tests offer.
+// The names of the model, the plain service and the region of every test fleet.
 const (
 	Model   = "model"
 	Service = "orders"
 	Region  = "region"
 )
 
-// Spec sizes a fleet.
+// Spec describes a fleet.
 type Spec struct {
 	Gateways, Prefills, Decodes, Services int
-	// Domains are the failure domains, over which instances are dealt in turn.
+	// Domains are the failure domains. Instances are assigned to them round-robin.
 	Domains []string
-	// Delay is the one-way delay between domains.
+	// Delay is the one-way network delay between domains. Within a domain it is a
+	// tenth of that.
 	Delay time.Duration
 	// Prefill and Decode are the engines' speeds and sizes.
 	Prefill, Decode fake.Spec
-	// ServiceTime is what a plain service's call takes; ServiceSlots how many it
-	// takes at once.
+	// ServiceTime is the duration of a call of a plain service, ServiceSlots the
+	// number of calls that one service runs concurrently.
 	ServiceTime  time.Duration
 	ServiceSlots int
-	// Selectors is the first configuration; nil gives one selector for each role.
+	// Selectors is the first configuration; nil means DefaultSelectors.
 	Selectors []fleet.Selector
-	// Policy and Admission choose the decisions.
+	// Policy names the routing policy of gateways, Admission the admission policy
+	// of sidecars.
 	Policy, Admission string
-	// Seed decides all random choices.
+	// Seed seeds all random choices.
 	Seed uint64
 	// Tweak may change a sidecar's options, to break a mechanism on purpose.
 	Tweak func(*sidecar.Options)
-	// WrapKV may change the key-value service that processes see.
+	// WrapKV may wrap the key-value service that processes use.
 	WrapKV func(platform.KV) platform.KV
-	// MaxOpen bounds a gateway's open requests; 0 takes the default.
+	// MaxOpen limits the open requests of a gateway; 0 means the default.
 	MaxOpen int
 }
 
-// DefaultSpec is a small fleet.
+// DefaultSpec describes a small fleet.
 func DefaultSpec() Spec {
 	return Spec{
 		Gateways: 2, Prefills: 3, Decodes: 3, Services: 2,
@@ -90,12 +92,12 @@
 
 	mu        sync.Mutex
 	processes map[string]*Process
-	// past holds the processes that ended.
+	// past holds the processes that have ended.
 	past  []*Process
 	epoch uint64
 }
 
-// Start brings a fleet up. It must be called inside a bubble.
+// Start starts a fleet. It must be called inside a synctest bubble.
 func Start(spec Spec) *Fleet {
 	f := &Fleet{
 		Spec: spec, Net: NewNetwork(), KV: fake.NewKV(), List: fake.NewList(),
@@ -119,19 +121,21 @@
 		f.StartGateway(f.entry(fmt.Sprintf("gateway-%d", i+1), i, platform.RoleGateway, ""))
 	}
 	f.configure()
-	time.Sleep(settle)
+	time.Sleep(startupTime)
 	return f
 }
 
-// settle is the time in which a new fleet knows itself.
-const settle = 4 * time.Second
+// startupTime is the time in which the processes of a new fleet learn of one another
+// and of the first configuration.
+const startupTime = 4 * time.Second
 
 func (f *Fleet) addEngine(name string, i int, pool string, spec fake.Spec) {
 	f.Engines[name] = fake.NewEngine(name, spec, f.Fabric)
 	f.StartSidecar(f.entry(name, i, platform.RoleSidecar, pool))
 }
 
-// entry is a process's entry in the instance list; addresses are names.
+// entry returns a process's entry in the instance list. The process's name
+// serves as its addresses.
 func (f *Fleet) entry(name string, i int, role, pool string) platform.Instance {
 	in := platform.Instance{
 		Name: name, Role: role, Region: Region, Domain: f.Spec.Domains[i%len(f.Spec.Domains)],
@@ -143,7 +147,8 @@
 	return in
 }
 
-// delay is the network's delay by the failure domains of two processes.
+// delay returns the network delay between two processes, which depends on their
+// failure domains.
 func (f *Fleet) delay(from, to string) time.Duration {
 	a, b := f.Process(from), f.Process(to)
 	if a == nil || b == nil || a.Entry.Domain == b.Entry.Domain {
@@ -152,14 +157,14 @@
 	return f.Spec.Delay
 }
 
-// Process returns a live process by name, nil for none.
+// Process returns the live process with a name, or nil.
 func (f *Fleet) Process(name string) *Process {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.processes[name]
 }
 
-// Processes returns all processes, live and past, in the order of their names.
+// Processes returns all processes, live and ended, sorted by name.
 func (f *Fleet) Processes() []*Process {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -194,7 +199,7 @@
 	return node.New(node.Options{Self: in, Epoch: epoch, KV: kv, List: f.List, Dial: f.Net.Dialer(in.Inner), Seed: f.Spec.Seed*1000 + epoch})
 }
 
-// StartGateway starts a gateway and lists it.
+// StartGateway starts a gateway and adds it to the instance list.
 func (f *Fleet) StartGateway(in platform.Instance) *Process {
 	policy, err := route.New(f.Spec.Policy)
 	if err != nil {
@@ -212,7 +217,8 @@
 	return f.run(&Process{Entry: in, Node: n, Gateway: g}, g.Run, nil)
 }
 
-// StartSidecar starts a sidecar beside the runner of its name and lists it.
+// StartSidecar starts a sidecar for the runner with the same name and adds it to
+// the instance list.
 func (f *Fleet) StartSidecar(in platform.Instance) *Process {
 	n := f.newNode(in)
 	o := sidecar.Options{
@@ -232,7 +238,8 @@
 	return f.run(p, p.Sidecar.Run, p.Sidecar)
 }
 
-// run starts a process's role and its inner port.
+// run serves a process's inner port, adds the process to the instance list and
+// runs its role.
 func (f *Fleet) run(p *Process, role func(context.Context), runner wirepb.DRPCRunnerServer) *Process {
 	server, err := wire.NewServer(node.PeerServer{N: p.Node}, runner)
 	if err != nil {
@@ -252,7 +259,7 @@
 	return p
 }
 
-// configure makes the first configuration.
+// configure applies the first configuration.
 func (f *Fleet) configure() {
 	list := f.Spec.Selectors
 	if list == nil {
@@ -263,7 +270,8 @@
 	}
 }
 
-// DefaultSelectors give each pool its role for all kinds.
+// DefaultSelectors returns one selector per pool, which gives the pool its role
+// for requests of every kind.
 func DefaultSelectors() []fleet.Selector {
 	return []fleet.Selector{
 		{Name: "prefill", Kind: fleet.AnyKind, Role: fleet.RolePrefill, Model: Model, Match: "pool=prefill"},
@@ -272,7 +280,8 @@
 	}
 }
 
-// Change carries out an operator's edit at the first live gateway.
+// Change applies an operator's change through the first live gateway. A change
+// without a base is based on that gateway's revision.
 func (f *Fleet) Change(c *fleet.Change) (*fleet.Document, error) {
 	g := f.Live(platform.RoleGateway)[0]
 	if c.Base == 0 {
--- a/pkg/fleettest/gated.go
+++ b/pkg/fleettest/gated.go
@@ -7,16 +7,16 @@
 	"github.com/hopwell/hopwell/pkg/fake"
 )
 
-// gated is an engine as a sidecar reaches it. When the sidecar's process is
-// dead, nothing that its goroutines still do reaches the engine, and the engine
-// goes on with what it was doing: the worst that a crash can leave behind.
+// gated is an engine behind its sidecar's process. Once the process has crashed,
+// its remaining goroutines can no longer reach the engine, and the engine
+// continues its work: the worst state that a crash can leave behind.
 type gated struct {
 	*fake.Engine
 	dead func() bool
 }
 
-// detach derives a context for the engine that ends with the caller's unless
-// the process died first.
+// detach derives a context for the engine that is cancelled with ctx unless the
+// process crashed first.
 func (g *gated) detach(ctx context.Context) (context.Context, context.CancelFunc) {
 	inner, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	stop := context.AfterFunc(ctx, func() {
--- a/pkg/fleettest/judge.go
+++ b/pkg/fleettest/judge.go
@@ -12,55 +12,68 @@
 	"github.com/hopwell/hopwell/pkg/trace"
 )
 
-// Promise numbers the brief's eight promises in their order.
+// Promise is one of the eight guarantees that hopwell gives. They are numbered
+// from 1 in the order of its requirements.
 type Promise int
 
 // The promises.
 const (
+	// NoMemoryForGone: engines free the memory of a request soon after it
+	// ended or its client disconnected.
 	NoMemoryForGone Promise = iota + 1
+	// NothingTwice: a client receives at most one response.
 	NothingTwice
+	// WholeOwnAnswer: the text is that of the client's own prompt, without gaps or
+	// duplicates, and complete if the outcome is done.
 	WholeOwnAnswer
+	// NotRunIsTrue: a request reported as not run did not start on any runner.
 	NotRunIsTrue
+	// AtMostOnce: a request that must not be repeated runs at most once.
 	AtMostOnce
+	// LeavingGetsNothing: a leaving instance receives no new work.
 	LeavingGetsNothing
+	// StopCutsNothing: a planned stop breaks off no request.
 	StopCutsNothing
+	// ChangeInForce: an accepted change takes effect in time and is not undone by
+	// an older revision.
 	ChangeInForce
 )
 
-// Violation is a promise that was broken.
+// Violation is one observed breach of a promise.
 type Violation struct {
 	Promise Promise
 	Detail  string
 }
 
-// String is for failure messages.
+// String returns the violation as a test failure message.
 func (v Violation) String() string { return fmt.Sprintf("promise %d: %s", v.Promise, v.Detail) }
 
-// Bounds that the promises name.
+// Time limits of the promises.
 const (
-	goneBound    = time.Second
+	freeBound    = time.Second
 	leaveBound   = 3 * time.Second
 	inForceBound = 5 * time.Second
 )
 
-// Record is what a run must be judged by, besides the fleet's own records.
+// Record holds the observations of a run that Judge needs in addition to the
+// fleet's own records.
 type Record struct {
 	// Calls are all requests.
 	Calls []*Call
-	// Planned names the processes that were stopped as planned.
+	// Planned contains the names of the processes whose stop was planned.
 	Planned map[string]bool
-	// Left tells since when each instance is known to be leaving.
+	// Left maps each leaving instance to the time since which that is known.
 	Left map[string]time.Time
-	// Accepted tells when each revision was accepted.
+	// Accepted maps each revision to the time when it was accepted.
 	Accepted map[uint64]time.Time
 	// Held are samples of engine memory, from Watch.
 	Held []Sample
-	// CutOff names processes that a fault cut off, and since when: what runs
-	// through them has the bound of a dead gateway.
+	// CutOff maps each process that a fault cut off to the time of the fault. The
+	// time limit of a crashed gateway applies to its requests and engine memory.
 	CutOff map[string]time.Time
 }
 
-// Sample is a piece of engine memory that was seen held.
+// Sample is a piece of engine memory that was held at a time.
 type Sample struct {
 	At       time.Time
 	Instance string
@@ -72,8 +85,8 @@
 	return &Record{Planned: map[string]bool{}, Left: map[string]time.Time{}, Accepted: map[uint64]time.Time{}, CutOff: map[string]time.Time{}}
 }
 
-// requestOf returns the request ID in a work's name, which is ID/ATTEMPT/ROLE.
-func requestOf(work string) string {
+// requestID returns the request ID in a work ID of the form ID/ATTEMPT/ROLE.
+func requestID(work string) string {
 	id, _, _ := strings.Cut(work, "/")
 	return id
 }
@@ -90,21 +103,21 @@
 	return out
 }
 
-// judgeMemory checks the samples against the ends of the requests, and that
-// nothing is held now.
+// judgeMemory checks the samples against the ends of the requests, and that live
+// engines hold no memory now.
 func (f *Fleet) judgeMemory(r *Record) []Violation {
 	var out []Violation
 	freeBy := map[string]time.Time{}
 	for _, c := range r.Calls {
-		freeBy[c.ID] = f.freeBy(r, c)
+		freeBy[c.ID] = f.freeDeadline(r, c)
 	}
 	for _, s := range r.Held {
-		by, ok := freeBy[requestOf(s.Work)]
-		if cut, was := r.CutOff[s.Instance]; was {
-			by = later(by, cut.Add(gateway.DefaultLease+goneBound))
+		by, ok := freeBy[requestID(s.Work)]
+		if cut, isCutOff := r.CutOff[s.Instance]; isCutOff {
+			by = later(by, cut.Add(gateway.DefaultLease+freeBound))
 		}
-		if ok && s.At.After(by) && !f.diedBefore(s.Instance, s.At) {
-			out = append(out, Violation{NoMemoryForGone, fmt.Sprintf("%s holds %s %s too long", s.Instance, s.Work, s.At.Sub(by))})
+		if ok && s.At.After(by) && !f.crashedBefore(s.Instance, s.At) {
+			out = append(out, Violation{NoMemoryForGone, fmt.Sprintf("%s holds memory for %s %s past the time limit", s.Instance, s.Work, s.At.Sub(by))})
 		}
 	}
 	for name, e := range f.Engines {
@@ -115,19 +128,19 @@
 	return out
 }
 
-// freeBy is when no engine may hold memory for a call any more.
-func (f *Fleet) freeBy(r *Record, c *Call) time.Time {
-	at, bound := c.Ended, goneBound
+// freeDeadline returns the time after which no engine may hold memory for a call.
+func (f *Fleet) freeDeadline(r *Record, c *Call) time.Time {
+	at, bound := c.Ended, freeBound
 	if !c.Left.IsZero() {
 		at = c.Left
 	}
 	for _, p := range f.Processes() {
 		if p.Entry.Name == c.Gateway && p.crashed.Load() && p.Died.Before(c.Ended) {
-			at, bound = p.Died, gateway.DefaultLease+goneBound
+			at, bound = p.Died, gateway.DefaultLease+freeBound
 		}
 	}
 	if cut, ok := r.CutOff[c.Gateway]; ok {
-		at, bound = later(at, cut), gateway.DefaultLease+goneBound
+		at, bound = later(at, cut), gateway.DefaultLease+freeBound
 	}
 	return at.Add(bound)
 }
@@ -139,9 +152,9 @@
 	return b
 }
 
-// diedBefore reports whether the sidecar on an instance died before a time and
-// was not there again: then nobody can free what its engine holds.
-func (f *Fleet) diedBefore(instance string, at time.Time) bool {
+// crashedBefore reports whether a sidecar on an instance crashed before a time.
+// Without its sidecar nothing can free the memory that an engine holds.
+func (f *Fleet) crashedBefore(instance string, at time.Time) bool {
 	for _, p := range f.Processes() {
 		if p.Entry.Name == instance && p.crashed.Load() && p.Died.Before(at) {
 			return true
@@ -158,7 +171,7 @@
 	}
 	for _, c := range r.Calls {
 		if r.Planned[c.Gateway] && c.Lost {
-			out = append(out, Violation{StopCutsNothing, c.ID + " was lost with its gateway"})
+			out = append(out, Violation{StopCutsNothing, c.ID + " was lost because its gateway stopped"})
 		}
 		if c.Left.IsZero() && !c.Lost && c.Result.Outcome == request.Unknown {
 			out = append(out, Violation{StopCutsNothing, fmt.Sprintf("%s was cut off: %v", c.ID, c.Result.Err)})
@@ -167,16 +180,17 @@
 	return out
 }
 
-// judgeChanges checks that revisions only grow and come into force in time.
+// judgeChanges checks that the revisions of a process never decrease and that
+// accepted revisions take effect in time.
 func (f *Fleet) judgeChanges(r *Record) []Violation {
 	var out []Violation
 	for _, p := range f.Processes() {
 		var last uint64
-		var born time.Time
+		var startedAt time.Time
 		seen := map[uint64]time.Time{}
 		for _, e := range p.Node.Log.Events(trace.Filter{}) {
 			if e.Type == trace.ProcessStart {
-				born = e.Wall
+				startedAt = e.Wall
 			}
 			if e.Type != trace.Revision {
 				continue
@@ -190,14 +204,14 @@
 		if p.crashed.Load() {
 			continue
 		}
-		out = append(out, late(p, r, seen, last, born)...)
+		out = append(out, judgeRevisions(p, r, seen, last, startedAt)...)
 	}
 	return out
 }
 
-// late checks one live process's revisions against their acceptance, or against
-// the process's own start if that came later.
-func late(p *Process, r *Record, seen map[uint64]time.Time, newest uint64, born time.Time) []Violation {
+// judgeRevisions checks the revisions of one live process against the time of their
+// acceptance, or against the start of the process if that was later.
+func judgeRevisions(p *Process, r *Record, seen map[uint64]time.Time, newest uint64, startedAt time.Time) []Violation {
 	var out []Violation
 	for revision, at := range r.Accepted {
 		if newest < revision {
@@ -209,7 +223,7 @@
 		}
 		for n := revision; n <= newest; n++ {
 			if when, ok := seen[n]; ok {
-				if took := when.Sub(later(at, born)); took > inForceBound {
+				if took := when.Sub(later(at, startedAt)); took > inForceBound {
 					out = append(out, Violation{ChangeInForce, fmt.Sprintf("%s got revision %d after %s", p.Entry.Name, revision, took)})
 				}
 				break
@@ -219,7 +233,7 @@
 	return out
 }
 
-// Watch samples the engines' memory until stop is closed.
+// Watch samples the memory that engines hold, every 100 ms until stop is closed.
 func (f *Fleet) Watch(r *Record, stop <-chan struct{}) {
 	tick := time.NewTicker(100 * time.Millisecond)
 	defer tick.Stop()
@@ -242,7 +256,7 @@
 	}
 }
 
-// Sidecars names all sidecars of a pool.
+// Sidecars returns the names of the live sidecars of a pool.
 func (f *Fleet) Sidecars(pool string) []string {
 	var out []string
 	for _, p := range f.Live(platform.RoleSidecar) {
--- a/pkg/fleettest/judge_runs.go
+++ b/pkg/fleettest/judge_runs.go
@@ -10,29 +10,29 @@
 	"github.com/hopwell/hopwell/pkg/trace"
 )
 
-// judgeAnswers checks what each caller got.
+// judgeAnswers checks the response that each client received.
 func judgeAnswers(r *Record) []Violation {
 	var out []Violation
 	for _, c := range r.Calls {
 		if c.Answers > 1 {
-			out = append(out, Violation{NothingTwice, c.ID + " was answered twice"})
+			out = append(out, Violation{NothingTwice, c.ID + " received more than one response"})
 		}
 		if c.Request == nil {
 			continue
 		}
-		whole := fake.Answer(c.Request.Prompt, c.Request.MaxTokens)
-		if !strings.HasPrefix(whole, c.Text) {
-			out = append(out, Violation{WholeOwnAnswer, fmt.Sprintf("%s got text that is not its own, or twice: %s", c.ID, difference(whole, c.Text))})
+		fullText := fake.Answer(c.Request.Prompt, c.Request.MaxTokens)
+		if !strings.HasPrefix(fullText, c.Text) {
+			out = append(out, Violation{WholeOwnAnswer, fmt.Sprintf("%s received text that is not its own or is duplicated: %s", c.ID, firstDifference(fullText, c.Text))})
 		}
-		if !c.Lost && c.Result.Outcome == request.Done && c.Text != whole {
-			out = append(out, Violation{WholeOwnAnswer, fmt.Sprintf("%s was told done with %d of %d bytes", c.ID, len(c.Text), len(whole))})
+		if !c.Lost && c.Result.Outcome == request.Done && c.Text != fullText {
+			out = append(out, Violation{WholeOwnAnswer, fmt.Sprintf("%s was reported as done with %d of %d bytes", c.ID, len(c.Text), len(fullText))})
 		}
 	}
 	return out
 }
 
-// difference shows where two texts part.
-func difference(want, got string) string {
+// firstDifference describes the first firstDifference between two texts.
+func firstDifference(want, got string) string {
 	i := 0
 	for i < len(want) && i < len(got) && want[i] == got[i] {
 		i++
@@ -40,13 +40,13 @@
 	return fmt.Sprintf("from byte %d want %.24q got %.24q", i, want[i:], got[i:])
 }
 
-// judgeRuns compares outcomes with what runners recorded.
+// judgeRuns compares outcomes with the records of the runners.
 func (f *Fleet) judgeRuns(r *Record) []Violation {
 	var out []Violation
 	began := map[string]string{}
 	for name, e := range f.Engines {
 		for work := range e.Began() {
-			began[requestOf(work)] = name
+			began[requestID(work)] = name
 		}
 	}
 	for _, c := range r.Calls {
@@ -55,14 +55,14 @@
 			continue
 		}
 		if at, ran := began[c.ID]; ran && !c.Lost && c.Result.Outcome == request.NotRun {
-			out = append(out, Violation{NotRunIsTrue, fmt.Sprintf("%s was told not run but began on %s", c.ID, at)})
+			out = append(out, Violation{NotRunIsTrue, fmt.Sprintf("%s was reported as not run but began on %s", c.ID, at)})
 		}
 	}
 	return out
 }
 
-// runs counts how often an order ran on all services.
-func (f *Fleet) runs(body string) int {
+// orderRuns returns the number of orderRuns of an order, summed over all services.
+func (f *Fleet) orderRuns(body string) int {
 	n := 0
 	for _, s := range f.Calls {
 		n += s.Runs(body)
@@ -72,25 +72,27 @@
 
 func (f *Fleet) judgeOrder(r *Record, c *Call) []Violation {
 	var out []Violation
-	runs := f.runs(string(c.Service.Body))
+	runs := f.orderRuns(string(c.Service.Body))
 	if runs > 1 {
 		out = append(out, Violation{AtMostOnce, fmt.Sprintf("%s ran %d times", c.Service.Body, runs)})
 	}
-	// Another call with the same key may be the one that ran.
-	only := true
+	// Only a key of one call proves that this call ran: another call with the same
+	// key may be the one that the service ran.
+	onlyCall := true
 	for _, o := range r.Calls {
-		only = only && (o == c || o.Service == nil || o.Service.Key != c.Service.Key)
+		onlyCall = onlyCall && (o == c || o.Service == nil || o.Service.Key != c.Service.Key)
 	}
-	if only && runs > 0 && !c.Lost && c.Result.Outcome == request.NotRun {
-		out = append(out, Violation{NotRunIsTrue, c.ID + " was told not run but ran"})
+	if onlyCall && runs > 0 && !c.Lost && c.Result.Outcome == request.NotRun {
+		out = append(out, Violation{NotRunIsTrue, c.ID + " was reported as not run but ran"})
 	}
 	if runs == 0 && !c.Lost && c.Result.Outcome == request.Done {
-		out = append(out, Violation{WholeOwnAnswer, c.ID + " was told done but never ran"})
+		out = append(out, Violation{WholeOwnAnswer, c.ID + " was reported as done but never ran"})
 	}
 	return out
 }
 
-// judgeLeaving checks that no work began on an instance that is leaving.
+// judgeLeaving checks that no new work began on a leaving instance after
+// leaveBound.
 func (f *Fleet) judgeLeaving(r *Record) []Violation {
 	var out []Violation
 	for _, p := range f.Processes() {
@@ -107,8 +109,8 @@
 	return out
 }
 
-// admittedBefore reports whether the work of an event had its admission before
-// a time: it then is no new work.
+// admittedBefore reports whether the attempt of a start event was admitted before
+// a time, in which case it is not new work.
 func admittedBefore(p *Process, started trace.Event, by time.Time) bool {
 	for _, e := range p.Node.Log.Events(trace.Filter{Request: started.Request}) {
 		if e.Type == trace.Admitted && e.Attempt == started.Attempt && e.Wall.Before(by) {
--- a/pkg/fleettest/judge_test.go
+++ b/pkg/fleettest/judge_test.go
@@ -16,9 +16,9 @@
 	"github.com/hopwell/hopwell/pkg/sidecar"
 )
 
-// broken runs a fleet one of whose mechanisms a test has broken, and expects the
-// judge to object to that promise.
-func broken(t *testing.T, promise Promise, spec Spec, run func(f *Fleet, r *Record)) {
+// expectViolation runs a fleet with a mechanism that the test has expectViolation on purpose, and
+// expects Judge to report a violation of the promise.
+func expectViolation(t *testing.T, promise Promise, spec Spec, run func(f *Fleet, r *Record)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		f := Start(spec)
@@ -27,43 +27,44 @@
 		stop := make(chan struct{})
 		go f.Watch(r, stop)
 		run(f, r)
-		time.Sleep(quiet)
+		time.Sleep(quiescence)
 		close(stop)
 		synctest.Wait()
 		NewWithT(t).Expect(f.Judge(r)).To(ContainElement(HaveField("Promise", promise)))
 	})
 }
 
-// deaf is an engine that goes on when its caller is gone and is told to cancel.
-type deaf struct{ engine.Engine }
+// uncancellableEngine is an engine that continues a stream after its client disconnected and
+// ignores Cancel.
+type uncancellableEngine struct{ engine.Engine }
 
-func (e deaf) Decode(ctx context.Context, d engine.Decode, imported func(), token func(engine.Token) error) error {
+func (e uncancellableEngine) Decode(ctx context.Context, d engine.Decode, imported func(), token func(engine.Token) error) error {
 	return e.Engine.Decode(context.WithoutCancel(ctx), d, imported, func(t engine.Token) error {
 		_ = token(t)
 		return nil
 	})
 }
 
-func (e deaf) Cancel(context.Context, string) error { return nil }
+func (e uncancellableEngine) Cancel(context.Context, string) error { return nil }
 
-func TestJudgeObjectsToMemoryHeldForAGoneCaller(t *testing.T) {
+func TestJudgeReportsMemoryHeldAfterClientDisconnect(t *testing.T) {
 	spec := DefaultSpec()
 	spec.Tweak = func(o *sidecar.Options) {
 		if o.Engine != nil {
-			o.Engine = deaf{o.Engine}
+			o.Engine = uncancellableEngine{o.Engine}
 		}
 	}
-	broken(t, NoMemoryForGone, spec, func(f *Fleet, r *Record) {
+	expectViolation(t, NoMemoryForGone, spec, func(f *Fleet, r *Record) {
 		ctx, leave := context.WithTimeout(context.Background(), time.Second)
 		defer leave()
 		r.Calls = append(r.Calls, f.Generate(ctx, f.Gateway(0), NewRequest("r", 100, 3000)))
 	})
 }
 
-func TestJudgeObjectsToTwoAnswers(t *testing.T) {
-	broken(t, NothingTwice, DefaultSpec(), func(f *Fleet, r *Record) {
-		// A caller's library that hedges below hopwell gets two lives, and both
-		// of them answer.
+func TestJudgeReportsDuplicateResponse(t *testing.T) {
+	expectViolation(t, NothingTwice, DefaultSpec(), func(f *Fleet, r *Record) {
+		// A client library that hedges sends the same request to two gateways, and
+		// both respond.
 		first := f.Generate(context.Background(), f.Gateway(0), NewRequest("r", 100, 8))
 		second := f.Generate(context.Background(), f.Gateway(1), NewRequest("r", 100, 8))
 		first.Answers += second.Answers
@@ -71,10 +72,11 @@
 	})
 }
 
-// shifted resumes one token too early under the right offsets.
-type shifted struct{ engine.Engine }
+// shiftedEngine is an engine that resumes a stream one token too early but reports the
+// expected offsets.
+type shiftedEngine struct{ engine.Engine }
 
-func (e shifted) Decode(ctx context.Context, d engine.Decode, imported func(), token func(engine.Token) error) error {
+func (e shiftedEngine) Decode(ctx context.Context, d engine.Decode, imported func(), token func(engine.Token) error) error {
 	if d.Offset == 0 {
 		return e.Engine.Decode(ctx, d, imported, token)
 	}
@@ -85,14 +87,14 @@
 	})
 }
 
-func TestJudgeObjectsToAResumeAtTheWrongPlace(t *testing.T) {
+func TestJudgeReportsResumeAtWrongOffset(t *testing.T) {
 	spec := DefaultSpec()
 	spec.Tweak = func(o *sidecar.Options) {
 		if o.Engine != nil {
-			o.Engine = shifted{o.Engine}
+			o.Engine = shiftedEngine{o.Engine}
 		}
 	}
-	broken(t, WholeOwnAnswer, spec, func(f *Fleet, r *Record) {
+	expectViolation(t, WholeOwnAnswer, spec, func(f *Fleet, r *Record) {
 		wait := inBackground(r, func() *Call { return f.Generate(context.Background(), f.Gateway(0), NewRequest("r", 100, 300)) })
 		time.Sleep(2 * time.Second)
 		f.Lose(f.streamingOn("r"))
@@ -100,10 +102,10 @@
 	})
 }
 
-// liar runs a call and says that it never reached the service.
-type liar struct{ engine.Service }
+// falseNotSentService is a service that runs a call and reports that the call was never sent.
+type falseNotSentService struct{ engine.Service }
 
-func (s liar) Call(ctx context.Context, r *http.Request) (*http.Response, error) {
+func (s falseNotSentService) Call(ctx context.Context, r *http.Request) (*http.Response, error) {
 	resp, err := s.Service.Call(ctx, r)
 	if err == nil {
 		_ = resp.Body.Close()
@@ -111,23 +113,23 @@
 	return nil, &engine.ErrUnreachable{Sent: false}
 }
 
-func TestJudgeObjectsToAFalseNotRun(t *testing.T) {
+func TestJudgeReportsFalseNotRun(t *testing.T) {
 	spec := DefaultSpec()
 	spec.Services = 1
 	spec.Tweak = func(o *sidecar.Options) {
 		if o.Service != nil {
-			o.Service = liar{o.Service}
+			o.Service = falseNotSentService{o.Service}
 		}
 	}
-	broken(t, NotRunIsTrue, spec, func(f *Fleet, r *Record) {
+	expectViolation(t, NotRunIsTrue, spec, func(f *Fleet, r *Record) {
 		r.Calls = append(r.Calls, f.Order(context.Background(), f.Gateway(0), NewOrder("o", "k")))
 	})
 }
 
-// forgetful is a key-value service that loses claims.
-type forgetful struct{ platform.KV }
+// claimLosingKV is a key-value service that returns claims without their data.
+type claimLosingKV struct{ platform.KV }
 
-func (k forgetful) Get(ctx context.Context, key string) (platform.Value, error) {
+func (k claimLosingKV) Get(ctx context.Context, key string) (platform.Value, error) {
 	v, err := k.KV.Get(ctx, key)
 	if strings.Contains(key, "claims") {
 		v.Data = nil
@@ -135,24 +137,25 @@
 	return v, err
 }
 
-func TestJudgeObjectsToARepeatedOrder(t *testing.T) {
+func TestJudgeReportsRepeatedOrder(t *testing.T) {
 	spec := DefaultSpec()
-	spec.WrapKV = func(kv platform.KV) platform.KV { return forgetful{kv} }
-	broken(t, AtMostOnce, spec, func(f *Fleet, r *Record) {
+	spec.WrapKV = func(kv platform.KV) platform.KV { return claimLosingKV{kv} }
+	expectViolation(t, AtMostOnce, spec, func(f *Fleet, r *Record) {
 		p := f.Gateway(0)
 		r.Calls = append(r.Calls, f.Order(context.Background(), p, NewOrder("o1", "k")))
 		for _, g := range f.Live(platform.RoleGateway) {
 			f.Crash(g.Entry.Name)
 			f.Restart(g.Entry)
 		}
-		time.Sleep(settle)
+		time.Sleep(startupTime)
 		r.Calls = append(r.Calls, f.Order(context.Background(), f.Gateway(0), NewOrder("o2", "k")))
 	})
 }
 
-func TestJudgeObjectsToWorkOnALeavingInstance(t *testing.T) {
-	broken(t, LeavingGetsNothing, DefaultSpec(), func(f *Fleet, r *Record) {
-		// Nobody tells the sidecar, and the list does not show it.
+func TestJudgeReportsWorkOnLeavingInstance(t *testing.T) {
+	expectViolation(t, LeavingGetsNothing, DefaultSpec(), func(f *Fleet, r *Record) {
+		// The sidecar receives no notice, and the list does not show the instance as
+		// leaving.
 		r.Left["decode-1"] = time.Now()
 		for i := range 30 {
 			time.Sleep(time.Second)
@@ -161,8 +164,8 @@
 	})
 }
 
-func TestJudgeObjectsToACutOffStop(t *testing.T) {
-	broken(t, StopCutsNothing, DefaultSpec(), func(f *Fleet, r *Record) {
+func TestJudgeReportsRequestCutOffByPlannedStop(t *testing.T) {
+	expectViolation(t, StopCutsNothing, DefaultSpec(), func(f *Fleet, r *Record) {
 		p := f.Gateway(0)
 		wait := inBackground(r, func() *Call { return f.Generate(context.Background(), p, NewRequest("r", 100, 300)) })
 		time.Sleep(time.Second)
@@ -172,19 +175,21 @@
 	})
 }
 
-// unwatched is a key-value service without watches.
-type unwatched struct{ platform.KV }
+// kvWithoutWatches is a key-value service whose watches report changes only after the
+// full wait.
+type kvWithoutWatches struct{ platform.KV }
 
-func (k unwatched) Watch(ctx context.Context, key string, _ uint64, wait time.Duration) (platform.Value, error) {
+func (k kvWithoutWatches) Watch(ctx context.Context, key string, _ uint64, wait time.Duration) (platform.Value, error) {
 	time.Sleep(wait)
 	return k.Get(ctx, key)
 }
 
-func TestJudgeObjectsToALateChange(t *testing.T) {
+func TestJudgeReportsLateChange(t *testing.T) {
 	spec := DefaultSpec()
-	spec.WrapKV = func(kv platform.KV) platform.KV { return unwatched{kv} }
-	broken(t, ChangeInForce, spec, func(f *Fleet, r *Record) {
-		// Without watches, what is cut off from its peers learns nothing.
+	spec.WrapKV = func(kv platform.KV) platform.KV { return kvWithoutWatches{kv} }
+	expectViolation(t, ChangeInForce, spec, func(f *Fleet, r *Record) {
+		// Without watches, a process that is cut off from its peers learns of no
+		// change.
 		f.Net.Freeze("decode-1")
 		doc, err := f.Change(&fleet.Change{ID: "c", SetLabels: map[string]fleet.Labels{"decode-1": {"rack": "7"}}})
 		if err == nil {
--- a/pkg/fleettest/network.go
+++ b/pkg/fleettest/network.go
@@ -1,6 +1,7 @@
-// Package fleettest joins real gateways and sidecars to stand-ins over a network
-// in memory, for tests in virtual time: it runs inside testing/synctest bubbles,
-// where minutes of faults take milliseconds and the verdict never changes.
+// Package fleettest connects real gateways and sidecars with fakes over an
+// in-memory network, for tests in virtual time. It runs inside testing/synctest
+// bubbles, where minutes of faults take milliseconds and the verdict is
+// deterministic.
 package fleettest
 
 import (
@@ -22,8 +23,8 @@
 // Error implements error.
 func (e *errNetwork) Error() string { return fmt.Sprintf("network fault: %s", e.What) }
 
-// Network carries connections between processes, by address. Its faults are
-// those of a real one: cuts that nobody is told of, resets, and delay.
+// Network carries connections between processes, by address. It has the faults
+// of a real network: silent loss of connectivity, resets and delay.
 type Network struct {
 	// Delay returns the one-way delay between two addresses.
 	Delay func(from, to string) time.Duration
@@ -47,14 +48,14 @@
 	}
 }
 
-// Serve answers connections to an address until the context ends.
+// Serve accepts connections to an address until the context ends.
 func (n *Network) Serve(ctx context.Context, address string, s *wire.Server) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.servers[address] = serverEnd{s, ctx}
 }
 
-// Dialer returns the wire.Dial of the process at an address.
+// Dialer returns the wire.Dial function of the process at an address.
 func (n *Network) Dialer(from string) wire.Dial {
 	return func(ctx context.Context, to string) (net.Conn, error) {
 		if err := n.reach(ctx, from, to); err != nil {
@@ -75,7 +76,7 @@
 	}
 }
 
-// reach waits for the way to an address, as a SYN to a frozen host does.
+// reach waits until the address can be reached, as a SYN to a frozen host does.
 func (n *Network) reach(ctx context.Context, from, to string) error {
 	for {
 		gate := n.gate(from, to)
@@ -85,13 +86,13 @@
 		select {
 		case <-gate:
 		case <-ctx.Done():
-			return &errNetwork{What: "no answer from " + to}
+			return &errNetwork{What: "no response from " + to}
 		}
 	}
 }
 
-// gate returns a channel that is closed when what holds up traffic between two
-// addresses ends, nil when nothing does.
+// gate returns a channel that is closed when a freeze of the traffic from one
+// address to another ends, or nil if the traffic is not frozen.
 func (n *Network) gate(from, to string) chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -104,24 +105,24 @@
 	return n.frozen[from+">"+to]
 }
 
-// Freeze holds up all traffic of an address, or of a way given as "from>to",
-// without anybody being told, until the returned function is called.
-func (n *Network) Freeze(what string) (thaw func()) {
+// Freeze holds up all traffic of an address, or of one direction given as
+// "from>to", until thaw is called. The processes receive no error.
+func (n *Network) Freeze(target string) (thaw func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	ch := make(chan struct{})
-	n.frozen[what] = ch
+	n.frozen[target] = ch
 	return func() {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		if n.frozen[what] == ch {
-			delete(n.frozen, what)
+		if n.frozen[target] == ch {
+			delete(n.frozen, target)
 			close(ch)
 		}
 	}
 }
 
-// Reset breaks all connections of an address, as the end of its process does.
+// Reset closes all connections of an address, as the end of its process does.
 func (n *Network) Reset(address string) {
 	n.mu.Lock()
 	var broken []*conn
@@ -136,11 +137,11 @@
 	}
 }
 
-// pair makes a connection. The caller holds the lock.
+// pair returns the two ends of a new connection. The caller holds the lock.
 func (n *Network) pair(from, to string) (a, b *conn) {
-	there, back := newHalf(), newHalf()
-	a = &conn{n: n, local: from, remote: to, in: back, out: there}
-	b = &conn{n: n, local: to, remote: from, in: there, out: back}
+	toServer, toClient := newHalf(), newHalf()
+	a = &conn{n: n, local: from, remote: to, in: toClient, out: toServer}
+	b = &conn{n: n, local: to, remote: from, in: toServer, out: toClient}
 	n.conns[a], n.conns[b] = true, true
 	return a, b
 }
@@ -185,7 +186,8 @@
 	}
 }
 
-// take copies data that is due, or says how long to wait; wait < 0 is until woken.
+// take copies data that is due to p. Without such data it returns the time until
+// the next data is due, or a negative wait if the caller must wait for wake.
 func (h *half) take(p []byte) (n int, wait time.Duration, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -206,7 +208,7 @@
 	return n, 0, nil
 }
 
-// conn is one end of a connection. Writes never wait, as with large buffers.
+// conn is one end of a connection. Writes never block, as with large buffers.
 type conn struct {
 	n             *Network
 	local, remote string
--- a/pkg/fleettest/promises_test.go
+++ b/pkg/fleettest/promises_test.go
@@ -17,8 +17,9 @@
 	"github.com/hopwell/hopwell/pkg/trace"
 )
 
-// scenario runs a test against a fleet in a bubble. testing/synctest needs a
-// *testing.T of its own, so these are plain tests with gomega's matchers.
+// scenario runs a test against a fleet in a synctest bubble and reports all
+// violations as errors. testing/synctest needs a *testing.T of its own, so these
+// are plain tests with gomega's matchers.
 func scenario(t *testing.T, spec Spec, run func(g *WithT, f *Fleet, r *Record)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -31,7 +32,7 @@
 		end := sync.OnceFunc(func() { close(stop) })
 		defer end()
 		run(NewWithT(t), f, r)
-		time.Sleep(quiet)
+		time.Sleep(quiescence)
 		end()
 		watch.Wait()
 		for _, v := range f.Judge(r) {
@@ -40,7 +41,8 @@
 	})
 }
 
-// inBackground starts a call and returns a function that waits for it.
+// inBackground starts a call and returns a function that waits for its end and
+// records it.
 func inBackground(r *Record, do func() *Call) func() *Call {
 	done := make(chan *Call, 1)
 	go func() { done <- do() }()
@@ -51,13 +53,13 @@
 	}
 }
 
-// heldBy counts the pieces of engine memory held for a request.
+// heldBy returns the number of pieces of engine memory held for a request.
 func (f *Fleet) heldBy(id string) int {
 	n := 0
 	for _, e := range f.Engines {
 		held, _ := e.Held(context.Background())
 		for _, h := range held {
-			if requestOf(h.ID) == id {
+			if requestID(h.ID) == id {
 				n++
 			}
 		}
@@ -70,7 +72,7 @@
 	for name, e := range f.Engines {
 		held, _ := e.Held(context.Background())
 		for _, h := range held {
-			if requestOf(h.ID) == id && h.What == "decode" {
+			if requestID(h.ID) == id && h.What == "decode" {
 				return name
 			}
 		}
@@ -78,20 +80,20 @@
 	return ""
 }
 
-func TestCallerGoneFreesWithinASecond(t *testing.T) {
+func TestClientDisconnectFreesMemoryWithinASecond(t *testing.T) {
 	scenario(t, DefaultSpec(), func(g *WithT, f *Fleet, r *Record) {
 		ctx, leave := context.WithCancel(context.Background())
 		wait := inBackground(r, func() *Call { return f.Generate(ctx, f.Gateway(0), NewRequest("r", 300, 4000)) })
 		time.Sleep(2 * time.Second)
 		g.Expect(f.heldBy("r")).To(Equal(1))
 		leave()
-		time.Sleep(goneBound)
+		time.Sleep(freeBound)
 		g.Expect(f.heldBy("r")).To(BeZero())
 		wait()
 	})
 }
 
-func TestGatewayDeathFreesWithinTheLease(t *testing.T) {
+func TestGatewayCrashFreesMemoryWithinLease(t *testing.T) {
 	for _, name := range []string{"killed", "cut off"} {
 		t.Run(name, func(t *testing.T) {
 			scenario(t, DefaultSpec(), func(g *WithT, f *Fleet, r *Record) {
@@ -104,7 +106,7 @@
 					r.CutOff[p.Entry.Name] = time.Now()
 					defer f.Net.Freeze(p.Entry.Inner)()
 				}
-				time.Sleep(gateway.DefaultLease + goneBound)
+				time.Sleep(gateway.DefaultLease + freeBound)
 				g.Expect(f.heldBy("r")).To(BeZero())
 				wait()
 			})
@@ -112,7 +114,7 @@
 	}
 }
 
-func TestRestartedSidecarFreesWhatItDoesNotOwn(t *testing.T) {
+func TestRestartedSidecarFreesOrphanedEngineMemory(t *testing.T) {
 	scenario(t, DefaultSpec(), func(g *WithT, f *Fleet, r *Record) {
 		wait := inBackground(r, func() *Call { return f.Generate(context.Background(), f.Gateway(0), NewRequest("r", 300, 900)) })
 		time.Sleep(2 * time.Second)
@@ -121,16 +123,16 @@
 		f.Crash(on)
 		time.Sleep(time.Second)
 		held, _ := f.Engines[on].Held(context.Background())
-		g.Expect(held).NotTo(BeEmpty(), "the engine goes on without its sidecar")
+		g.Expect(held).NotTo(BeEmpty(), "the engine continues without its sidecar")
 		f.Restart(entry)
 		time.Sleep(100 * time.Millisecond)
 		held, _ = f.Engines[on].Held(context.Background())
 		g.Expect(held).To(BeEmpty())
-		g.Expect(wait().Result.Outcome).To(Equal(request.Done), "the answer goes on elsewhere")
+		g.Expect(wait().Result.Outcome).To(Equal(request.Done), "the stream resumes on another engine")
 	})
 }
 
-func TestOrderRunsOnceThroughTwoGateways(t *testing.T) {
+func TestOrderRunsAtMostOnceThroughTwoGateways(t *testing.T) {
 	scenario(t, DefaultSpec(), func(g *WithT, f *Fleet, r *Record) {
 		p := f.Gateway(0)
 		first := inBackground(r, func() *Call { return f.Order(context.Background(), p, NewOrder("o1", "k")) })
@@ -141,11 +143,11 @@
 		first()
 		var held *claim.ErrHeld
 		g.Expect(errors.As(second.Result.Err, &held)).To(BeTrue(), "%v", second.Result.Err)
-		g.Expect(f.runs("order k")).To(BeNumerically("<=", 1))
+		g.Expect(f.orderRuns("order k")).To(BeNumerically("<=", 1))
 	})
 }
 
-func TestOrdersRaceOnOneKey(t *testing.T) {
+func TestConcurrentOrdersWithOneKeyRunOnce(t *testing.T) {
 	scenario(t, DefaultSpec(), func(g *WithT, f *Fleet, r *Record) {
 		var waits []func() *Call
 		for i, id := range []string{"o1", "o2", "o3", "o4", "o5", "o6"} {
@@ -158,21 +160,21 @@
 			}
 		}
 		g.Expect(done).To(Equal(1))
-		g.Expect(f.runs("order k")).To(Equal(1))
+		g.Expect(f.orderRuns("order k")).To(Equal(1))
 	})
 }
 
-func TestOrderWithLostClaimAnswer(t *testing.T) {
+func TestOrderRunsOnceWhenClaimResponseIsLost(t *testing.T) {
 	scenario(t, DefaultSpec(), func(g *WithT, f *Fleet, r *Record) {
 		f.KV.LoseAnswers(1)
 		c := f.Order(context.Background(), f.Gateway(0), NewOrder("o1", "k"))
 		r.Calls = append(r.Calls, c)
 		g.Expect(c.Result.Outcome).To(Equal(request.Done))
-		g.Expect(f.runs("order k")).To(Equal(1))
+		g.Expect(f.orderRuns("order k")).To(Equal(1))
 	})
 }
 
-func TestOrderInOutageIsNotRunAndItsKeyComesBack(t *testing.T) {
+func TestOrderInStoreOutageIsNotRunAndFreesItsKey(t *testing.T) {
 	scenario(t, DefaultSpec(), func(g *WithT, f *Fleet, r *Record) {
 		f.KV.SetDown(true)
 		c := f.Order(context.Background(), f.Gateway(0), NewOrder("o1", "k"))
@@ -187,7 +189,7 @@
 	})
 }
 
-func TestOrderWhoseRunnerIsLostIsUnknownAndNeverRepeated(t *testing.T) {
+func TestOrderIsUnknownAndNotRepeatedWhenRunnerIsLost(t *testing.T) {
 	spec := DefaultSpec()
 	spec.ServiceTime = time.Second
 	scenario(t, spec, func(g *WithT, f *Fleet, r *Record) {
@@ -203,11 +205,11 @@
 		r.Calls = append(r.Calls, again)
 		var held *claim.ErrHeld
 		g.Expect(errors.As(again.Result.Err, &held)).To(BeTrue())
-		g.Expect(f.runs("order k")).To(Equal(1))
+		g.Expect(f.orderRuns("order k")).To(Equal(1))
 	})
 }
 
-func TestLeavingInstanceGetsNothingFromAStaleGateway(t *testing.T) {
+func TestLeavingInstanceGetsNoWorkFromStaleGateway(t *testing.T) {
 	scenario(t, DefaultSpec(), func(g *WithT, f *Fleet, r *Record) {
 		f.List.SetLag(time.Hour)
 		r.Left["decode-1"] = time.Now()
@@ -221,7 +223,7 @@
 	})
 }
 
-func TestLabelTakesAnInstanceOutWithinSeconds(t *testing.T) {
+func TestLeavingLabelStopsWorkOnInstanceWithinSeconds(t *testing.T) {
 	scenario(t, DefaultSpec(), func(g *WithT, f *Fleet, r *Record) {
 		doc, err := f.Change(&fleet.Change{ID: "out", SetLabels: map[string]fleet.Labels{"decode-1": {fleet.LabelLeaving: "true"}}})
 		g.Expect(err).NotTo(HaveOccurred())
@@ -234,7 +236,7 @@
 	})
 }
 
-func TestDrainMovesWhatCannotEndBeforeTheDeadline(t *testing.T) {
+func TestDrainMovesStreamThatCannotEndBeforeDeadline(t *testing.T) {
 	scenario(t, DefaultSpec(), func(g *WithT, f *Fleet, r *Record) {
 		wait := inBackground(r, func() *Call { return f.Generate(context.Background(), f.Gateway(0), NewRequest("r", 300, 2000)) })
 		time.Sleep(2 * time.Second)
@@ -245,12 +247,12 @@
 		g.Expect(time.Since(began)).To(BeNumerically("<", 5*time.Second))
 		c := wait()
 		g.Expect(c.Result.Outcome).To(Equal(request.Done))
-		g.Expect(c.Result.Wasted).To(BeZero(), "the KV cache moved, nothing was computed again")
+		g.Expect(c.Result.Wasted).To(BeZero(), "the KV cache is moved and nothing is computed again")
 		g.Expect(c.Result.PerToken).To(BeNumerically("<", 63*time.Millisecond))
 	})
 }
 
-func TestDrainWithoutADeadlineFinishesWhatRuns(t *testing.T) {
+func TestDrainWithoutDeadlineFinishesOpenRequests(t *testing.T) {
 	scenario(t, DefaultSpec(), func(g *WithT, f *Fleet, r *Record) {
 		var waits []func() *Call
 		for i := range 12 {
@@ -271,7 +273,7 @@
 	})
 }
 
-func TestChangeIsInForceThoughTheKVGoesDownRightAfter(t *testing.T) {
+func TestChangeReachesAllProcessesDuringStoreOutage(t *testing.T) {
 	scenario(t, DefaultSpec(), func(g *WithT, f *Fleet, r *Record) {
 		doc, err := f.Change(&fleet.Change{ID: "c", SetLabels: map[string]fleet.Labels{"decode-1": {"rack": "7"}}})
 		g.Expect(err).NotTo(HaveOccurred())
@@ -281,22 +283,22 @@
 		time.Sleep(time.Second)
 		p := f.Restart(f.entry("prefill-3", 2, "sidecar", "prefill"))
 		time.Sleep(inForceBound)
-		g.Expect(p.Node.Keeper.Document().Revision).To(Equal(doc.Revision), "a process that starts in the outage learns it from peers")
+		g.Expect(p.Node.Keeper.Document().Revision).To(Equal(doc.Revision), "a process that starts during the outage receives the change from its peers")
 	})
 }
 
-func TestChangeWithLostAnswerIsSettled(t *testing.T) {
+func TestChangeTakesEffectOnceWhenResponseIsLost(t *testing.T) {
 	scenario(t, DefaultSpec(), func(g *WithT, f *Fleet, r *Record) {
 		before := f.Gateway(0).Node.Keeper.Document().Revision
 		f.KV.LoseAnswers(1)
 		doc, err := f.Change(&fleet.Change{ID: "c", SetLabels: map[string]fleet.Labels{"decode-1": {"rack": "7"}}})
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(doc.Revision).To(Equal(before+1), "it took effect once")
+		g.Expect(doc.Revision).To(Equal(before+1), "the change takes effect once")
 		r.Accepted[doc.Revision] = time.Now()
 	})
 }
 
-func TestRacingOperators(t *testing.T) {
+func TestConcurrentChangesAreRebasedOrConflict(t *testing.T) {
 	scenario(t, DefaultSpec(), func(g *WithT, f *Fleet, r *Record) {
 		base := f.Gateway(0).Node.Keeper.Document().Revision
 		set := func(id, in, key, value string) error {
@@ -315,7 +317,7 @@
 	})
 }
 
-func TestEmptyListDropsNoHealthyRunner(t *testing.T) {
+func TestEmptyInstanceListRemovesNoHealthyRunner(t *testing.T) {
 	scenario(t, DefaultSpec(), func(g *WithT, f *Fleet, r *Record) {
 		f.List.SetEmpty(true)
 		for i := range 20 {
@@ -327,7 +329,7 @@
 	})
 }
 
-func TestWeightLoadsStayWithinTheStoresRate(t *testing.T) {
+func TestWeightFetchesStayWithinStoreRateLimit(t *testing.T) {
 	scenario(t, DefaultSpec(), func(g *WithT, f *Fleet, _ *Record) {
 		time.Sleep(10 * time.Second)
 		for name, e := range f.Engines {
@@ -338,9 +340,10 @@
 	})
 }
 
-// TestPaidWorkGetsInAfterARefusal: what was paid for asks the same runner again
-// until it has room. A refusal used to fence the attempt there for good.
-func TestPaidWorkGetsInAfterARefusal(t *testing.T) {
+// A moved stream retries a runner that refused it for lack of capacity until it
+// is accepted, so that its prefill is not wasted. A refusal used to fence the
+// attempt on that runner permanently.
+func TestMovedStreamRetriesRunnerThatRefusedIt(t *testing.T) {
 	spec := DefaultSpec()
 	spec.Decodes = 2
 	spec.Decode.BatchLimit = 1
@@ -360,9 +363,9 @@
 	})
 }
 
-// TestDecodeRunnerPrefillsWhenNoOtherCan: a short prompt whose prefill runner is
-// gone is computed by the reserved decode runner, where it has both roles.
-func TestDecodeRunnerPrefillsWhenNoOtherCan(t *testing.T) {
+// The reserved decode runner computes a short prompt whose prefill runner has
+// crashed, if the decode runner has both roles.
+func TestDecodeRunnerPrefillsWhenPrefillRunnerIsLost(t *testing.T) {
 	spec := DefaultSpec()
 	spec.Prefills = 1
 	spec.Selectors = DefaultSelectors()
@@ -370,7 +373,7 @@
 	scenario(t, spec, func(g *WithT, f *Fleet, r *Record) {
 		c := f.Generate(context.Background(), f.Gateway(0), NewRequest("before", 100, 20))
 		r.Calls = append(r.Calls, c)
-		g.Expect(f.Engines["prefill-1"].Stats().Prefilled).To(BeNumerically(">", 0), "decode runners only prefill when they must")
+		g.Expect(f.Engines["prefill-1"].Stats().Prefilled).To(BeNumerically(">", 0), "decode runners prefill only if no prefill runner can")
 		f.Crash("prefill-1")
 		c = f.Generate(context.Background(), f.Gateway(0), NewRequest("short", 100, 20))
 		r.Calls = append(r.Calls, c)
