--- a/pkg/fake/cache.go
+++ b/pkg/fake/cache.go
@@ -7,12 +7,12 @@
 type blockCache struct {
 	limit   int
 	onEvent func(block uint64, evicted bool)
-	order   *list.List
+	lru     *list.List
 	blocks  map[uint64]*list.Element
 }
 
-func newBlockCache(limit int, note func(uint64, bool)) *blockCache {
-	return &blockCache{limit: limit, onEvent: note, order: list.New(), blocks: map[uint64]*list.Element{}}
+func newBlockCache(limit int, onEvent func(uint64, bool)) *blockCache {
+	return &blockCache{limit: limit, onEvent: onEvent, lru: list.New(), blocks: map[uint64]*list.Element{}}
 }
 
 // match returns the number of leading blocks that are cached, and marks them as
@@ -23,7 +23,7 @@
 		if !ok {
 			return i
 		}
-		c.order.MoveToFront(el)
+		c.lru.MoveToFront(el)
 	}
 	return len(blocks)
 }
@@ -32,15 +32,15 @@
 func (c *blockCache) add(blocks []uint64) {
 	for _, b := range blocks {
 		if el, ok := c.blocks[b]; ok {
-			c.order.MoveToFront(el)
+			c.lru.MoveToFront(el)
 			continue
 		}
-		c.blocks[b] = c.order.PushFront(b)
+		c.blocks[b] = c.lru.PushFront(b)
 		c.onEvent(b, false)
 	}
-	for c.order.Len() > c.limit {
-		el := c.order.Back()
-		c.order.Remove(el)
+	for c.lru.Len() > c.limit {
+		el := c.lru.Back()
+		c.lru.Remove(el)
 		delete(c.blocks, el.Value.(uint64))
 		c.onEvent(el.Value.(uint64), true)
 	}
--- a/pkg/fake/engine_calls.go
+++ b/pkg/fake/engine_calls.go
@@ -77,8 +77,8 @@
 	return err
 }
 
-// addExport keeps a KV cache for import until ExportTTL has passed. The caller holds
-// the lock.
+// addExport keeps a KV cache for import until ExportTTL has passed. The caller
+// holds the lock.
 func (e *Engine) addExport(id string, bytes int64, j *prefillJob) *export {
 	e.lastHandle++
 	x := &export{id: id, expires: time.Now().Add(e.spec.ExportTTL)}
--- a/pkg/fake/fabric.go
+++ b/pkg/fake/fabric.go
@@ -50,7 +50,7 @@
 	}
 	defer src.endTransfer()
 	for range transferSlices {
-		if err := src.transferSlice(ctx, x.Bytes/transferSlices); err != nil {
+		if err := src.moveSlice(ctx, x.Bytes/transferSlices); err != nil {
 			return err
 		}
 	}
@@ -75,8 +75,8 @@
 	e.activeTransfers--
 }
 
-// transferSlice waits as long as bytes take at one transfer's share of the link.
-func (e *Engine) transferSlice(ctx context.Context, bytes int64) error {
+// moveSlice waits as long as bytes take at one transfer's share of the link.
+func (e *Engine) moveSlice(ctx context.Context, bytes int64) error {
 	e.mu.Lock()
 	d := time.Duration(float64(bytes) * float64(e.activeTransfers) / e.spec.LinkRate * float64(time.Second))
 	stalled := e.stalled
@@ -92,8 +92,8 @@
 	return sleep(ctx, d)
 }
 
-// markImported records that an export was imported. Its prefill does not count as
-// wasted then.
+// markImported records that an export was imported, so that its prefill does not
+// count as wasted.
 func (e *Engine) markImported(handle string) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/pkg/fake/kv.go
+++ b/pkg/fake/kv.go
@@ -19,13 +19,13 @@
 	// Delay is added to each Get and Swap.
 	Delay time.Duration
 
-	mu            sync.Mutex
-	values        map[string]platform.Value
-	changed       chan struct{}
-	down          bool
-	lostResponses int
-	reads         int
-	writes        int
+	mu              sync.Mutex
+	values          map[string]platform.Value
+	changed         chan struct{}
+	down            bool
+	responsesToLose int
+	reads           int
+	writes          int
 }
 
 // NewKV returns an empty service.
@@ -46,7 +46,7 @@
 func (k *KV) LoseAnswers(n int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.lostResponses = n
+	k.responsesToLose = n
 }
 
 // Calls returns the number of reads and writes so far, including those that
@@ -106,8 +106,8 @@
 		time.AfterFunc(ttl, func() { k.expire(key, next.Version) })
 	}
 	k.wakeWatches()
-	if k.lostResponses > 0 {
-		k.lostResponses--
+	if k.responsesToLose > 0 {
+		k.responsesToLose--
 		return 0, unavailable("swap")
 	}
 	return next.Version, nil
--- a/pkg/fleettest/chaos.go
+++ b/pkg/fleettest/chaos.go
@@ -43,7 +43,7 @@
 }
 
 // Step is one fault of a plan. At is its time since the start of the run and For
-// its duration; Pick selects its target among the candidates.
+// its duration. Pick selects its target among the candidates.
 type Step struct {
 	At, For time.Duration
 	Fault   Fault
@@ -96,11 +96,12 @@
 	return c.F.Judge(c.Record)
 }
 
-// quiescence is the time after the last request and fault after which no engine may
-// hold memory for a request and no process may have an old revision.
+// quiescence is the time that the fleet rests after the last request and fault.
+// At its end no engine may hold memory for a request and no process may have an
+// old revision.
 const quiescence = 12 * time.Second
 
-// sendLoad sends requests: generations of several sizes, and orders, some of which
+// sendLoad sends generation requests of several sizes, and orders, some of which
 // repeat the key of another order.
 func (c *Chaos) sendLoad(rng *rand.Rand) {
 	n := int(c.Rate * c.Length.Seconds())
@@ -213,7 +214,7 @@
 }
 
 // crash ends one of the live processes and starts it again after the duration of
-// the fault. It does nothing if fewer than least processes would stay alive.
+// the fault. It does nothing if fewer than minLive processes would stay alive.
 func (c *Chaos) crash(live []*Process, s Step, minLive int) {
 	if len(live) < minLive+1 {
 		return
--- a/pkg/fleettest/judge.go
+++ b/pkg/fleettest/judge.go
@@ -13,7 +13,7 @@
 )
 
 // Promise is one of the eight guarantees that hopwell gives. They are numbered
-// from 1 in the order of its requirements.
+// from 1 in the order of its specification.
 type Promise int
 
 // The promises.
@@ -62,7 +62,7 @@
 	Calls []*Call
 	// Planned contains the names of the processes whose stop was planned.
 	Planned map[string]bool
-	// Left maps each leaving instance to the time since which that is known.
+	// Left maps each leaving instance to the time when it was known to be leaving.
 	Left map[string]time.Time
 	// Accepted maps each revision to the time when it was accepted.
 	Accepted map[uint64]time.Time
@@ -103,8 +103,8 @@
 	return out
 }
 
-// judgeMemory checks the samples against the ends of the requests, and that live
-// engines hold no memory now.
+// judgeMemory checks the samples against the ends of the requests, and that the
+// engines with a live sidecar hold no memory now.
 func (f *Fleet) judgeMemory(r *Record) []Violation {
 	var out []Violation
 	freeBy := map[string]time.Time{}
@@ -209,8 +209,8 @@
 	return out
 }
 
-// judgeRevisions checks the revisions of one live process against the time of their
-// acceptance, or against the start of the process if that was later.
+// judgeRevisions checks that one live process applied each revision in time after
+// its acceptance, or after the start of the process if that was later.
 func judgeRevisions(p *Process, r *Record, seen map[uint64]time.Time, newest uint64, startedAt time.Time) []Violation {
 	var out []Violation
 	for revision, at := range r.Accepted {
--- a/pkg/fleettest/judge_runs.go
+++ b/pkg/fleettest/judge_runs.go
@@ -31,7 +31,7 @@
 	return out
 }
 
-// firstDifference describes the first firstDifference between two texts.
+// firstDifference describes the first position at which two texts differ.
 func firstDifference(want, got string) string {
 	i := 0
 	for i < len(want) && i < len(got) && want[i] == got[i] {
@@ -61,7 +61,7 @@
 	return out
 }
 
-// orderRuns returns the number of orderRuns of an order, summed over all services.
+// orderRuns returns how often an order ran, summed over all services.
 func (f *Fleet) orderRuns(body string) int {
 	n := 0
 	for _, s := range f.Calls {
@@ -76,8 +76,7 @@
 	if runs > 1 {
 		out = append(out, Violation{AtMostOnce, fmt.Sprintf("%s ran %d times", c.Service.Body, runs)})
 	}
-	// Only a key of one call proves that this call ran: another call with the same
-	// key may be the one that the service ran.
+	// Another call with the same key may be the one that ran.
 	onlyCall := true
 	for _, o := range r.Calls {
 		onlyCall = onlyCall && (o == c || o.Service == nil || o.Service.Key != c.Service.Key)
--- a/pkg/fleettest/judge_test.go
+++ b/pkg/fleettest/judge_test.go
@@ -16,8 +16,8 @@
 	"github.com/hopwell/hopwell/pkg/sidecar"
 )
 
-// expectViolation runs a fleet with a mechanism that the test has expectViolation on purpose, and
-// expects Judge to report a violation of the promise.
+// expectViolation runs a fleet with a mechanism that the test has broken on
+// purpose, and expects Judge to report a violation of the promise.
 func expectViolation(t *testing.T, promise Promise, spec Spec, run func(f *Fleet, r *Record)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -34,8 +34,8 @@
 	})
 }
 
-// uncancellableEngine is an engine that continues a stream after its client disconnected and
-// ignores Cancel.
+// uncancellableEngine is an engine that continues a stream after its client
+// disconnected, and that ignores Cancel.
 type uncancellableEngine struct{ engine.Engine }
 
 func (e uncancellableEngine) Decode(ctx context.Context, d engine.Decode, imported func(), token func(engine.Token) error) error {
@@ -72,8 +72,8 @@
 	})
 }
 
-// shiftedEngine is an engine that resumes a stream one token too early but reports the
-// expected offsets.
+// shiftedEngine is an engine that resumes a stream one token too early but
+// reports the expected offsets.
 type shiftedEngine struct{ engine.Engine }
 
 func (e shiftedEngine) Decode(ctx context.Context, d engine.Decode, imported func(), token func(engine.Token) error) error {
@@ -102,7 +102,8 @@
 	})
 }
 
-// falseNotSentService is a service that runs a call and reports that the call was never sent.
+// falseNotSentService is a service that runs a call and then reports that the call
+// never reached it.
 type falseNotSentService struct{ engine.Service }
 
 func (s falseNotSentService) Call(ctx context.Context, r *http.Request) (*http.Response, error) {
@@ -175,8 +176,8 @@
 	})
 }
 
-// kvWithoutWatches is a key-value service whose watches report changes only after the
-// full wait.
+// kvWithoutWatches is a key-value service whose watches report a change only at
+// the end of their wait.
 type kvWithoutWatches struct{ platform.KV }
 
 func (k kvWithoutWatches) Watch(ctx context.Context, key string, _ uint64, wait time.Duration) (platform.Value, error) {
