--- a/pkg/fleettest/judge.go
+++ b/pkg/fleettest/judge.go
@@ -48,7 +48,8 @@
 // String returns the violation as a test failure message.
 func (v Violation) String() string { return fmt.Sprintf("promise %d: %s", v.Promise, v.Detail) }
 
-// Time limits of the promises.
+// Time limits of the promises: for freeing the memory of an ended request, for
+// new work on a leaving instance, and for applying an accepted change.
 const (
 	freeBound    = time.Second
 	leaveBound   = 3 * time.Second
@@ -62,7 +63,8 @@
 	Calls []*Call
 	// Planned contains the names of the processes whose stop was planned.
 	Planned map[string]bool
-	// Left maps each leaving instance to the time when it was known to be leaving.
+	// Left maps each leaving instance to the time since which it is known to be
+	// leaving.
 	Left map[string]time.Time
 	// Accepted maps each revision to the time when it was accepted.
 	Accepted map[uint64]time.Time
@@ -224,7 +226,7 @@
 		for n := revision; n <= newest; n++ {
 			if when, ok := seen[n]; ok {
 				if took := when.Sub(later(at, startedAt)); took > inForceBound {
-					out = append(out, Violation{ChangeInForce, fmt.Sprintf("%s got revision %d after %s", p.Entry.Name, revision, took)})
+					out = append(out, Violation{ChangeInForce, fmt.Sprintf("%s applied revision %d after %s", p.Entry.Name, revision, took)})
 				}
 				break
 			}
--- a/pkg/fleettest/judge_runs.go
+++ b/pkg/fleettest/judge_runs.go
@@ -90,8 +90,8 @@
 	return out
 }
 
-// judgeLeaving checks that no new work began on a leaving instance after
-// leaveBound.
+// judgeLeaving checks that no new work began on a leaving instance later than
+// leaveBound after it was known to be leaving.
 func (f *Fleet) judgeLeaving(r *Record) []Violation {
 	var out []Violation
 	for _, p := range f.Processes() {
--- a/pkg/fleettest/network.go
+++ b/pkg/fleettest/network.go
@@ -76,7 +76,8 @@
 	}
 }
 
-// reach waits until the address can be reached, as a SYN to a frozen host does.
+// reach waits while traffic between two addresses is frozen, as a SYN to a frozen
+// host does.
 func (n *Network) reach(ctx context.Context, from, to string) error {
 	for {
 		gate := n.gate(from, to)
@@ -91,8 +92,8 @@
 	}
 }
 
-// gate returns a channel that is closed when a freeze of the traffic from one
-// address to another ends, or nil if the traffic is not frozen.
+// gate returns a channel that is closed at the end of the freeze that holds up
+// traffic from one address to another, or nil if the traffic is not frozen.
 func (n *Network) gate(from, to string) chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -186,8 +187,9 @@
 	}
 }
 
-// take copies data that is due to p. Without such data it returns the time until
-// the next data is due, or a negative wait if the caller must wait for wake.
+// take copies data whose delay has passed into p. If there is none, it returns
+// the time until the next data is due, or a negative wait if the queue is empty
+// and the caller has to wait for wake.
 func (h *half) take(p []byte) (n int, wait time.Duration, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
