--- a/pkg/fake/engine.go
+++ b/pkg/fake/engine.go
@@ -82,7 +82,7 @@
 	fabric  *Fabric
 
 	mu              sync.Mutex
-	jobs            []*prefillJob
+	prefills        []*prefillJob
 	running         []*decodeJob
 	exports         map[string]*export
 	kvUsed          int64
@@ -94,7 +94,7 @@
 	assigned        engine.Assignment
 	activeTransfers int
 	stalled         chan struct{}
-	dead            bool
+	closed          bool
 	wake            chan struct{}
 	stop            chan struct{}
 	stats           Stats
@@ -103,7 +103,8 @@
 }
 
 type prefillJob struct {
-	call   engine.Prefill
+	call engine.Prefill
+	// left and done are the numbers of prompt tokens still to compute and computed.
 	left   int
 	done   int
 	cached int
@@ -115,11 +116,11 @@
 }
 
 type decodeJob struct {
-	call   engine.Decode
-	bytes  int64
-	next   int
-	tokens chan engine.Token
-	ended  chan error
+	call       engine.Decode
+	bytes      int64
+	nextOffset int
+	tokens     chan engine.Token
+	ended      chan error
 }
 
 type export struct {
@@ -162,12 +163,12 @@
 func (e *Engine) Close() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.dead {
+	if e.closed {
 		return
 	}
-	e.dead = true
+	e.closed = true
 	close(e.stop)
-	for _, j := range e.jobs {
+	for _, j := range e.prefills {
 		e.stats.Wasted += int64(j.done)
 		j.finished <- e.closedError()
 	}
@@ -177,7 +178,7 @@
 	for _, x := range e.exports {
 		e.countWasted(x)
 	}
-	e.jobs, e.running, e.kvUsed = nil, nil, 0
+	e.prefills, e.running, e.kvUsed = nil, nil, 0
 	e.exports = map[string]*export{}
 }
 
--- a/pkg/fake/engine_calls.go
+++ b/pkg/fake/engine_calls.go
@@ -22,7 +22,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.dead {
+	if e.closed {
 		return engine.Export{}, e.closedError()
 	}
 	x := e.addExport(p.ID, bytes, j)
@@ -34,7 +34,7 @@
 func (e *Engine) queuePrefill(p engine.Prefill, blocks []uint64, bytes int64, local bool) (*prefillJob, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.dead {
+	if e.closed {
 		return nil, e.closedError()
 	}
 	if !local {
@@ -47,7 +47,7 @@
 	cached := min(e.cache.match(blocks)*prefix.BlockTokens, p.Tokens-1)
 	j := &prefillJob{call: p, left: p.Tokens - cached, cached: cached, blocks: blocks, bytes: bytes, local: local, finished: make(chan error, 1)}
 	e.stats.Cached += int64(cached)
-	e.jobs = append(e.jobs, j)
+	e.prefills = append(e.prefills, j)
 	e.signalWork()
 	return j, nil
 }
@@ -66,7 +66,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.dead {
+	if e.closed {
 		return e.closedError()
 	}
 	e.dropJob(j)
@@ -113,14 +113,14 @@
 	if err := e.loadKV(ctx, job); err != nil {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		if !e.dead {
+		if !e.closed {
 			e.kvUsed -= job.bytes
 		}
 		return err
 	}
 	imported()
 	e.mu.Lock()
-	if e.dead {
+	if e.closed {
 		e.mu.Unlock()
 		return e.closedError()
 	}
@@ -134,7 +134,7 @@
 func (e *Engine) admitDecode(d engine.Decode) (*decodeJob, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.dead {
+	if e.closed {
 		return nil, &engine.ErrUnreachable{Address: e.address, Err: errOutage}
 	}
 	bytes := int64(d.PromptTokens+d.MaxTokens) * e.spec.KVPerToken
@@ -146,7 +146,7 @@
 	}
 	e.beginWork(d.ID)
 	e.kvUsed += bytes
-	job := &decodeJob{call: d, bytes: bytes, next: d.Offset, ended: make(chan error, 1)}
+	job := &decodeJob{call: d, bytes: bytes, nextOffset: d.Offset, ended: make(chan error, 1)}
 	job.tokens = make(chan engine.Token, d.MaxTokens-d.Offset+1)
 	return job, nil
 }
@@ -203,11 +203,11 @@
 			continue
 		}
 		e.dropDecode(d)
-		bytes := int64(d.call.PromptTokens+d.next) * e.spec.KVPerToken
+		bytes := int64(d.call.PromptTokens+d.nextOffset) * e.spec.KVPerToken
 		e.kvUsed += bytes
 		x := e.addExport(id, bytes, nil)
-		x.Tokens, x.Offset = d.call.PromptTokens+d.next, d.next
-		x.Generated = Answer(d.call.Prompt, d.next)
+		x.Tokens, x.Offset = d.call.PromptTokens+d.nextOffset, d.nextOffset
+		x.Generated = Answer(d.call.Prompt, d.nextOffset)
 		d.ended <- &engine.ErrEngine{Code: engine.CodeMoved}
 		return x.Export, nil
 	}
@@ -229,7 +229,7 @@
 			d.ended <- &engine.ErrEngine{Code: engine.CodeGone, Detail: "cancelled"}
 		}
 	}
-	for _, j := range append([]*prefillJob(nil), e.jobs...) {
+	for _, j := range append([]*prefillJob(nil), e.prefills...) {
 		if j.call.ID == id {
 			j.finished <- &engine.ErrEngine{Code: engine.CodeGone, Detail: "cancelled"}
 		}
@@ -248,11 +248,11 @@
 func (e *Engine) Held(context.Context) ([]engine.Holding, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.dead {
+	if e.closed {
 		return nil, &engine.ErrUnreachable{Address: e.address, Err: errOutage}
 	}
 	var all []engine.Holding
-	for _, j := range e.jobs {
+	for _, j := range e.prefills {
 		all = append(all, engine.Holding{ID: j.call.ID, What: "prefill", Bytes: j.bytes})
 	}
 	for _, x := range e.exports {
@@ -271,7 +271,7 @@
 		KVUsed: e.kvUsed, KVTotal: e.spec.KVTotal, KVPerToken: e.spec.KVPerToken,
 		Fence: e.fence, Assigned: e.assigned,
 	}
-	for _, j := range e.jobs {
+	for _, j := range e.prefills {
 		l.QueuedTokens += j.left
 	}
 	return l
@@ -281,7 +281,7 @@
 func (e *Engine) Load(context.Context) (engine.Load, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.dead {
+	if e.closed {
 		return engine.Load{}, &engine.ErrUnreachable{Address: e.address, Err: errOutage}
 	}
 	old := time.Now().Add(-e.spec.ReportLag)
--- a/pkg/fake/engine_steps.go
+++ b/pkg/fake/engine_steps.go
@@ -45,7 +45,7 @@
 // equals, or nil. The caller holds the lock.
 func (e *Engine) mostUrgent() *prefillJob {
 	var best *prefillJob
-	for _, j := range e.jobs {
+	for _, j := range e.prefills {
 		if best == nil || j.call.Priority > best.call.Priority {
 			best = j
 		}
@@ -63,7 +63,7 @@
 func (e *Engine) advance() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.dead {
+	if e.closed {
 		return
 	}
 	if j := e.mostUrgent(); j != nil {
@@ -86,10 +86,10 @@
 
 // emit generates the next token of a stream. The caller holds the lock.
 func (e *Engine) emit(d *decodeJob) {
-	t := engine.Token{Offset: d.next, Text: TokenText(d.call.Prompt, d.next)}
-	d.next++
+	t := engine.Token{Offset: d.nextOffset, Text: TokenText(d.call.Prompt, d.nextOffset)}
+	d.nextOffset++
 	e.stats.Decoded++
-	if d.next >= d.call.MaxTokens {
+	if d.nextOffset >= d.call.MaxTokens {
 		t.Final, t.Reason = true, "length"
 		e.dropDecode(d)
 	}
@@ -113,9 +113,9 @@
 }
 
 func (e *Engine) dropJob(j *prefillJob) {
-	for i, x := range e.jobs {
+	for i, x := range e.prefills {
 		if x == j {
-			e.jobs = append(e.jobs[:i:i], e.jobs[i+1:]...)
+			e.prefills = append(e.prefills[:i:i], e.prefills[i+1:]...)
 			return
 		}
 	}
--- a/pkg/fake/fabric.go
+++ b/pkg/fake/fabric.go
@@ -62,7 +62,7 @@
 func (e *Engine) beginTransfer(handle string) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if _, ok := e.exports[handle]; !ok || e.dead {
+	if _, ok := e.exports[handle]; !ok || e.closed {
 		return &engine.ErrEngine{Code: engine.CodeGone, Detail: handle}
 	}
 	e.activeTransfers++
--- a/pkg/fleettest/caller.go
+++ b/pkg/fleettest/caller.go
@@ -34,14 +34,14 @@
 // sink collects the text that the client receives. A crashed gateway delivers
 // nothing.
 type sink struct {
-	text strings.Builder
-	dead func() bool
+	text    strings.Builder
+	crashed func() bool
 }
 
 // Text implements gateway.Sink.
 func (s *sink) Text(text string, _ int) error {
-	if s.dead() {
-		return &errNetwork{What: "gateway died"}
+	if s.crashed() {
+		return &errNetwork{What: "gateway crashed"}
 	}
 	s.text.WriteString(text)
 	return nil
@@ -68,7 +68,7 @@
 }
 
 func (f *Fleet) call(ctx context.Context, p *Process, c *Call, do func(context.Context, *sink) gateway.Result) *Call {
-	s := &sink{dead: p.crashed.Load}
+	s := &sink{crashed: p.crashed.Load}
 	c.Gateway, c.Began = p.Entry.Name, time.Now()
 	left := make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
--- a/pkg/fleettest/fleet.go
+++ b/pkg/fleettest/fleet.go
@@ -227,7 +227,7 @@
 	}
 	p := &Process{Entry: in, Node: n}
 	if e := f.Engines[in.Name]; e != nil {
-		o.Engine = &gated{Engine: e, dead: func() bool { return p.crashed.Load() }}
+		o.Engine = &gated{Engine: e, crashed: func() bool { return p.crashed.Load() }}
 	} else {
 		o.Service = f.Calls[in.Name]
 	}
--- a/pkg/fleettest/gated.go
+++ b/pkg/fleettest/gated.go
@@ -12,7 +12,7 @@
 // continues its work: the worst state that a crash can leave behind.
 type gated struct {
 	*fake.Engine
-	dead func() bool
+	crashed func() bool
 }
 
 // detach derives a context for the engine that is cancelled with ctx unless the
@@ -20,7 +20,7 @@
 func (g *gated) detach(ctx context.Context) (context.Context, context.CancelFunc) {
 	inner, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	stop := context.AfterFunc(ctx, func() {
-		if !g.dead() {
+		if !g.crashed() {
 			cancel()
 		}
 	})
@@ -39,7 +39,7 @@
 	inner, done := g.detach(ctx)
 	defer done()
 	return g.Engine.Decode(inner, d, imported, func(t engine.Token) error {
-		if g.dead() {
+		if g.crashed() {
 			return nil
 		}
 		return token(t)
@@ -48,7 +48,7 @@
 
 // Release implements engine.Engine.
 func (g *gated) Release(ctx context.Context, handle string) error {
-	if g.dead() {
+	if g.crashed() {
 		return &engine.ErrUnreachable{}
 	}
 	return g.Engine.Release(ctx, handle)
@@ -56,7 +56,7 @@
 
 // Cancel implements engine.Engine.
 func (g *gated) Cancel(ctx context.Context, id string) error {
-	if g.dead() {
+	if g.crashed() {
 		return &engine.ErrUnreachable{}
 	}
 	return g.Engine.Cancel(ctx, id)
