--- a/pkg/fake/engine_steps.go
+++ b/pkg/fake/engine_steps.go
@@ -9,7 +9,7 @@
 // run computes prefill chunks and decode steps until Close.
 func (e *Engine) run() {
 	for {
-		d := e.plan()
+		d := e.stepTime()
 		if d == 0 {
 			select {
 			case <-e.wake:
@@ -27,12 +27,12 @@
 	}
 }
 
-// plan returns the time of the next step, or 0 when there is no work.
-func (e *Engine) plan() time.Duration {
+// stepTime returns the duration of the next step, or 0 if there is no work.
+func (e *Engine) stepTime() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var d time.Duration
-	if j := e.first(); j != nil {
+	if j := e.mostUrgent(); j != nil {
 		d += e.chunkTime(j)
 	}
 	if n := len(e.running); n > 0 {
@@ -41,11 +41,12 @@
 	return d
 }
 
-// first returns the most urgent prefill. The caller holds the lock.
-func (e *Engine) first() *prefillJob {
+// mostUrgent returns the prefill with the highest priority, the oldest among
+// equals, or nil. The caller holds the lock.
+func (e *Engine) mostUrgent() *prefillJob {
 	var best *prefillJob
-	for _, j := range e.jobs {
-		if best == nil || j.order.Priority > best.order.Priority {
+	for _, j := range e.prefills {
+		if best == nil || j.call.Priority > best.call.Priority {
 			best = j
 		}
 	}
@@ -57,14 +58,15 @@
 	return time.Duration(float64(n) / e.spec.PrefillRate * float64(time.Second))
 }
 
-// advance records one step of work.
+// advance applies the results of one step: a prefill chunk and a token for each
+// running stream.
 func (e *Engine) advance() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.dead {
+	if e.closed {
 		return
 	}
-	if j := e.first(); j != nil {
+	if j := e.mostUrgent(); j != nil {
 		n := min(j.left, chunkTokens)
 		j.left -= n
 		j.done += n
@@ -78,31 +80,32 @@
 	for _, d := range append([]*decodeJob(nil), e.running...) {
 		e.emit(d)
 	}
-	e.reports = append(e.reports, loadReport{time.Now(), e.loadNow()})
-	e.trim()
+	e.reports = append(e.reports, loadReport{time.Now(), e.currentLoad()})
+	e.trimReports()
 }
 
 // emit generates the next token of a stream. The caller holds the lock.
 func (e *Engine) emit(d *decodeJob) {
-	t := engine.Token{Offset: d.next, Text: TokenText(d.order.Prompt, d.next)}
-	d.next++
+	t := engine.Token{Offset: d.nextOffset, Text: TokenText(d.call.Prompt, d.nextOffset)}
+	d.nextOffset++
 	e.stats.Decoded++
-	if d.next >= d.order.MaxTokens {
+	if d.nextOffset >= d.call.MaxTokens {
 		t.Final, t.Reason = true, "length"
 		e.dropDecode(d)
 	}
 	d.tokens <- t
 }
 
-// trim forgets load reports older than needed. The caller holds the lock.
-func (e *Engine) trim() {
+// trimReports drops load reports that are older than the one that Load returns.
+// The caller holds the lock.
+func (e *Engine) trimReports() {
 	old := time.Now().Add(-e.spec.ReportLag)
 	for len(e.reports) > 1 && e.reports[1].at.Before(old) {
 		e.reports = e.reports[1:]
 	}
 }
 
-func (e *Engine) kick() {
+func (e *Engine) signalWork() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
@@ -110,15 +113,16 @@
 }
 
 func (e *Engine) dropJob(j *prefillJob) {
-	for i, x := range e.jobs {
+	for i, x := range e.prefills {
 		if x == j {
-			e.jobs = append(e.jobs[:i:i], e.jobs[i+1:]...)
+			e.prefills = append(e.prefills[:i:i], e.prefills[i+1:]...)
 			return
 		}
 	}
 }
 
-// dropDecode frees a stream's memory. The caller holds the lock.
+// dropDecode removes a stream from the batch and frees its memory. It returns
+// false if the stream is not in the batch. The caller holds the lock.
 func (e *Engine) dropDecode(d *decodeJob) bool {
 	for i, x := range e.running {
 		if x == d {
