--- a/pkg/ingress/answers.go
+++ b/pkg/ingress/answers.go
@@ -119,7 +119,7 @@
 		return shortRetryAfter
 	}
 	up := x.g.drain.left(x.arrived) + restartTime
-	return max(shortRetryAfter, min(up, time.Duration(float64(x.call.Patience)*retryAfterShare)))
+	return max(shortRetryAfter, min(up, time.Duration(float64(x.call.Timeout)*retryAfterShare)))
 }
 
 // giveUp ends a request whose attempts have all failed. Only if no attempt can have run does the
@@ -257,7 +257,7 @@
 }
 
 // copyHeader copies the headers of a runner's response to the client's response.
-func (x *exchange) copyHeader(a *Answer) {
+func (x *exchange) copyHeader(a *Response) {
 	h := x.w.Header()
 	for name, values := range a.Header {
 		h[name] = values
--- a/pkg/ingress/call.go
+++ b/pkg/ingress/call.go
@@ -14,9 +14,9 @@
 type Call struct {
 	// ID identifies this request. A client that retries uses a new ID for each try.
 	ID string
-	// Patience is how long the client waits for its response, counted from the arrival of the
+	// Timeout is how long the client waits for its response, counted from the arrival of the
 	// request; 0 if the client does not specify it.
-	Patience time.Duration
+	Timeout time.Duration
 	// Method, Target and Host are forwarded as received. Path is the target without the query.
 	Method, Target, Host, Path string
 	// Header holds the headers to forward: without hop-by-hop headers, and without those that
@@ -35,10 +35,10 @@
 	After string
 }
 
-// Order holds the parameters of one call to a runner.
-type Order struct {
-	// Left is the time left for the runner to respond.
-	Left time.Duration
+// CallOptions holds the parameters of one call to a runner.
+type CallOptions struct {
+	// TimeLeft is the time left for the runner to respond.
+	TimeLeft time.Duration
 	// Source is the name, from Engines.Fetch, of the KV cache from which a decode continues; empty
 	// for none.
 	Source string
@@ -51,63 +51,63 @@
 	After string
 	// Priority is the priority of the request at the runner, from 0 (highest) to 9.
 	Priority int
-	// Keyed is set if clients authenticate by keys. Keys are then not forwarded: the runner
+	// KeysRequired is set if clients authenticate by keys. Keys are then not forwarded: the runner
 	// receives the Workspace instead, which is empty on routes that need no key.
-	Keyed     bool
-	Workspace string
+	KeysRequired bool
+	Workspace    string
 }
 
-// Answer is a runner's response to a call. The caller must close the body.
-type Answer struct {
+// Response is a runner's response to a call. The caller must close the body.
+type Response struct {
 	Status int
 	// Header holds the headers to forward to the client.
 	Header http.Header
 	Body   io.ReadCloser
 	// NotRun is set if the runner guarantees that it has not run the request and will not run it.
 	NotRun bool
-	// Elsewhere is set if another runner has the address now, or if the runner is in the wrong
+	// WrongRunner is set if another runner has the address now, or if the runner is in the wrong
 	// stage.
-	Elsewhere bool
-	// Whole is set if the response carries the runner's signature and its body is not encoded.
+	WrongRunner bool
+	// Verified is set if the response carries the runner's signature and its body is not encoded.
 	// Successful responses are forwarded only if it is set. It does not mean that the body is
 	// complete.
-	Whole bool
+	Verified bool
 }
 
 // OK reports whether the status is 2xx.
-func (a *Answer) OK() bool { return a.Status >= 200 && a.Status < 300 }
+func (a *Response) OK() bool { return a.Status >= 200 && a.Status < 300 }
 
-// Source is a prompt's KV cache on a prefill runner.
-type Source struct {
+// PrefilledCache is a prompt's KV cache on a prefill runner.
+type PrefilledCache struct {
 	Handle string
 	Tokens int
 }
 
-// Engines makes the calls to runners, engines as well as plain ones. Calls fail with
+// RunnerClient makes the calls to runners, engines as well as plain ones. Calls fail with
 // *upstream.ErrDial, *notice.ErrLeaving or *notice.ErrPaused if nothing was sent, with
 // *upstream.ErrExchange if the call may have run, and with *ErrDeclined if the runner refused. Send
 // does not fail if the runner refused; it sets Answer.NotRun or Answer.Elsewhere.
-type Engines interface {
+type RunnerClient interface {
 	// Send sends a client's request to a runner, which runs it.
-	Send(ctx context.Context, r *runners.State, c *Call, o Order) (*Answer, error)
+	Send(ctx context.Context, r *runners.State, c *Call, o CallOptions) (*Response, error)
 	// Prefill has a runner compute the KV cache of a request's prompt and keep it.
-	Prefill(ctx context.Context, r *runners.State, c *Call, o Order) (Source, error)
-	// Free releases a KV cache that no runner will fetch.
-	Free(ctx context.Context, r *runners.State, s Source) error
+	Prefill(ctx context.Context, r *runners.State, c *Call, o CallOptions) (PrefilledCache, error)
+	// ReleaseCache releases a KV cache that no runner will fetch.
+	ReleaseCache(ctx context.Context, r *runners.State, s PrefilledCache) error
 	// Hold reserves a slot, and memory for a number of tokens, on a runner.
 	Hold(ctx context.Context, r *runners.State, tokens int, ttl time.Duration) (string, error)
 	// Drop releases a hold.
 	Drop(ctx context.Context, r *runners.State, hold string) error
-	// Kept returns the prompts in a runner's KV cache: the number of tokens by Call.PromptID.
-	Kept(ctx context.Context, r *runners.State) (map[string]int, error)
+	// CachedPrompts returns the prompts in a runner's KV cache: the number of tokens by Call.PromptID.
+	CachedPrompts(ctx context.Context, r *runners.State) (map[string]int, error)
 	// Alive reports whether the same incarnation of a runner still responds, with whatever status.
 	// It fails with *ErrSilent if this can't be determined.
 	Alive(ctx context.Context, r *runners.State) (bool, error)
-	// Fetch returns the name by which another runner can fetch a KV cache.
-	Fetch(r *runners.State, s Source) string
+	// CacheName returns the name by which another runner can fetch a KV cache.
+	CacheName(r *runners.State, s PrefilledCache) string
 }
 
-// Reader parses the headers of a request into a Call. It does not read the body.
-type Reader interface {
+// RequestParser parses the headers of a request into a Call. It does not read the body.
+type RequestParser interface {
 	Read(r *http.Request) (*Call, error)
 }
--- a/pkg/ingress/drain_test.go
+++ b/pkg/ingress/drain_test.go
@@ -35,10 +35,10 @@
 	others := 1
 	in := New(Options{Neighbours: func() int { return others }})
 	in.StartDrain(0, 3*time.Second)
-	x := &exchange{g: in, arrived: time.Now(), call: &Call{Patience: 14 * time.Second}}
+	x := &exchange{g: in, arrived: time.Now(), call: &Call{Timeout: 14 * time.Second}}
 	g.Expect(x.drainRetryAfter()).To(Equal(shortRetryAfter))
 	others = 0
 	g.Expect(x.drainRetryAfter()).To(BeNumerically("~", 3*time.Second+restartTime, 100*time.Millisecond))
-	x.call.Patience = 3 * time.Second
+	x.call.Timeout = 3 * time.Second
 	g.Expect(x.drainRetryAfter()).To(BeNumerically("<=", time.Second))
 }
--- a/pkg/ingress/errors.go
+++ b/pkg/ingress/errors.go
@@ -14,14 +14,14 @@
 type ErrDeclined struct {
 	Runner string
 	Status int
-	// Elsewhere is set if the call reached another runner than the intended one, or one in the
+	// WrongRunner is set if the call reached another runner than the intended one, or one in the
 	// wrong stage.
-	Elsewhere bool
+	WrongRunner bool
 }
 
 // Error implements error.
 func (e *ErrDeclined) Error() string {
-	return fmt.Sprintf("declined: runner=%s status=%d elsewhere=%t", e.Runner, e.Status, e.Elsewhere)
+	return fmt.Sprintf("declined: runner=%s status=%d elsewhere=%t", e.Runner, e.Status, e.WrongRunner)
 }
 
 // ErrBadCall reports that a required field of a request is missing or malformed.
--- a/pkg/ingress/exchange.go
+++ b/pkg/ingress/exchange.go
@@ -92,9 +92,9 @@
 		share = 64 << 10
 	}
 	if !x.reserveMemory(share) {
-		return &ErrBusy{What: "bytes held for clients and runners", Limit: int(x.g.options.MaxHeld)}
+		return &ErrBusy{What: "bytes held for clients and runners", Limit: int(x.g.options.MaxBuffered)}
 	}
-	allowed := x.call.Patience
+	allowed := x.call.Timeout
 	if allowed <= 0 {
 		allowed = x.route.Timeout
 	}
@@ -122,7 +122,7 @@
 // releases them. When the memory is used up, a request whose body does not fit is refused: no work
 // has been done for it yet, and its client may retry. A response that does not fit is streamed.
 func (x *exchange) reserveMemory(n int64) bool {
-	if x.g.bufferedBytes.Add(n) > x.g.options.MaxHeld && n > 0 {
+	if x.g.bufferedBytes.Add(n) > x.g.options.MaxBuffered && n > 0 {
 		x.g.bufferedBytes.Add(-n)
 		return false
 	}
@@ -134,8 +134,8 @@
 // drain, whichever is first.
 func (x *exchange) withDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
 	limit, setBy := x.route.Timeout, "route"
-	if x.call.Patience > 0 && (limit <= 0 || x.call.Patience < limit) {
-		limit, setBy = x.call.Patience, "client"
+	if x.call.Timeout > 0 && (limit <= 0 || x.call.Timeout < limit) {
+		limit, setBy = x.call.Timeout, "client"
 	}
 	if left := x.g.drain.bound(x.arrived, limit); left != limit {
 		limit, setBy = left, "drain"
--- a/pkg/ingress/forward.go
+++ b/pkg/ingress/forward.go
@@ -117,15 +117,15 @@
 	runner.Sent(x.call.ID, time.Now())
 	ctx, cancel := context.WithCancel(x.ctx)
 	defer cancel()
-	response, err := x.g.options.Engines.Send(ctx, runner, x.call, x.order())
+	response, err := x.g.options.Runners.Send(ctx, runner, x.call, x.order())
 	if err != nil {
 		return x.sendFailed(life, n, runner, err)
 	}
 	defer response.Body.Close()
-	if response.NotRun || response.Elsewhere {
+	if response.NotRun || response.WrongRunner {
 		life.Withdraw(n)
 		x.declined(runner, response)
-		return notRun, &ErrDeclined{Runner: runner.ID, Status: response.Status, Elsewhere: response.Elsewhere}
+		return notRun, &ErrDeclined{Runner: runner.ID, Status: response.Status, WrongRunner: response.WrongRunner}
 	}
 	if response.Status >= http.StatusInternalServerError {
 		runner.Failed(time.Now())
@@ -135,7 +135,7 @@
 			return mayHaveRun, &ErrAnswer{Runner: runner.ID, Status: response.Status, Why: "runner failed"}
 		}
 	}
-	if response.OK() && !response.Whole {
+	if response.OK() && !response.Verified {
 		runner.Failed(time.Now())
 		return mayHaveRun, &ErrAnswer{Runner: runner.ID, Status: response.Status, Why: "not signed, or encoded"}
 	}
@@ -160,7 +160,7 @@
 
 // discard drains a response that is not forwarded, up to maxDiscarded. If the response is longer,
 // its connection is closed.
-func discard(a *Answer) { _, _ = io.CopyN(io.Discard, a.Body, maxDiscarded) }
+func discard(a *Response) { _, _ = io.CopyN(io.Discard, a.Body, maxDiscarded) }
 
 // sendFailed records a send that got no response.
 func (x *exchange) sendFailed(life *request.Life, n int, runner *runners.State, err error) (sendResult, error) {
@@ -189,19 +189,19 @@
 }
 
 // declined records a refusal by a runner.
-func (x *exchange) declined(runner *runners.State, a *Answer) {
-	if a.Elsewhere {
+func (x *exchange) declined(runner *runners.State, a *Response) {
+	if a.WrongRunner {
 		runner.MarkUnusable(time.Now())
 	} else {
 		runner.Declined(time.Now())
 	}
 	x.g.metrics.declined(a.Status)
-	x.logStep("declined", decisionlog.F("runner", runner.ID), decisionlog.F("status", a.Status), decisionlog.F("elsewhere", a.Elsewhere))
+	x.logStep("declined", decisionlog.F("runner", runner.ID), decisionlog.F("status", a.Status), decisionlog.F("elsewhere", a.WrongRunner))
 }
 
 // forwardResponse forwards a response to the client: buffered and in one piece if it is short,
 // streamed if it is long.
-func (x *exchange) forwardResponse(life *request.Life, n int, a *Answer, runner *runners.State) (sendResult, error) {
+func (x *exchange) forwardResponse(life *request.Life, n int, a *Response, runner *runners.State) (sendResult, error) {
 	buffered, whole, err := x.bufferBody(a.Body)
 	if err != nil {
 		runner.Failed(time.Now())
--- a/pkg/ingress/forward_test.go
+++ b/pkg/ingress/forward_test.go
@@ -87,7 +87,7 @@
 		in := New(Options{Name: fmt.Sprintf("g%d", i), Gateways: gateways})
 		table, err := routetable.New(routetable.Config{Version: 1, Services: map[string]routetable.Service{"s": {Name: "s", MaxConnections: most}}})
 		g.Expect(err).NotTo(HaveOccurred())
-		in.Use(table)
+		in.SetTable(table)
 		for _, id := range []string{"a", "b", "c"} {
 			in.Directory.Put(runners.Runner{ID: id, Service: "s"}, time.Now())
 		}
--- a/pkg/ingress/generate.go
+++ b/pkg/ingress/generate.go
@@ -90,7 +90,7 @@
 // prefill, then the decode.
 func (x *exchange) generate(engine *routetable.Engine) {
 	x.rank = enginepool.Fresh
-	if x.g.returning(x.route.Name, x.call.Patience) {
+	if x.g.returning(x.route.Name, x.call.Timeout) {
 		x.rank = enginepool.Returning
 	}
 	s := &generation{
@@ -206,7 +206,7 @@
 		return notRun, err
 	}
 	defer func() { s.pool.End(room.runner.ID, s.job.ID, time.Now()) }()
-	var source Source
+	var source PrefilledCache
 	var prefillRunner *runners.State
 	if !s.relay.begun && s.call.After == "" {
 		source, prefillRunner, err = s.prefill(room)
@@ -219,7 +219,7 @@
 }
 
 // decode runs the decode on the reserved runner and forwards its stream.
-func (s *generation) decode(n int, room *reservation, source Source, prefillRunner *runners.State) (sendResult, error) {
+func (s *generation) decode(n int, room *reservation, source PrefilledCache, prefillRunner *runners.State) (sendResult, error) {
 	runner := room.runner
 	if !runner.Usable(time.Now()) {
 		s.releaseKV(prefillRunner, source, "runner_left")
@@ -238,7 +238,7 @@
 	order := s.order()
 	order.Hold = room.hold
 	if prefillRunner != nil {
-		order.Source = s.g.options.Engines.Fetch(prefillRunner, source)
+		order.Source = s.g.options.Runners.CacheName(prefillRunner, source)
 	} else if s.cacheHolder != nil && s.cacheHolder.ID != runner.ID {
 		order.CacheFrom = s.cacheHolder
 	}
@@ -254,19 +254,19 @@
 	runner.Sent(s.job.ID, time.Now())
 	ctx, cancel := context.WithCancel(s.ctx)
 	defer cancel()
-	response, err := s.g.options.Engines.Send(ctx, runner, s.call, order)
+	response, err := s.g.options.Runners.Send(ctx, runner, s.call, order)
 	if err != nil {
 		s.releaseKV(prefillRunner, source, "decode_failed")
 		s.failedDecode[runner.ID] = true
 		return s.sendFailed(s.life, n, runner, err)
 	}
 	defer response.Body.Close()
-	if response.NotRun || response.Elsewhere {
+	if response.NotRun || response.WrongRunner {
 		s.life.Withdraw(n)
 		s.declined(runner, response)
 		s.avoidDeclining(runner)
 		s.recordLostCache(prefillRunner, source)
-		return notRun, &ErrDeclined{Runner: runner.ID, Status: response.Status, Elsewhere: response.Elsewhere}
+		return notRun, &ErrDeclined{Runner: runner.ID, Status: response.Status, WrongRunner: response.WrongRunner}
 	}
 	if prefillRunner != nil {
 		prefillRunner.Succeeded(time.Now())
@@ -297,9 +297,9 @@
 }
 
 // handleResponse forwards the response of a decode runner, or returns why it can't be forwarded.
-func (s *generation) handleResponse(n int, runner *runners.State, response *Answer) (sendResult, error) {
+func (s *generation) handleResponse(n int, runner *runners.State, response *Response) (sendResult, error) {
 	bad := &ErrAnswer{Runner: runner.ID, Status: response.Status, Why: "runner failed"}
-	if response.OK() && response.Whole {
+	if response.OK() && response.Verified {
 		return s.relay.forwardEvents(n, runner, response)
 	}
 	s.failedDecode[runner.ID] = true
--- a/pkg/ingress/identity.go
+++ b/pkg/ingress/identity.go
@@ -90,8 +90,8 @@
 }
 
 // order returns the parameters that all calls of the request share.
-func (x *exchange) order() Order {
-	o := Order{Left: x.timeLeft(), Priority: x.priority(), Keyed: x.table.Workspaces != nil}
+func (x *exchange) order() CallOptions {
+	o := CallOptions{TimeLeft: x.timeLeft(), Priority: x.priority(), KeysRequired: x.table.Workspaces != nil}
 	if x.workspace != nil {
 		o.Workspace = x.workspace.Name
 	}
--- a/pkg/ingress/identity_test.go
+++ b/pkg/ingress/identity_test.go
@@ -40,7 +40,7 @@
 func TestPublicRouteNeedsNoKey(t *testing.T) {
 	g := NewWithT(t)
 	in := New(Options{})
-	in.Use(tableWithKeys(t, 1, "k"))
+	in.SetTable(tableWithKeys(t, 1, "k"))
 	g.Expect(newExchange(in, "/open/").identify()).To(Succeed())
 	var bad *workspace.ErrCredential
 	g.Expect(errors.As(newExchange(in, "/closed/").identify(), &bad)).To(BeTrue())
@@ -48,13 +48,13 @@
 	g.Expect(x.identify()).To(Succeed())
 	x.ctx = t.Context()
 	g.Expect(x.order().Workspace).To(Equal("w"))
-	g.Expect(x.order().Keyed).To(BeTrue())
+	g.Expect(x.order().KeysRequired).To(BeTrue())
 }
 
 func TestWorkspacePriorityOverridesRoutePriority(t *testing.T) {
 	g := NewWithT(t)
 	in := New(Options{})
-	in.Use(tableWithKeys(t, 1, "k"))
+	in.SetTable(tableWithKeys(t, 1, "k"))
 	x := newExchange(in, "/closed/", "Bearer k")
 	x.ctx, x.route.Priority = t.Context(), 3
 	g.Expect(x.identify()).To(Succeed())
@@ -68,11 +68,11 @@
 func TestKeyRevokedWhileWaitingIsRefused(t *testing.T) {
 	g := NewWithT(t)
 	in := New(Options{})
-	in.Use(tableWithKeys(t, 1, "k"))
+	in.SetTable(tableWithKeys(t, 1, "k"))
 	x := newExchange(in, "/closed/", "Bearer k")
 	g.Expect(x.identify()).To(Succeed())
 	g.Expect(x.reconfirm()).To(Succeed())
-	in.Use(tableWithKeys(t, 2, "another"))
+	in.SetTable(tableWithKeys(t, 2, "another"))
 	g.Expect(notAllowed(x.reconfirm())).To(BeTrue())
 }
 
@@ -82,7 +82,7 @@
 	g := NewWithT(t)
 	confirmed := boottime.Now()
 	in := New(Options{Revocation: Revocation{After: time.Second, Confirmed: func() time.Time { return confirmed }}})
-	in.Use(tableWithKeys(t, 1, "k"))
+	in.SetTable(tableWithKeys(t, 1, "k"))
 	x := newExchange(in, "/closed/", "Bearer k")
 	g.Expect(x.identify()).To(Succeed())
 	t.Cleanup(boottime.Suspend(5 * time.Second))
@@ -97,7 +97,7 @@
 	g := NewWithT(t)
 	confirmed := time.Now()
 	in := New(Options{Revocation: Revocation{After: time.Second, Confirmed: func() time.Time { return confirmed }}})
-	in.Use(tableWithKeys(t, 1, "k"))
+	in.SetTable(tableWithKeys(t, 1, "k"))
 	x := newExchange(in, "/closed/", "Bearer k")
 	g.Expect(x.identify()).To(Succeed())
 	confirmed = time.Now().Add(-2 * time.Second)
@@ -108,6 +108,6 @@
 	}
 	g.Expect(newExchange(in, "/open/").identify()).To(Succeed())
 	open := New(Options{})
-	open.Use(tableWithKeys(t, 1, "k"))
+	open.SetTable(tableWithKeys(t, 1, "k"))
 	g.Expect(newExchange(open, "/closed/", "Bearer k").identify()).To(Succeed(), "Revocation.After is not set")
 }
--- a/pkg/ingress/ingress.go
+++ b/pkg/ingress/ingress.go
@@ -29,8 +29,8 @@
 	// Domain is the failure domain of the process, Regions the region of each failure domain.
 	Domain  string
 	Regions map[string]string
-	Engines Engines
-	Reader  Reader
+	Runners RunnerClient
+	Reader  RequestParser
 	Log     *decisionlog.Log
 	// Budget holds the retry limits, which all gateways share.
 	Budget retrybudget.Limits
@@ -38,8 +38,8 @@
 	Gateways int
 	// MaxOpen limits the requests served at once. MaxHeld limits the total bytes of request bodies
 	// and buffered responses.
-	MaxOpen int
-	MaxHeld int64
+	MaxOpen     int
+	MaxBuffered int64
 	// Neighbours returns the number of other gateways in the failure domain, to which the balancer
 	// sends clients first; nil if the number is unavailable.
 	Neighbours func() int
@@ -78,14 +78,14 @@
 // New returns an Ingress without routes.
 func New(o Options) *Ingress {
 	return &Ingress{
-		options: o, promptCaches: newPromptCaches(o.Engines, o.Log), Directory: runners.NewDirectory(o.Name), metrics: newMeters(), gateways: o.Gateways,
+		options: o, promptCaches: newPromptCaches(o.Runners, o.Log), Directory: runners.NewDirectory(o.Name), metrics: newMeters(), gateways: o.Gateways,
 		pools: map[string]*enginepool.Pool{}, budgets: map[string]*retrybudget.Budget{}, returnDetectors: map[string]*returnDetector{},
 	}
 }
 
-// Use puts a route table into force. It ignores a table that is not newer than the one in force and
+// SetTable puts a route table into force. It ignores a table that is not newer than the one in force and
 // returns false, so that the configuration never goes back.
-func (g *Ingress) Use(t *routetable.Table) bool {
+func (g *Ingress) SetTable(t *routetable.Table) bool {
 	for {
 		old := g.table.Load()
 		if old != nil && old.Config.Version >= t.Config.Version {
--- a/pkg/ingress/kept.go
+++ b/pkg/ingress/kept.go
@@ -25,7 +25,7 @@
 // promptCaches finds the engines that have a prompt in their KV cache. It asks them when a stream
 // is resumed, since the gateway that relayed the stream before may have been lost with its state.
 type promptCaches struct {
-	engines Engines
+	engines RunnerClient
 	log     *decisionlog.Log
 
 	mu    sync.Mutex
@@ -40,7 +40,7 @@
 	tokens map[string]int
 }
 
-func newPromptCaches(e Engines, l *decisionlog.Log) *promptCaches {
+func newPromptCaches(e RunnerClient, l *decisionlog.Log) *promptCaches {
 	return &promptCaches{engines: e, log: l, lists: map[string]*promptCacheList{}}
 }
 
@@ -86,7 +86,7 @@
 		call, cancel := context.WithTimeout(context.WithoutCancel(ctx), promptCacheTimeout)
 		defer cancel()
 		s.Called("", time.Now())
-		tokens, err := k.engines.Kept(call, s)
+		tokens, err := k.engines.CachedPrompts(call, s)
 		if err != nil {
 			k.log.Write(decisionlog.KindFailed, "kept_prompts_unknown", decisionlog.F("runner", s.ID), decisionlog.F("error", err))
 		}
--- a/pkg/ingress/kept_test.go
+++ b/pkg/ingress/kept_test.go
@@ -17,13 +17,13 @@
 // cachingEngines is a fake of the engines, one of which has a prompt in its cache. It counts the
 // calls.
 type cachingEngines struct {
-	Engines
+	RunnerClient
 	mu     sync.Mutex
 	holder string
 	calls  map[string]int
 }
 
-func (k *cachingEngines) Kept(_ context.Context, r *runners.State) (map[string]int, error) {
+func (k *cachingEngines) CachedPrompts(_ context.Context, r *runners.State) (map[string]int, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.calls[r.ID]++
--- a/pkg/ingress/prefill.go
+++ b/pkg/ingress/prefill.go
@@ -12,22 +12,22 @@
 
 // prefill computes the prompt on the prefill runner that is expected to finish first. If there is
 // none, the source is empty and the decode runner computes the prompt itself.
-func (s *generation) prefill(room *reservation) (Source, *runners.State, error) {
+func (s *generation) prefill(room *reservation) (PrefilledCache, *runners.State, error) {
 	var again *runners.State
 	for tries := 0; ; tries++ {
 		prefillRunner, expected, err := s.beginPrefill(room, again)
 		if err != nil {
 			s.logStep("no_prefill_runner", decisionlog.F("error", err))
-			return Source{}, nil, nil
+			return PrefilledCache{}, nil, nil
 		}
 		if failures := prefillRunner.Failures(time.Now()); expected > localPrefillAfter || failures > localPrefillFailureRate {
 			s.pool.EndPrefill(prefillRunner.ID, s.job.ID, false, time.Now())
 			s.logStep("prefill_local", decisionlog.F("expected", expected), decisionlog.F("failures", failures))
-			return Source{}, nil, nil
+			return PrefilledCache{}, nil, nil
 		}
 		if (tries > 0 || len(s.failedPrefill) > 0) && !s.mayPrefillAgain() {
 			s.pool.EndPrefill(prefillRunner.ID, s.job.ID, false, time.Now())
-			return Source{}, nil, nil
+			return PrefilledCache{}, nil, nil
 		}
 		began := time.Now()
 		source, err := s.callPrefill(prefillRunner, prefillTimeout(prefillRunner, expected))
@@ -39,7 +39,7 @@
 			return source, prefillRunner, nil
 		}
 		if reason := s.endReason(); reason != nil {
-			return Source{}, nil, reason
+			return PrefilledCache{}, nil, reason
 		}
 		s.logFailedStep("prefill_failed", prefillRunner.ID, err)
 		if noResponse(err) {
@@ -47,7 +47,7 @@
 		}
 		s.recordFailedPrefill(prefillRunner, err)
 		if tries+1 >= maxPrefills {
-			return Source{}, nil, nil
+			return PrefilledCache{}, nil, nil
 		}
 		if again = nil; tries == 0 && responseLost(err) {
 			again = prefillRunner
@@ -107,16 +107,16 @@
 	}
 }
 
-func (s *generation) callPrefill(prefillRunner *runners.State, limit time.Duration) (Source, error) {
+func (s *generation) callPrefill(prefillRunner *runners.State, limit time.Duration) (PrefilledCache, error) {
 	ctx, cancel := context.WithTimeout(s.ctx, limit)
 	defer cancel()
 	prefillRunner.Sent(s.job.ID, time.Now())
-	return s.g.options.Engines.Prefill(ctx, prefillRunner, s.call, s.order())
+	return s.g.options.Runners.Prefill(ctx, prefillRunner, s.call, s.order())
 }
 
 // recordLostCache records that the decode runner refused the request, probably because it could not
 // fetch the KV cache from the prefill runner. It counts as a failure of the prefill runner.
-func (s *generation) recordLostCache(prefillRunner *runners.State, source Source) {
+func (s *generation) recordLostCache(prefillRunner *runners.State, source PrefilledCache) {
 	if prefillRunner == nil {
 		return
 	}
@@ -132,7 +132,7 @@
 }
 
 // releaseKV releases a KV cache that no runner will fetch. It does not wait for the call.
-func (s *generation) releaseKV(prefillRunner *runners.State, source Source, reason string) {
+func (s *generation) releaseKV(prefillRunner *runners.State, source PrefilledCache, reason string) {
 	if prefillRunner == nil {
 		return
 	}
@@ -145,6 +145,6 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(s.ctx), releaseTimeout)
 		defer cancel()
-		_ = s.g.options.Engines.Free(ctx, prefillRunner, source)
+		_ = s.g.options.Runners.ReleaseCache(ctx, prefillRunner, source)
 	}()
 }
--- a/pkg/ingress/relay.go
+++ b/pkg/ingress/relay.go
@@ -44,7 +44,7 @@
 }
 
 // forwardEvents forwards the events of a response until its end.
-func (r *relay) forwardEvents(n int, runner *runners.State, a *Answer) (sendResult, error) {
+func (r *relay) forwardEvents(n int, runner *runners.State, a *Response) (sendResult, error) {
 	r.runner = runner.ID
 	began, before := time.Now(), r.events
 	in := bufio.NewReaderSize(a.Body, eventBuffer)
@@ -64,7 +64,7 @@
 }
 
 // complete completes the client's response.
-func (r *relay) complete(n int, runner *runners.State, a *Answer, began time.Time) (sendResult, error) {
+func (r *relay) complete(n int, runner *runners.State, a *Response, began time.Time) (sendResult, error) {
 	if !r.begun {
 		r.writeHeader(a)
 	}
@@ -92,7 +92,7 @@
 
 // writeHeader sends the header of the first response. It applies to the whole stream, also if
 // another runner resumes it.
-func (r *relay) writeHeader(a *Answer) {
+func (r *relay) writeHeader(a *Response) {
 	r.begun = true
 	r.s.g.metrics.firstEvent.UpdateDuration(r.s.arrived)
 	r.s.fields = append(r.s.fields, decisionlog.F("first_event", time.Since(r.s.arrived)))
@@ -101,7 +101,7 @@
 }
 
 // write sends one event to the client, unless the client has it already.
-func (r *relay) write(a *Answer, event []byte) error {
+func (r *relay) write(a *Response, event []byte) error {
 	id := eventID(event)
 	if id != "" && !later(id, r.last) {
 		return nil
--- a/pkg/ingress/reserve.go
+++ b/pkg/ingress/reserve.go
@@ -110,7 +110,7 @@
 	case errors.As(err, &dial):
 		runner.Unreachable(time.Now())
 	case errors.As(err, &declined):
-		if declined.Elsewhere {
+		if declined.WrongRunner {
 			runner.MarkUnusable(time.Now())
 		}
 	default:
@@ -133,7 +133,7 @@
 	ctx, cancel := context.WithTimeout(s.ctx, holdTimeout)
 	defer cancel()
 	runner.Called(s.job.ID, time.Now())
-	return s.g.options.Engines.Hold(ctx, runner, s.missingTokens(runner)+holdOutputTokens, s.holdTTL())
+	return s.g.options.Runners.Hold(ctx, runner, s.missingTokens(runner)+holdOutputTokens, s.holdTTL())
 }
 
 // holdTTL returns how long a hold lasts. A hold is not needed for longer than the latency target: by
@@ -160,6 +160,6 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(s.ctx), releaseTimeout)
 		defer cancel()
-		_ = s.g.options.Engines.Drop(ctx, p.runner, p.hold)
+		_ = s.g.options.Runners.Drop(ctx, p.runner, p.hold)
 	}()
 }
--- a/pkg/ingress/slow_test.go
+++ b/pkg/ingress/slow_test.go
@@ -44,10 +44,10 @@
 }
 
 // endlessEngines responds to all calls with an endless body.
-type endlessEngines struct{ Engines }
+type endlessEngines struct{ RunnerClient }
 
-func (endlessEngines) Send(ctx context.Context, _ *runners.State, _ *Call, _ Order) (*Answer, error) {
-	return &Answer{Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(zeros{}), Whole: true}, nil
+func (endlessEngines) Send(ctx context.Context, _ *runners.State, _ *Call, _ CallOptions) (*Response, error) {
+	return &Response{Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(zeros{}), Verified: true}, nil
 }
 
 type zeros struct{}
@@ -58,13 +58,13 @@
 type plainReader struct{}
 
 func (plainReader) Read(r *http.Request) (*Call, error) {
-	return &Call{ID: r.Header.Get("X-Request-Id"), Patience: time.Minute, Method: r.Method, Host: r.Host, Path: r.URL.Path, Header: http.Header{}}, nil
+	return &Call{ID: r.Header.Get("X-Request-Id"), Timeout: time.Minute, Method: r.Method, Host: r.Host, Path: r.URL.Path, Header: http.Header{}}, nil
 }
 
 // serveOnPipes starts an ingress with one plain runner, and returns it with its listener.
 func serveOnPipes(t *testing.T, maxHeld int64) (*Ingress, pipeListener) {
 	log := decisionlog.New("g", io.Discard)
-	in := New(Options{Engines: endlessEngines{}, Reader: plainReader{}, Log: log, MaxOpen: 4000, MaxHeld: maxHeld, Budget: retrybudget.Limits{Window: time.Second}})
+	in := New(Options{Runners: endlessEngines{}, Reader: plainReader{}, Log: log, MaxOpen: 4000, MaxBuffered: maxHeld, Budget: retrybudget.Limits{Window: time.Second}})
 	table, err := routetable.New(routetable.Config{
 		Version: 1, Services: map[string]routetable.Service{"s": {Name: "s"}}, Limits: routetable.Limits{BodyBytes: 1 << 20},
 		Routes: []routetable.Route{{Name: "r", Host: "h", PathPrefix: "/", Kind: routetable.Unsafe, Timeout: time.Minute, MaxAttempts: 1, Targets: []routetable.Target{{Service: "s", Weight: 1}}}},
@@ -72,7 +72,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	in.Use(table)
+	in.SetTable(table)
 	in.Directory.Put(runners.Runner{ID: "a", Service: "s"}, time.Now())
 	l := make(pipeListener)
 	server := &http.Server{Handler: in}
--- a/pkg/ingress/suspicion.go
+++ b/pkg/ingress/suspicion.go
@@ -65,7 +65,7 @@
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(x.ctx), aliveTimeout)
 		defer cancel()
 		runner.Called("", time.Now())
-		alive, err := x.g.options.Engines.Alive(ctx, runner)
+		alive, err := x.g.options.Runners.Alive(ctx, runner)
 		if err != nil {
 			x.logFailedStep("runner_not_asked", runner.ID, err, decisionlog.F("asked", digest))
 		}
--- a/pkg/process/feed.go
+++ b/pkg/process/feed.go
@@ -334,7 +334,7 @@
 		f.log.Write(decisionlog.KindFailed, "config_refused", decisionlog.F("revision", i.Revision), decisionlog.F("error", err))
 		return
 	}
-	used := f.ingress.Use(table)
+	used := f.ingress.SetTable(table)
 	if used {
 		f.inForce.Store(&i)
 	}
--- a/pkg/process/ingress.go
+++ b/pkg/process/ingress.go
@@ -105,9 +105,9 @@
 	allowance := c.Workspaces.Quota
 	p.quota = quota.New(quota.Allowance{Window: allowance.Window.D(), Overshoot: allowance.Overshoot, Slack: allowance.Slack}, quota.DefaultShares())
 	p.Ingress = ingress.New(ingress.Options{
-		Name: c.Instance.Name, Domain: c.Instance.Domain, Regions: c.Regions, Engines: calls, Reader: calls, Log: log,
+		Name: c.Instance.Name, Domain: c.Instance.Domain, Regions: c.Regions, Runners: calls, Reader: calls, Log: log,
 		Budget:   budgetLimits(c),
-		Gateways: initialGateways, MaxOpen: c.Limits.OpenRequests, MaxHeld: int64(heldMemoryFraction * float64(memory)),
+		Gateways: initialGateways, MaxOpen: c.Limits.OpenRequests, MaxBuffered: int64(heldMemoryFraction * float64(memory)),
 		Pool: p.poolOptions(c), Revocation: p.revocation(c), Quota: p.quota, Suspicion: p.suspicion(), Neighbours: func() int { return p.peers.Neighbours() },
 	})
 	p.Ingress.Directory.ColdShare = p.coldShare
