--- a/pkg/peers/convert.go
+++ b/pkg/peers/convert.go
@@ -80,7 +80,7 @@
 func encodeStageChanges(changes []runners.StageChange) []*wirepb.StageChange {
 	out := make([]*wirepb.StageChange, 0, len(changes))
 	for _, c := range changes {
-		out = append(out, &wirepb.StageChange{Runner: c.Runner, Stage: string(c.To), RemainingMs: uint32(c.Left.Milliseconds())})
+		out = append(out, &wirepb.StageChange{Runner: c.Runner, Stage: string(c.To), RemainingMs: uint32(c.Remaining.Milliseconds())})
 	}
 	return out
 }
@@ -88,7 +88,7 @@
 func decodeStageChanges(changes []*wirepb.StageChange) []runners.StageChange {
 	out := make([]runners.StageChange, 0, len(changes))
 	for _, c := range changes {
-		out = append(out, runners.StageChange{Runner: c.Runner, To: runners.Stage(c.Stage), Left: time.Duration(c.RemainingMs) * time.Millisecond})
+		out = append(out, runners.StageChange{Runner: c.Runner, To: runners.Stage(c.Stage), Remaining: time.Duration(c.RemainingMs) * time.Millisecond})
 	}
 	return out
 }
--- a/pkg/peers/peers_test.go
+++ b/pkg/peers/peers_test.go
@@ -263,7 +263,7 @@
 	for _, w := range []*gateway{b, c} {
 		g.Eventually(func() bool { _, ok := a.receivedFrom(w.options.Name); return ok }, "20s").Should(BeTrue())
 	}
-	changes := []runners.StageChange{{Runner: "e", To: runners.Prefill, Left: 1500 * time.Millisecond}}
+	changes := []runners.StageChange{{Runner: "e", To: runners.Prefill, Remaining: 1500 * time.Millisecond}}
 	a.SendStageChanges(changes, time.Now())
 	for _, w := range []*gateway{b, c} {
 		g.Eventually(func() []runners.StageChange { w.mu.Lock(); defer w.mu.Unlock(); return w.changes }, "20s").Should(Equal(changes))
--- a/pkg/process/feed.go
+++ b/pkg/process/feed.go
@@ -319,7 +319,7 @@
 // applyStageChange applies a stage change in progress. Its engine must already be in the directory.
 func (f *feed) applyStageChange(i store.Item) {
 	if id, ok := strings.CutPrefix(i.Key, changePrefix); ok {
-		f.ingress.ReceiveStageChanges([]runners.StageChange{{Runner: id, To: runners.Stage(i.Value), Left: maxStageChange}})
+		f.ingress.ReceiveStageChanges([]runners.StageChange{{Runner: id, To: runners.Stage(i.Value), Remaining: maxStageChange}})
 	}
 }
 
--- a/pkg/process/order.go
+++ b/pkg/process/order.go
@@ -55,7 +55,7 @@
 func (s *stager) announcement(changes []staging.Change) []runners.StageChange {
 	out := make([]runners.StageChange, 0, len(changes))
 	for _, c := range changes {
-		out = append(out, runners.StageChange{Runner: c.Runner.ID, To: c.Stage, Left: s.changeLimit(c.Runner.Service)})
+		out = append(out, runners.StageChange{Runner: c.Runner.ID, To: c.Stage, Remaining: s.changeLimit(c.Runner.Service)})
 	}
 	return out
 }
--- a/pkg/runners/stagechange.go
+++ b/pkg/runners/stagechange.go
@@ -9,9 +9,9 @@
 	// Runner is the engine's ID.
 	Runner string
 	To     Stage
-	// Left is how much longer the change may take. After that the order counts as lost, and the
+	// Remaining is how much longer the change may take. After that the order counts as lost, and the
 	// engine gets work of its old stage again.
-	Left time.Duration
+	Remaining time.Duration
 }
 
 // pendingChange is a StageChange as it is recorded for one runner; the zero value is none.
@@ -66,9 +66,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	recorded := s.change.active(now) && s.change.to == c.To
-	if recorded || s.Stage == c.To || c.Left <= 0 {
+	if recorded || s.Stage == c.To || c.Remaining <= 0 {
 		return false
 	}
-	s.change = pendingChange{to: c.To, until: now.Add(c.Left)}
+	s.change = pendingChange{to: c.To, until: now.Add(c.Remaining)}
 	return true
 }
--- a/pkg/runners/stagechange_test.go
+++ b/pkg/runners/stagechange_test.go
@@ -18,7 +18,7 @@
 	var out []StageChange
 	for id, s := range d.all {
 		if to, changing := s.Changing(now); changing {
-			out = append(out, StageChange{Runner: id, To: to, Left: s.change.until.Sub(now)})
+			out = append(out, StageChange{Runner: id, To: to, Remaining: s.change.until.Sub(now)})
 		}
 	}
 	return out
@@ -62,7 +62,7 @@
 	g := NewWithT(t)
 	now := time.Now()
 	d := engineDirectory("e", Prefill)
-	d.ReceiveStageChanges([]StageChange{{Runner: "e", To: Prefill, Left: time.Second}, {Runner: "unknown", To: Decode, Left: time.Second}}, now)
+	d.ReceiveStageChanges([]StageChange{{Runner: "e", To: Prefill, Remaining: time.Second}, {Runner: "unknown", To: Decode, Remaining: time.Second}}, now)
 	g.Expect(d.Usable("s", Prefill, now)).To(HaveLen(1))
 }
 
