--- a/pkg/enginepool/enginepool_test.go
+++ b/pkg/enginepool/enginepool_test.go
@@ -27,7 +27,7 @@
 	for i := range prefill {
 		d.Put(runners.Runner{ID: "p" + string(rune('0'+i)), Service: "llm", Domain: "z" + string(rune('0'+i%2)), Stage: runners.Prefill}, time.Now())
 	}
-	p := New("llm", d, Options{Fill: 1, Refused: 50 * time.Millisecond})
+	p := New("llm", d, Options{Fill: 1, RefusalPause: 50 * time.Millisecond})
 	p.Configure(Spec{Memory: memory, Slots: 64})
 	return p, d
 }
@@ -189,7 +189,7 @@
 	g := NewWithT(t)
 	p, _ := pool(0, 2, 1000)
 	now := time.Now()
-	p.ReceiveSnapshot("other", Snapshot{Engines: []EngineLoad{{Runner: "p0", Reading: 50000}}}, now)
+	p.ReceiveSnapshot("other", Snapshot{Engines: []EngineLoad{{Runner: "p0", PrefillTokens: 50000}}}, now)
 	s, expected, err := p.BeginPrefill(Prompt{ID: "a", Tokens: 3000, Domain: "z0"}, now)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(s.ID).To(Equal("p1"))
@@ -286,7 +286,7 @@
 	p, _ := pool(8, 8, 10000)
 	var loads []EngineLoad
 	for i := range 7 {
-		loads = append(loads, EngineLoad{Runner: fmt.Sprint("d", i+1), Loads: []Load{{Now: 100 * (i + 1)}}}, EngineLoad{Runner: fmt.Sprint("p", i+1), Reading: 5000 * (i + 1)})
+		loads = append(loads, EngineLoad{Runner: fmt.Sprint("d", i+1), Loads: []Load{{Now: 100 * (i + 1)}}}, EngineLoad{Runner: fmt.Sprint("p", i+1), PrefillTokens: 5000 * (i + 1)})
 	}
 	p.ReceiveSnapshot("g0", Snapshot{Full: true, Engines: loads}, time.Now())
 	for range 20 {
--- a/pkg/enginepool/pool.go
+++ b/pkg/enginepool/pool.go
@@ -27,8 +27,8 @@
 	// Deviations is the margin of memory that is kept free for responses longer than
 	// expected, in standard deviations; see engine.room.
 	Deviations float64
-	// Refused is how long a runner is skipped after it refused a reservation.
-	Refused time.Duration
+	// RefusalPause is how long a runner is skipped after it refused a reservation.
+	RefusalPause time.Duration
 	// Uses reports whether a runner is in this gateway's subset; nil uses all runners.
 	Uses func(runner string) bool
 	// Changed is called, with the pool locked, after a change that should be reported to
@@ -45,7 +45,7 @@
 
 // DefaultOptions returns the options that a gateway uses.
 func DefaultOptions() Options {
-	return Options{Fill: 0.98, Deviations: defaultDeviations, Refused: 60 * time.Millisecond}
+	return Options{Fill: 0.98, Deviations: defaultDeviations, RefusalPause: 60 * time.Millisecond}
 }
 
 // defaultDeviations is the default of Options.Deviations: with no margin engines preempt
@@ -223,7 +223,7 @@
 	delete(e.own, id)
 	p.release(runner, id)
 	p.recordChange(e)
-	e.refusedUntil = now.Add(p.options.Refused)
+	e.refusedUntil = now.Add(p.options.RefusalPause)
 }
 
 // Made records how many tokens of a response have been received so far.
--- a/pkg/enginepool/snapshot.go
+++ b/pkg/enginepool/snapshot.go
@@ -17,8 +17,8 @@
 	// Runner is the engine's runner ID.
 	Runner string
 	Loads  []Load
-	// Reading is the number of prompt tokens that the engine prefills for the gateway.
-	Reading int
+	// PrefillTokens is the number of prompt tokens that the engine prefills for the gateway.
+	PrefillTokens int
 }
 
 // Snapshot returns the engines that changed after a revision, and the current revision.
@@ -28,11 +28,11 @@
 	defer p.mu.Unlock()
 	out := Snapshot{Full: since == 0, Waiting: len(p.waiting)}
 	for id, e := range p.engines {
-		load := EngineLoad{Runner: id, Reading: p.ownPrefillTokens(id)}
+		load := EngineLoad{Runner: id, PrefillTokens: p.ownPrefillTokens(id)}
 		for _, b := range e.own {
 			load.Loads = append(load.Loads, Load{Now: b.job.Prompt + b.generated, Left: b.remaining()})
 		}
-		if out.Full && (len(load.Loads) > 0 || load.Reading > 0) || !out.Full && e.changedRevision > since {
+		if out.Full && (len(load.Loads) > 0 || load.PrefillTokens > 0) || !out.Full && e.changedRevision > since {
 			out.Engines = append(out.Engines, load)
 		}
 	}
@@ -61,8 +61,8 @@
 			e.peers[gateway] = peerLoads{loads: l.Loads, at: now}
 			reported[l.Runner] = e
 		}
-		if l.Reading > 0 {
-			e.prefillTokens[gateway] = l.Reading
+		if l.PrefillTokens > 0 {
+			e.prefillTokens[gateway] = l.PrefillTokens
 			reported[l.Runner] = e
 		}
 	}
--- a/pkg/enginepool/status.go
+++ b/pkg/enginepool/status.go
@@ -14,9 +14,9 @@
 	// Reserved is the mean fraction of the decode engines' memory that is in use now,
 	// without what responses are expected to add.
 	Reserved float64
-	// Waiting is how many jobs wait at all gateways; Reading is how many prompt tokens
+	// Waiting is how many jobs wait at all gateways; PrefillTokens is how many prompt tokens
 	// wait or are being processed at prefill engines.
-	Waiting, Reading int
+	Waiting, PrefillTokens int
 }
 
 // Status returns the current state of the service's engines.
@@ -34,7 +34,7 @@
 			s.Changing++
 		case r.Stage == runners.Prefill:
 			s.Prefill++
-			s.Reading += p.backlog(r.ID)
+			s.PrefillTokens += p.backlog(r.ID)
 		case r.Stage == runners.Decode:
 			s.Decode++
 			s.Reserved += p.engine(r.ID).usedShare(now, p.rate)
--- a/pkg/ingressdemo/view.go
+++ b/pkg/ingressdemo/view.go
@@ -55,7 +55,7 @@
 		return 0, 0, 0
 	}
 	s := pool.Status(now)
-	return s.Waiting, s.Reading, s.Reserved
+	return s.Waiting, s.PrefillTokens, s.Reserved
 }
 
 // writeRunners writes each runner's stage, state, work and memory.
--- a/pkg/peers/convert.go
+++ b/pkg/peers/convert.go
@@ -16,7 +16,7 @@
 	for service, s := range snapshots {
 		pool := &wirepb.GatewayPool{Service: service, Waiting: uint32(s.Waiting), Full: s.Full}
 		for _, l := range s.Engines {
-			e := &wirepb.EngineLoad{Runner: l.Runner, Reading: uint32(l.Reading)}
+			e := &wirepb.EngineLoad{Runner: l.Runner, Reading: uint32(l.PrefillTokens)}
 			for _, r := range l.Loads {
 				e.Now = append(e.Now, uint32(r.Now))
 				e.Left = append(e.Left, uint32(r.Left))
@@ -35,7 +35,7 @@
 	for _, pool := range s.Pools {
 		p := enginepool.Snapshot{Full: pool.Full, Waiting: int(pool.Waiting)}
 		for _, e := range pool.Engines {
-			load := enginepool.EngineLoad{Runner: e.Runner, Reading: int(e.Reading)}
+			load := enginepool.EngineLoad{Runner: e.Runner, PrefillTokens: int(e.Reading)}
 			for i := range min(len(e.Now), len(e.Left)) {
 				if len(e.Now) == len(e.Left) {
 					load.Loads = append(load.Loads, enginepool.Load{Now: int(e.Now[i]), Left: int(e.Left[i])})
--- a/pkg/peers/peers_test.go
+++ b/pkg/peers/peers_test.go
@@ -148,7 +148,7 @@
 		g := NewWithT(t)
 		s := enginepool.Snapshot{Full: rapid.Bool().Draw(t, "full"), Waiting: rapid.IntRange(0, 9).Draw(t, "waiting")}
 		for i := range rapid.IntRange(0, 4).Draw(t, "engines") {
-			e := enginepool.EngineLoad{Runner: string(rune('a' + i)), Reading: rapid.IntRange(0, 999).Draw(t, "reading")}
+			e := enginepool.EngineLoad{Runner: string(rune('a' + i)), PrefillTokens: rapid.IntRange(0, 999).Draw(t, "reading")}
 			for range rapid.IntRange(0, 3).Draw(t, "loads") {
 				e.Loads = append(e.Loads, enginepool.Load{Now: rapid.IntRange(0, 9999).Draw(t, "now"), Left: rapid.IntRange(0, 999).Draw(t, "left")})
 			}
--- a/pkg/process/stager.go
+++ b/pkg/process/stager.go
@@ -290,7 +290,7 @@
 		return true
 	}
 	status := pool.Status(now)
-	return status.Reserved == 0 && status.Reading == 0 && status.Waiting == 0
+	return status.Reserved == 0 && status.PrefillTokens == 0 && status.Waiting == 0
 }
 
 // settled reports whether the number of engines has been unchanged for settleTime.
