--- a/pkg/process/stager.go
+++ b/pkg/process/stager.go
@@ -254,7 +254,7 @@
 		Admits: func(r *runners.State) bool { return r.Admits(notice.Work, now) == nil },
 	}
 	if pool := s.ingress.Pools()[service]; pool != nil {
-		out.Learned, _ = pool.PrefillShare()
+		out.LearnedShare, _ = pool.PrefillShare()
 		out.Load = func(r *runners.State) float64 { return pool.Load(r.ID, now) }
 	}
 	return out
--- a/pkg/staging/staging.go
+++ b/pkg/staging/staging.go
@@ -17,11 +17,11 @@
 	// peaks, Margin times the square root of the number of engines is added: the more
 	// engines share the load, the smaller its peaks are.
 	Share, Margin float64
-	// Load times the learned fraction of the engines' time that prefill takes is used in
+	// LearnedFactor times the learned fraction of the engines' time that prefill takes is used in
 	// place of Share if it leads to a clearly different number.
-	Load float64
-	// Least is the minimum number of prefill engines.
-	Least int
+	LearnedFactor float64
+	// MinPrefill is the minimum number of prefill engines.
+	MinPrefill int
 	// Patience is how long the stages must differ from the wanted ones before a change. It
 	// is applied by the caller of Plan, as is Pause.
 	Patience time.Duration
@@ -32,7 +32,7 @@
 
 // DefaultPolicy returns the policy that a gateway uses.
 func DefaultPolicy() Policy {
-	return Policy{Share: 0.19, Margin: 0.5, Load: 0.8, Least: 2, Patience: 4 * time.Second, Pause: 15 * time.Second}
+	return Policy{Share: 0.19, Margin: 0.5, LearnedFactor: 0.8, MinPrefill: 2, Patience: 4 * time.Second, Pause: 15 * time.Second}
 }
 
 // Change is the change of one engine to a new stage.
@@ -49,14 +49,14 @@
 // leads to a clearly different number, because an engine serves no requests while it
 // changes its stage.
 func (p Policy) Wanted(engines int, learned float64) int {
-	if engines < 2*p.Least {
-		return min(p.Least, engines/2)
+	if engines < 2*p.MinPrefill {
+		return min(p.MinPrefill, engines/2)
 	}
 	usual := p.count(engines, p.Share)
 	if learned == 0 {
 		return usual
 	}
-	count := p.count(engines, p.Load*learned)
+	count := p.count(engines, p.LearnedFactor*learned)
 	if band := max(tolerance, engines/differenceDivisor); count >= usual-band && count <= usual+band {
 		return usual
 	}
@@ -74,15 +74,15 @@
 func (p Policy) count(engines int, share float64) int {
 	n := float64(engines)
 	wanted := int(math.Round(share*n + p.Margin*math.Sqrt(n)))
-	return min(max(p.Least, wanted), engines-1)
+	return min(max(p.MinPrefill, wanted), engines-1)
 }
 
 // Situation is the input of a plan.
 type Situation struct {
 	// Engines are the engines of a service that are alive and not leaving.
 	Engines []*runners.State
-	// Learned is the fraction of their time that prefill takes, 0 for unknown; see Wanted.
-	Learned float64
+	// LearnedShare is the fraction of their time that prefill takes, 0 for unknown; see Wanted.
+	LearnedShare float64
 	// Exact asks for exactly the wanted stages, as is possible without load; otherwise a
 	// difference within the tolerance remains.
 	Exact bool
@@ -119,7 +119,7 @@
 		}
 	}
 	prefill, decode := counts[runners.Prefill], counts[runners.Decode]
-	delta := p.Wanted(prefill+decode, x.Learned) - prefill
+	delta := p.Wanted(prefill+decode, x.LearnedShare) - prefill
 	if !x.Exact {
 		delta = p.excess(delta, prefill, decode)
 	}
@@ -141,7 +141,7 @@
 func (p Policy) excess(delta, prefill, decode int) int {
 	switch {
 	case delta > 0:
-		return max(delta-tolerance, min(delta, p.Least-prefill), 0)
+		return max(delta-tolerance, min(delta, p.MinPrefill-prefill), 0)
 	case delta < 0 && decode == 0:
 		return min(delta+tolerance, -1)
 	case delta < 0:
--- a/pkg/staging/staging_test.go
+++ b/pkg/staging/staging_test.go
@@ -51,7 +51,7 @@
 		total := prefill + decode
 		g.Expect(p.Plan(Situation{Engines: all, Exact: true}, now)).To(BeEmpty(), "changing engines count in their new stage")
 		g.Expect(after).To(And(BeNumerically(">=", 1), BeNumerically("<", total)))
-		if total >= 2*p.Least {
+		if total >= 2*p.MinPrefill {
 			g.Expect(after).To(Equal(p.Wanted(total, 0)))
 		}
 	})
@@ -63,7 +63,7 @@
 	spectest.Check(t, func(t *rapid.T) {
 		p, now := DefaultPolicy(), time.Now()
 		prefill, decode := rapid.IntRange(0, 12).Draw(t, "prefill"), rapid.IntRange(0, 12).Draw(t, "decode")
-		x := Situation{Engines: engines(prefill, decode), Exact: rapid.Bool().Draw(t, "exact"), Learned: rapid.Float64Range(0, 1).Draw(t, "learned")}
+		x := Situation{Engines: engines(prefill, decode), Exact: rapid.Bool().Draw(t, "exact"), LearnedShare: rapid.Float64Range(0, 1).Draw(t, "learned")}
 		total, after := prefill+decode, prefill
 		for _, c := range p.Plan(x, now) {
 			if c.Urgent != (c.Stage == runners.Prefill && prefill == 0 || c.Stage == runners.Decode && decode == 0) {
@@ -118,7 +118,7 @@
 	g.Expect(p.Wanted(12, 0)).To(Equal(4))
 	g.Expect(p.Plan(Situation{Engines: engines(2, 10), Exact: false}, now)).To(HaveLen(1))
 	g.Expect(p.Plan(Situation{Engines: engines(7, 5), Exact: false}, now)).To(HaveLen(2))
-	g.Expect(p.Wanted(4, 0)).To(Equal(p.Least))
+	g.Expect(p.Wanted(4, 0)).To(Equal(p.MinPrefill))
 	g.Expect(p.Plan(Situation{Engines: engines(1, 3), Exact: false}, now)).To(HaveLen(1), "the minimum is ensured")
 }
 
@@ -156,11 +156,11 @@
 		}
 		g.Expect(p.Wanted(engines, 0.54)).To(BeNumerically(">", p.Wanted(engines, 0)))
 		g.Expect(p.Wanted(engines, 1)).To(BeNumerically("<", engines))
-		g.Expect(p.Wanted(engines, 0.001)).To(BeNumerically(">=", p.Least))
+		g.Expect(p.Wanted(engines, 0.001)).To(BeNumerically(">=", p.MinPrefill))
 	}
 	g.Expect(p.Wanted(9, 0.54)).To(Equal(5))
-	g.Expect(p.Plan(Situation{Engines: engines(3, 6), Learned: 0.54, Exact: false}, time.Now())).To(HaveLen(1), "under load only beyond the tolerance")
-	g.Expect(p.Plan(Situation{Engines: engines(3, 6), Learned: 0.54, Exact: true}, time.Now())).To(HaveLen(2))
+	g.Expect(p.Plan(Situation{Engines: engines(3, 6), LearnedShare: 0.54, Exact: false}, time.Now())).To(HaveLen(1), "under load only beyond the tolerance")
+	g.Expect(p.Plan(Situation{Engines: engines(3, 6), LearnedShare: 0.54, Exact: true}, time.Now())).To(HaveLen(2))
 }
 
 // The engine with the least work changes first within the domain with the most engines.
