--- a/pkg/enginepool/pool.go
+++ b/pkg/enginepool/pool.go
@@ -150,7 +150,7 @@
 		return nil
 	}
 	s := p.directory.Find(w.prefer)
-	if s == nil || s.Stage != runners.Decode || !s.Usable(now) || s.Resting(now) {
+	if s == nil || s.Stage != runners.Decode || !s.Usable(now) || s.Ejected(now) {
 		return nil
 	}
 	if _, fits := p.score(s, w, now); !fits {
--- a/pkg/ingress/forward.go
+++ b/pkg/ingress/forward.go
@@ -110,8 +110,8 @@
 	if err := life.Send(n); err != nil {
 		return mayHaveRun, err
 	}
-	runner.Enter()
-	defer runner.Leave()
+	runner.BeginRequest()
+	defer runner.EndRequest()
 	x.sends++
 	x.logRunnerLimit(runner)
 	runner.Sent(x.call.ID, time.Now())
@@ -141,7 +141,7 @@
 	}
 	v, err := x.forwardResponse(life, n, response, runner)
 	if err == nil && response.Status < http.StatusInternalServerError {
-		runner.Answered(time.Since(began))
+		runner.Completed(time.Since(began))
 	}
 	return v, err
 }
--- a/pkg/ingress/forward_test.go
+++ b/pkg/ingress/forward_test.go
@@ -62,17 +62,17 @@
 	good, bad := in.Directory.Find("good"), in.Directory.Find("bad")
 	now := time.Now()
 	for range 3 {
-		good.Answered(50 * time.Millisecond)
-		bad.Answered(50 * time.Millisecond)
+		good.Completed(50 * time.Millisecond)
+		bad.Completed(50 * time.Millisecond)
 	}
 	bad.Failed(now)
 	for range 2 {
-		good.Enter()
+		good.BeginRequest()
 	}
 	g.Expect(chosen(in, plainRequest{service: "s", repeatable: true}).ID).To(Equal("bad"))
 	g.Expect(chosen(in, plainRequest{service: "s"}).ID).To(Equal("good"))
 	for range 10 {
-		good.Enter()
+		good.BeginRequest()
 	}
 	g.Expect(chosen(in, plainRequest{service: "s"}).ID).To(Equal("bad"), "the other runner can't serve everything")
 }
--- a/pkg/ingress/kept.go
+++ b/pkg/ingress/kept.go
@@ -85,7 +85,7 @@
 		defer close(list.done)
 		call, cancel := context.WithTimeout(context.WithoutCancel(ctx), promptCacheTimeout)
 		defer cancel()
-		s.Called("", time.Now())
+		s.CallSent("", time.Now())
 		tokens, err := k.engines.CachedPrompts(call, s)
 		if err != nil {
 			k.log.Write(decisionlog.KindFailed, "kept_prompts_unknown", decisionlog.F("runner", s.ID), decisionlog.F("error", err))
--- a/pkg/ingress/prefill.go
+++ b/pkg/ingress/prefill.go
@@ -141,7 +141,7 @@
 		reason = "client_gone"
 	}
 	s.recordWasted(reason, prefillRunner, source.Tokens)
-	prefillRunner.Called("", time.Now())
+	prefillRunner.CallSent("", time.Now())
 	go func() {
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(s.ctx), releaseTimeout)
 		defer cancel()
--- a/pkg/ingress/relay.go
+++ b/pkg/ingress/relay.go
@@ -68,7 +68,7 @@
 	if !r.begun {
 		r.writeHeader(a)
 	}
-	runner.Answered(time.Since(began))
+	runner.Completed(time.Since(began))
 	r.s.pool.Lengths.Learn(r.s.lengthHint(), r.events*r.s.engine.TokensPerEvent)
 	r.s.exchange.recordEnd(r.s.life, n)
 	r.s.recordCompleted()
--- a/pkg/ingress/reserve.go
+++ b/pkg/ingress/reserve.go
@@ -132,7 +132,7 @@
 func (s *generation) hold(runner *runners.State) (string, error) {
 	ctx, cancel := context.WithTimeout(s.ctx, holdTimeout)
 	defer cancel()
-	runner.Called(s.job.ID, time.Now())
+	runner.CallSent(s.job.ID, time.Now())
 	return s.g.options.Runners.Hold(ctx, runner, s.missingTokens(runner)+holdOutputTokens, s.holdTTL())
 }
 
@@ -156,7 +156,7 @@
 
 // dropHold releases a hold. It does not wait for the call, which continues after the request ends.
 func (s *generation) dropHold(p *reservation) {
-	p.runner.Called("", time.Now())
+	p.runner.CallSent("", time.Now())
 	go func() {
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(s.ctx), releaseTimeout)
 		defer cancel()
--- a/pkg/ingress/suspicion.go
+++ b/pkg/ingress/suspicion.go
@@ -64,7 +64,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(x.ctx), aliveTimeout)
 		defer cancel()
-		runner.Called("", time.Now())
+		runner.CallSent("", time.Now())
 		alive, err := x.g.options.Runners.Alive(ctx, runner)
 		if err != nil {
 			x.logFailedStep("runner_not_asked", runner.ID, err, decisionlog.F("asked", digest))
--- a/pkg/process/feed.go
+++ b/pkg/process/feed.go
@@ -220,8 +220,8 @@
 	for _, i := range items {
 		f.applyStageChange(i)
 	}
-	f.ingress.Directory.Keep(names, time.Now())
-	for _, domain := range f.ingress.Directory.KeepEvacuated(evacuated, time.Now()) {
+	f.ingress.Directory.SyncRunners(names, time.Now())
+	for _, domain := range f.ingress.Directory.SyncEvacuated(evacuated, time.Now()) {
 		f.logEvacuation(domain, false, at)
 	}
 	f.onOrderLock(free)
@@ -282,7 +282,7 @@
 		return
 	}
 	if name, ok := platform.RunnerName(e.Key); ok && e.Gone {
-		f.ingress.Directory.Gone(name, time.Now())
+		f.ingress.Directory.Remove(name, time.Now())
 		return
 	}
 	if domain, ok := platform.EvacuatedDomain(e.Key); ok && e.Gone {
@@ -349,7 +349,7 @@
 	if err != nil {
 		f.log.Write(decisionlog.KindFailed, "runner_refused", decisionlog.F("key", i.Key), decisionlog.F("error", err))
 		if name, ok := platform.RunnerName(i.Key); ok {
-			f.ingress.Directory.Gone(name, time.Now())
+			f.ingress.Directory.Remove(name, time.Now())
 		}
 		return
 	}
--- a/pkg/process/order.go
+++ b/pkg/process/order.go
@@ -81,7 +81,7 @@
 // sendOrder sends one order and records the result in the engine's state: accepted, refused or unknown.
 func (s *stager) sendOrder(ctx context.Context, c staging.Change, fence store.Revision, sequence int) error {
 	c.Runner.BeginStageChange(c.Stage, s.changeLimit(c.Runner.Service), time.Now())
-	c.Runner.Called("", time.Now())
+	c.Runner.CallSent("", time.Now())
 	err := s.calls.Restage(ctx, c.Runner, platform.StageOrder{Stage: c.Stage, Holder: s.lock.Holder, Fence: uint64(fence), Sequence: sequence})
 	var declined *ingress.ErrDeclined
 	switch {
@@ -100,7 +100,7 @@
 func (s *stager) order(ctx context.Context, c staging.Change, fence store.Revision) {
 	call, cancel := context.WithTimeout(ctx, orderCallTimeout)
 	defer cancel()
-	c.Runner.Called("", time.Now())
+	c.Runner.CallSent("", time.Now())
 	sequence, err := s.calls.Sequence(call, c.Runner)
 	if err == nil {
 		err = s.sendOrder(call, c, fence, sequence)
--- a/pkg/process/restored.go
+++ b/pkg/process/restored.go
@@ -145,7 +145,7 @@
 		delete(f.deferred, key)
 		if name, ok := platform.RunnerName(key); ok && d.change.Gone {
 			// The runner has been missing since the read.
-			f.ingress.Directory.Gone(name, d.read)
+			f.ingress.Directory.Remove(name, d.read)
 			continue
 		}
 		f.applyEvent(d.change, f.Reached())
--- a/pkg/runners/directory.go
+++ b/pkg/runners/directory.go
@@ -150,9 +150,9 @@
 	}
 }
 
-// Gone marks the current runner with the given name as removed, because its entry is no longer in
+// Remove marks the current runner with the given name as removed, because its entry is no longer in
 // the store.
-func (d *Directory) Gone(name string, now time.Time) {
+func (d *Directory) Remove(name string, now time.Time) {
 	d.mu.RLock()
 	s := d.current[name]
 	d.mu.RUnlock()
@@ -170,9 +170,9 @@
 	}
 }
 
-// Keep applies a full reading of the store: the runners that are not among the names are marked as
+// SyncRunners applies a full reading of the store: the runners that are not among the names are marked as
 // removed.
-func (d *Directory) Keep(names map[string]bool, now time.Time) {
+func (d *Directory) SyncRunners(names map[string]bool, now time.Time) {
 	d.mu.RLock()
 	var missing []string
 	for name := range d.current {
@@ -182,7 +182,7 @@
 	}
 	d.mu.RUnlock()
 	for _, name := range missing {
-		d.Gone(name, now)
+		d.Remove(name, now)
 	}
 }
 
--- a/pkg/runners/evacuation.go
+++ b/pkg/runners/evacuation.go
@@ -81,9 +81,9 @@
 	return true
 }
 
-// KeepEvacuated applies a full reading of the store: evacuated domains that are not among the given
+// SyncEvacuated applies a full reading of the store: evacuated domains that are not among the given
 // domains are restored. It returns the restored domains.
-func (d *Directory) KeepEvacuated(domains map[string]bool, now time.Time) []string {
+func (d *Directory) SyncEvacuated(domains map[string]bool, now time.Time) []string {
 	var restored []string
 	for _, domain := range d.evacuated.list() {
 		if !domains[domain] && d.Restore(domain, now) {
--- a/pkg/runners/evacuation_test.go
+++ b/pkg/runners/evacuation_test.go
@@ -32,8 +32,8 @@
 	g.Expect(d.Present("s", now)).To(HaveLen(1), "Present leaves out the evacuated domain")
 	g.Expect(d.Evacuated()).To(Equal([]string{"left"}))
 
-	g.Expect(d.KeepEvacuated(map[string]bool{"left": true}, now)).To(BeEmpty())
-	g.Expect(d.KeepEvacuated(nil, now)).To(Equal([]string{"left"}), "a full reading without the domain restores it")
+	g.Expect(d.SyncEvacuated(map[string]bool{"left": true}, now)).To(BeEmpty())
+	g.Expect(d.SyncEvacuated(nil, now)).To(Equal([]string{"left"}), "a full reading without the domain restores it")
 	g.Expect(d.Usable("s", Decode, now)).To(HaveLen(2))
 	g.Expect(d.Restore("left", now)).To(BeFalse())
 }
--- a/pkg/runners/health.go
+++ b/pkg/runners/health.go
@@ -106,8 +106,8 @@
 	h.ejectedUntil = now.Add(h.coolDown)
 }
 
-// Answered records a complete response of the runner and how long it took.
-func (s *State) Answered(took time.Duration) { s.answered(took, time.Now()) }
+// Completed records a complete response of the runner and how long it took.
+func (s *State) Completed(took time.Duration) { s.answered(took, time.Now()) }
 
 func (s *State) answered(took time.Duration, now time.Time) {
 	s.mu.Lock()
@@ -127,8 +127,8 @@
 	h.latency += (took.Seconds() - h.latency) * newestWeight
 }
 
-// Resting reports whether the runner is ejected because of its failures.
-func (s *State) Resting(now time.Time) bool {
+// Ejected reports whether the runner is ejected because of its failures.
+func (s *State) Ejected(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return now.Before(s.health.ejectedUntil)
@@ -155,7 +155,7 @@
 func Healthy(list []*State, now time.Time) []*State {
 	out := make([]*State, 0, len(list))
 	for _, s := range list {
-		if !s.Resting(now) {
+		if !s.Ejected(now) {
 			out = append(out, s)
 		}
 	}
--- a/pkg/runners/room.go
+++ b/pkg/runners/room.go
@@ -73,9 +73,9 @@
 	s.limits.Sent(s.ID, request, now)
 }
 
-// Called records a call to the runner now that does not send the request itself, such as a
+// CallSent records a call to the runner now that does not send the request itself, such as a
 // reservation, with the ID of the request that it belongs to, if any.
-func (s *State) Called(request string, now time.Time) { s.limits.Sent(s.ID, request, now) }
+func (s *State) CallSent(request string, now time.Time) { s.limits.Sent(s.ID, request, now) }
 
 // Release releases the room that was claimed for a request that is not sent.
 func (s *State) Release(request string) {
--- a/pkg/runners/runners.go
+++ b/pkg/runners/runners.go
@@ -166,15 +166,15 @@
 	s.mismatch = mismatch{stage: s.Stage, at: now, own: true}
 }
 
-// Enter records a request that is sent to the runner, Leave the end of the request.
-func (s *State) Enter() {
+// BeginRequest records a request that is sent to the runner, Leave the end of the request.
+func (s *State) BeginRequest() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.outstanding++
 }
 
-// Leave records the end of a request. It does not mean that the runner is leaving.
-func (s *State) Leave() {
+// EndRequest records the end of a request. It does not mean that the runner is leaving.
+func (s *State) EndRequest() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.outstanding--
--- a/pkg/runners/runners_test.go
+++ b/pkg/runners/runners_test.go
@@ -28,7 +28,7 @@
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			leaving := rapid.Bool().Draw(t, "leaving")
 			if rapid.IntRange(0, 5).Draw(t, "gone") == 0 {
-				d.Gone("r", now)
+				d.Remove("r", now)
 			} else {
 				d.Put(Runner{ID: "r", Service: "s", Slots: rapid.IntRange(1, 3).Draw(t, "slots"), Leaving: leaving}, time.Now())
 				left = left || leaving
@@ -46,7 +46,7 @@
 	now := time.Now()
 	r := Runner{ID: "r", Service: "s"}
 	d.Put(r, time.Now())
-	d.Gone("r", now)
+	d.Remove("r", now)
 	g.Expect(ids(d.Usable("s", "", now.Add(goneGrace/2)))).To(Equal([]string{"r"}))
 	g.Expect(d.Usable("s", "", now.Add(2*goneGrace))).To(BeEmpty())
 	d.Put(r, time.Now())
@@ -61,8 +61,8 @@
 	d.Changed = func(c Change) { reported = append(reported, c.What+" "+c.Runner.ID) }
 	d.Put(Runner{ID: "a", Service: "s"}, time.Now())
 	d.Put(Runner{ID: "b", Service: "s"}, time.Now())
-	d.Keep(map[string]bool{"b": true}, now)
-	d.Keep(map[string]bool{"b": true}, now)
+	d.SyncRunners(map[string]bool{"b": true}, now)
+	d.SyncRunners(map[string]bool{"b": true}, now)
 	g.Expect(reported).To(Equal([]string{"new a", "new b", "gone a"}))
 	d.Sweep(now.Add(2 * forgetAfter))
 	g.Expect(d.Len()).To(Equal(1))
@@ -73,11 +73,11 @@
 	d := NewDirectory("a")
 	d.Put(Runner{ID: "r", Service: "s", Stage: Prefill}, time.Now())
 	old := d.Usable("s", Prefill, time.Now())[0]
-	old.Enter()
+	old.BeginRequest()
 	d.Put(Runner{ID: "r", Service: "s", Stage: Decode}, time.Now())
 	current := d.Usable("s", Decode, time.Now())[0]
 	g.Expect(current.Outstanding()).To(Equal(1))
-	old.Leave()
+	old.EndRequest()
 	g.Expect(current.Outstanding()).To(BeZero())
 }
 
@@ -133,20 +133,20 @@
 	first.Failed(now)
 	first.MarkUnusable(now)
 	first.BeginStageChange(Prefill, time.Minute, now)
-	first.Enter()
+	first.BeginRequest()
 	d.Put(Runner{ID: "r@2", Name: "r", Service: "s", Stage: Decode}, now)
 	g.Expect(ids(d.Usable("s", Decode, now))).To(Equal([]string{"r@2"}))
 	second := d.Find("r@2")
 	g.Expect(second.Failures(now)).To(BeZero())
 	g.Expect(second.Outstanding()).To(BeZero())
-	first.Leave()
+	first.EndRequest()
 	g.Expect(second.Outstanding()).To(BeZero())
 	// Late reports about the first incarnation do not apply to the second.
 	d.ReceiveOutcomes("other", true, []Outcome{{Runner: "r@1", Failed: 3, Total: 3, Unusable: true, Stage: Decode}}, now)
 	g.Expect(second.Failures(now)).To(BeZero())
 	g.Expect(second.Usable(now)).To(BeTrue())
 	g.Expect(reported).To(Equal([]string{"new r@1", "replaced r@1", "new r@2"}))
-	d.Gone("r", now)
+	d.Remove("r", now)
 	g.Expect(d.Usable("s", Decode, now.Add(2*goneGrace))).To(BeEmpty())
 	d.Sweep(now.Add(2 * forgetAfter))
 	g.Expect(d.Len()).To(BeZero())
@@ -185,7 +185,7 @@
 	entry.Slots = 2
 	d.Put(entry, now)
 	g.Expect(d.Usable("s", "", now)).To(BeEmpty())
-	d.Gone("r", now)
+	d.Remove("r", now)
 	d.Sweep(now.Add(2 * forgetAfter))
 	entry.Slots = 3
 	d.Put(entry, now.Add(2*forgetAfter))
