--- a/pkg/enginepool/pool.go
+++ b/pkg/enginepool/pool.go
@@ -226,8 +226,8 @@
 	e.refusedUntil = now.Add(p.options.RefusalPause)
 }
 
-// Made records how many tokens of a response have been received so far.
-func (p *Pool) Made(runner, id string, tokens int, now time.Time) {
+// RecordTokens records how many tokens of a response have been received so far.
+func (p *Pool) RecordTokens(runner, id string, tokens int, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	b := p.engine(runner).own[id]
--- a/pkg/ingress/relay.go
+++ b/pkg/ingress/relay.go
@@ -56,7 +56,7 @@
 		if err != nil {
 			return r.streamBroken(runner, r.events == before, err)
 		}
-		r.s.pool.Made(runner.ID, r.s.job.ID, (r.events+1)*max(1, r.s.engine.TokensPerEvent), time.Now())
+		r.s.pool.RecordTokens(runner.ID, r.s.job.ID, (r.events+1)*max(1, r.s.engine.TokensPerEvent), time.Now())
 		if err := r.write(a, event); err != nil {
 			return mayHaveRun, errClientGone{}
 		}
--- a/pkg/process/stager.go
+++ b/pkg/process/stager.go
@@ -255,7 +255,7 @@
 	}
 	if pool := s.ingress.Pools()[service]; pool != nil {
 		out.LearnedShare, _ = pool.PrefillShare()
-		out.Load = func(r *runners.State) float64 { return pool.Load(r.ID, now) }
+		out.Load = func(r *runners.State) float64 { return pool.RemainingWork(r.ID, now) }
 	}
 	return out
 }
