--- a/pkg/peers/peers_test.go
+++ b/pkg/peers/peers_test.go
@@ -213,7 +213,7 @@
 			receivers++
 		}
 	}
-	g.Expect(receivers).To(And(BeNumerically(">=", subset.Users-1), BeNumerically("<=", subset.Users)))
+	g.Expect(receivers).To(And(BeNumerically(">=", subset.GatewaysPerEngine-1), BeNumerically("<=", subset.GatewaysPerEngine)))
 	g.Expect(float64(len(a.members)) / a.heartbeat().Seconds()).To(BeNumerically("<", 34))
 }
 
@@ -291,13 +291,13 @@
 		turns := 0
 		for len(informed) < gateways {
 			now := a.outcomeReceivers(true)
-			g.Expect(len(now)).To(BeNumerically("<=", subset.Users))
+			g.Expect(len(now)).To(BeNumerically("<=", subset.GatewaysPerEngine))
 			for name := range now {
 				informed[name] = true
 			}
 			turns++
 		}
-		if gateways <= subset.Users {
+		if gateways <= subset.GatewaysPerEngine {
 			g.Expect(turns).To(Equal(1))
 		}
 	}
--- a/pkg/peers/send.go
+++ b/pkg/peers/send.go
@@ -47,7 +47,7 @@
 	for service, s := range changed {
 		part := enginepool.Snapshot{Full: s.Full, Waiting: s.Waiting}
 		for _, e := range s.Engines {
-			if slices.Contains(subset.Of(e.Runner), name) {
+			if slices.Contains(subset.GatewaysOf(e.Runner), name) {
 				part.Engines = append(part.Engines, e)
 			}
 		}
@@ -128,8 +128,8 @@
 	}
 	list := x.sortedMembers()
 	n := len(list)
-	if n > subset.Users {
-		n = max(minReceivers, subset.Users*subset.Users/n)
+	if n > subset.GatewaysPerEngine {
+		n = max(minReceivers, subset.GatewaysPerEngine*subset.GatewaysPerEngine/n)
 	}
 	for range n {
 		out[list[x.nextReceiver%len(list)].name] = true
--- a/pkg/peers/suspicion.go
+++ b/pkg/peers/suspicion.go
@@ -15,7 +15,7 @@
 // datagram.
 func (x *Exchange) SendSuspicion(r quarantine.Report, now time.Time) {
 	encoded := []*wirepb.Suspicion{encodeSuspicion(r, now)}
-	chosen := x.subset.Load().Chosen(r.Digest.String())
+	chosen := x.subset.Load().GatewaysForKey(r.Digest.String())
 	var out []datagram
 	x.mu.Lock()
 	for _, m := range x.members {
--- a/pkg/subset/subset.go
+++ b/pkg/subset/subset.go
@@ -12,10 +12,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Users is how many gateways use one engine. If there are fewer gateways, all use all
-// engines. A gateway reports a change to Users-1 others, and with E engines and G gateways
-// has about E·Users/G engines to choose from.
-const Users = 24
+// GatewaysPerEngine is how many gateways use one engine. If there are fewer gateways, all use all
+// engines. A gateway reports a change to GatewaysPerEngine-1 others, and with E engines and G gateways
+// has about E·GatewaysPerEngine/G engines to choose from.
+const GatewaysPerEngine = 24
 
 // Subset determines which gateways use which engines, from one gateway's membership list. It
 // is safe for concurrent use.
@@ -46,23 +46,23 @@
 // the set of gateways changes, so it counts the gateways that rank before this one without
 // sorting them.
 func (s *Subset) Uses(engine string) bool {
-	if len(s.gateways) <= Users {
+	if len(s.gateways) <= GatewaysPerEngine {
 		return true
 	}
 	hash := xxhash.Sum64String(engine)
 	own := ranked{s.gateways[0], mix(hash ^ s.hashes[0])}
 	before := 0
-	for i := 1; i < len(s.gateways) && before < Users; i++ {
+	for i := 1; i < len(s.gateways) && before < GatewaysPerEngine; i++ {
 		if compare(ranked{s.gateways[i], mix(hash ^ s.hashes[i])}, own) < 0 {
 			before++
 		}
 	}
-	return before < Users
+	return before < GatewaysPerEngine
 }
 
-// Of returns the gateways that use an engine.
-func (s *Subset) Of(engine string) []string {
-	if len(s.gateways) <= Users {
+// GatewaysOf returns the gateways that use an engine.
+func (s *Subset) GatewaysOf(engine string) []string {
+	if len(s.gateways) <= GatewaysPerEngine {
 		return s.gateways
 	}
 	s.mu.Lock()
@@ -70,18 +70,18 @@
 	if list := s.users[engine]; list != nil {
 		return list
 	}
-	list := s.First(engine, Users)
+	list := s.First(engine, GatewaysPerEngine)
 	s.users[engine] = list
 	return list
 }
 
-// Chosen returns the gateways that rank first for a key, as many as use one engine. The
+// GatewaysForKey returns the gateways that rank first for a key, as many as use one engine. The
 // result is not cached, since the number of keys is not limited.
-func (s *Subset) Chosen(key string) []string {
-	if len(s.gateways) <= Users {
+func (s *Subset) GatewaysForKey(key string) []string {
+	if len(s.gateways) <= GatewaysPerEngine {
 		return s.gateways
 	}
-	return s.First(key, Users)
+	return s.First(key, GatewaysPerEngine)
 }
 
 // ranked is a gateway with its hash for a key, which determines its rank.
--- a/pkg/subset/subset_test.go
+++ b/pkg/subset/subset_test.go
@@ -26,27 +26,27 @@
 
 func TestFewGatewaysUseAllEngines(t *testing.T) {
 	g := NewWithT(t)
-	s := view(names(Users), 0)
+	s := view(names(GatewaysPerEngine), 0)
 	g.Expect(s.Uses("e")).To(BeTrue())
-	g.Expect(s.Of("e")).To(HaveLen(Users))
+	g.Expect(s.GatewaysOf("e")).To(HaveLen(GatewaysPerEngine))
 }
 
 // All gateways compute the same users of an engine, in whatever order they learned of each other.
 func TestGatewaysComputeSameSubsets(t *testing.T) {
 	spectest.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
-		all := names(rapid.IntRange(Users+1, 60).Draw(t, "gateways"))
+		all := names(rapid.IntRange(GatewaysPerEngine+1, 60).Draw(t, "gateways"))
 		engine := rapid.StringMatching(`i-[0-9a-f]{4}`).Draw(t, "engine")
 		users := 0
 		for i := range all {
 			s := view(all, i)
-			g.Expect(s.Of(engine)).To(Equal(view(all, 0).Of(engine)))
-			g.Expect(s.Uses(engine)).To(Equal(slices.Contains(s.Of(engine), all[i])))
+			g.Expect(s.GatewaysOf(engine)).To(Equal(view(all, 0).GatewaysOf(engine)))
+			g.Expect(s.Uses(engine)).To(Equal(slices.Contains(s.GatewaysOf(engine), all[i])))
 			if s.Uses(engine) {
 				users++
 			}
 		}
-		g.Expect(users).To(Equal(Users))
+		g.Expect(users).To(Equal(GatewaysPerEngine))
 	})
 }
 
@@ -58,15 +58,15 @@
 	for i := range 200 {
 		engine := fmt.Sprintf("e%d", i)
 		kept := 0
-		for _, name := range before.Of(engine) {
-			if slices.Contains(after.Of(engine), name) {
+		for _, name := range before.GatewaysOf(engine) {
+			if slices.Contains(after.GatewaysOf(engine), name) {
 				kept++
 			}
 		}
-		if slices.Contains(before.Of(engine), all[99]) {
-			g.Expect(kept).To(Equal(Users - 1))
+		if slices.Contains(before.GatewaysOf(engine), all[99]) {
+			g.Expect(kept).To(Equal(GatewaysPerEngine - 1))
 		} else {
-			g.Expect(kept).To(Equal(Users))
+			g.Expect(kept).To(Equal(GatewaysPerEngine))
 		}
 	}
 }
@@ -79,11 +79,11 @@
 	s := view(all, 0)
 	const engines = 730
 	for i := range engines {
-		for _, name := range s.Of(fmt.Sprintf("e%d", i)) {
+		for _, name := range s.GatewaysOf(fmt.Sprintf("e%d", i)) {
 			counts[name]++
 		}
 	}
-	share := float64(engines*Users) / 420
+	share := float64(engines*GatewaysPerEngine) / 420
 	for _, name := range all {
 		g.Expect(float64(counts[name])).To(And(BeNumerically(">", share/2), BeNumerically("<", share*2)), name)
 	}
@@ -102,5 +102,5 @@
 	s := view(names(40), 0)
 	g.Expect(s.First("e", 40)).To(ConsistOf(names(40)))
 	g.Expect(s.First("e", 5)).To(Equal(s.First("e", 12)[:5]))
-	g.Expect(s.First("e", Users)).To(Equal(s.Of("e")))
+	g.Expect(s.First("e", GatewaysPerEngine)).To(Equal(s.GatewaysOf("e")))
 }
