--- a/pkg/peers/relay.go
+++ b/pkg/peers/relay.go
@@ -208,7 +208,7 @@
 func encodeStoreUpdate(u relay.Update) *wirepb.StoreUpdate {
 	out := &wirepb.StoreUpdate{From: uint64(u.From), To: uint64(u.To), AgeMs: uint32(u.Age.Milliseconds()), More: u.More, Restored: uint64(u.Restored)}
 	for _, c := range u.Changes {
-		out.Changes = append(out.Changes, &wirepb.StoreChange{Key: c.Key, Value: c.Value, Revision: uint64(c.Revision), Gone: c.Gone})
+		out.Changes = append(out.Changes, &wirepb.StoreChange{Key: c.Key, Value: c.Value, Revision: uint64(c.Revision), Gone: c.Removed})
 	}
 	for _, d := range u.Deltas {
 		out.Deltas = append(out.Deltas, &wirepb.StoreDelta{Key: d.Key, Revision: uint64(d.Revision), Base: uint64(d.Base), Delta: d.Bytes})
@@ -219,7 +219,7 @@
 func decodeStoreUpdate(u *wirepb.StoreUpdate) relay.Update {
 	out := relay.Update{From: store.Revision(u.From), To: store.Revision(u.To), Age: time.Duration(u.AgeMs) * time.Millisecond, More: u.More, Restored: store.Revision(u.Restored)}
 	for _, c := range u.Changes {
-		out.Changes = append(out.Changes, store.Event{Item: store.Item{Key: c.Key, Value: c.Value, Revision: store.Revision(c.Revision)}, Gone: c.Gone})
+		out.Changes = append(out.Changes, store.Event{Item: store.Item{Key: c.Key, Value: c.Value, Revision: store.Revision(c.Revision)}, Removed: c.Gone})
 	}
 	for _, d := range u.Deltas {
 		out.Deltas = append(out.Deltas, relay.Delta{Key: d.Key, Revision: store.Revision(d.Revision), Base: store.Revision(d.Base), Bytes: d.Delta})
--- a/pkg/process/copy.go
+++ b/pkg/process/copy.go
@@ -99,7 +99,7 @@
 	slices.SortFunc(out, func(a, b store.Event) int { return cmp.Compare(a.Revision, b.Revision) })
 	for key := range c.items {
 		if !present[key] {
-			out = append(out, store.Event{Item: store.Item{Key: key, Revision: to}, Gone: true})
+			out = append(out, store.Event{Item: store.Item{Key: key, Revision: to}, Removed: true})
 		}
 	}
 	return out
@@ -125,7 +125,7 @@
 	}
 	for key := range c.items {
 		if !present[key] {
-			missing = append(missing, store.Event{Item: store.Item{Key: key, Revision: start}, Gone: true})
+			missing = append(missing, store.Event{Item: store.Item{Key: key, Revision: start}, Removed: true})
 		}
 	}
 	slices.SortFunc(missing, func(a, b store.Event) int { return cmp.Compare(a.Key, b.Key) })
@@ -160,7 +160,7 @@
 	defer c.mu.Unlock()
 	c.at = at
 	for _, e := range events {
-		if e.Gone {
+		if e.Removed {
 			delete(c.items, e.Key)
 		} else if needed(e.Key) {
 			c.items[e.Key] = e.Item
--- a/pkg/process/feed.go
+++ b/pkg/process/feed.go
@@ -138,7 +138,7 @@
 // and one for the runners, which halves the calls. The few other keys rarely change.
 func (f *feed) follower(s store.Store) *store.Follower {
 	return &store.Follower{
-		Store: s, Gather: f.batchWindow, Relayed: f.relayed, Forgotten: f.forgotten, Reset: f.reset, Apply: f.apply, Confirmed: f.history.Confirm,
+		Store: s, BatchDelay: f.batchWindow, Relayed: f.relayed, CatchUp: f.forgotten, Reset: f.reset, Apply: f.apply, Confirmed: f.history.Confirm,
 		Rejected: func(err *store.ErrOld) {
 			f.log.Write(decisionlog.KindFailed, "store_reading_refused", decisionlog.F("have", err.Have), decisionlog.F("got", err.Got))
 		},
@@ -270,28 +270,28 @@
 // applyEvent applies one change.
 func (f *feed) applyEvent(e store.Event, at store.Revision) {
 	if e.Key == orderKey {
-		f.onOrderLock(e.Gone)
+		f.onOrderLock(e.Removed)
 		return
 	}
-	if id, ok := strings.CutPrefix(e.Key, changePrefix); ok && e.Gone {
+	if id, ok := strings.CutPrefix(e.Key, changePrefix); ok && e.Removed {
 		f.ingress.EndStageChange(id)
 		return
 	}
-	if d, ok := parseQuarantineKey(e.Key); ok && e.Gone {
+	if d, ok := parseQuarantineKey(e.Key); ok && e.Removed {
 		f.ingress.EndQuarantine(d)
 		return
 	}
-	if name, ok := platform.RunnerName(e.Key); ok && e.Gone {
+	if name, ok := platform.RunnerName(e.Key); ok && e.Removed {
 		f.ingress.Directory.Remove(name, time.Now())
 		return
 	}
-	if domain, ok := platform.EvacuatedDomain(e.Key); ok && e.Gone {
+	if domain, ok := platform.EvacuatedDomain(e.Key); ok && e.Removed {
 		if f.ingress.Directory.Restore(domain, time.Now()) {
 			f.logEvacuation(domain, false, at)
 		}
 		return
 	}
-	if !e.Gone {
+	if !e.Removed {
 		f.applyItem(e.Item, at)
 		f.applyStageChange(e.Item)
 	}
--- a/pkg/process/relay_test.go
+++ b/pkg/process/relay_test.go
@@ -93,7 +93,7 @@
 	g.Expect(f.Receive(update(10, 13, store.Event{Item: entry("e1", "decode", 12)}, store.Event{Item: entry("e2", "decode", 13)}))).To(BeTrue())
 	g.Expect(f.stage("e1")).To(Equal(runners.Decode))
 	g.Expect(f.present("e2")).To(BeTrue())
-	g.Expect(f.Receive(update(13, 14, store.Event{Item: store.Item{Key: standin.RunnerKey("e2"), Revision: 14}, Gone: true}))).To(BeTrue())
+	g.Expect(f.Receive(update(13, 14, store.Event{Item: store.Item{Key: standin.RunnerKey("e2"), Revision: 14}, Removed: true}))).To(BeTrue())
 	g.Expect(f.present("e2")).To(BeFalse())
 	g.Expect(f.Reached()).To(Equal(store.Revision(14)), "the next watch continues from there")
 	g.Expect(f.forwarded).To(Equal(2), "to the subscribers of this gateway")
@@ -133,7 +133,7 @@
 func TestLateRelayUpdateDoesNotRestoreRemovedRunner(t *testing.T) {
 	g := NewWithT(t)
 	f := newFixture(t, 10, entry("e1", "decode", 5))
-	f.apply([]store.Event{{Item: store.Item{Key: standin.RunnerKey("e1"), Revision: 12}, Gone: true}}, 12)
+	f.apply([]store.Event{{Item: store.Item{Key: standin.RunnerKey("e1"), Revision: 12}, Removed: true}}, 12)
 	f.Receive(update(10, 11, store.Event{Item: entry("e1", "decode", 11)}))
 	g.Expect(f.present("e1")).To(BeFalse())
 }
@@ -187,7 +187,7 @@
 	f.onOrderLock = func(isFree bool) { free = append(free, isFree) }
 	f.loadPeerState(sharedState{At: 10, Items: []store.Item{entry("e1", "prefill", 5), {Key: orderKey, Value: []byte("g"), Revision: 7}}})
 	g.Expect(f.Receive(update(10, 12, store.Event{Item: entry("e1", "decode", 11)},
-		store.Event{Item: store.Item{Key: orderKey, Revision: 12}, Gone: true}))).To(BeTrue())
+		store.Event{Item: store.Item{Key: orderKey, Revision: 12}, Removed: true}))).To(BeTrue())
 	g.Expect(f.stage("e1")).To(Equal(runners.Decode))
 	g.Expect(free).To(Equal([]bool{false, true}))
 	at, _ := f.relayed(t.Context())
--- a/pkg/process/restored.go
+++ b/pkg/process/restored.go
@@ -63,14 +63,14 @@
 
 // deferral returns how long to defer a change that a restored store shows. The caller holds applyMu.
 func (f *feed) deferral(e store.Event) time.Duration {
-	if _, ok := parseQuarantineKey(e.Key); ok && e.Gone {
+	if _, ok := parseQuarantineKey(e.Key); ok && e.Removed {
 		return dropped // The store lost the quarantine before it ended; the gateways write it again.
 	}
 	if strings.HasPrefix(e.Key, changePrefix) {
 		return dropped // Gateways report stage changes to each other; a change ends when the engine's entry has the new stage.
 	}
 	if domain, ok := platform.EvacuatedDomain(e.Key); ok {
-		if e.Gone || f.ingress.Directory.RestoredSince(domain, time.Now().Add(-maxLoss)) {
+		if e.Removed || f.ingress.Directory.RestoredSince(domain, time.Now().Add(-maxLoss)) {
 			return rewriteTime
 		}
 	}
@@ -82,7 +82,7 @@
 
 // runnerDeferral is deferral for the entry of a runner.
 func (f *feed) runnerDeferral(name string, e store.Event) time.Duration {
-	if e.Gone {
+	if e.Removed {
 		return rewriteTime
 	}
 	shown, err := platform.DecodeRunner(e.Key, e.Value)
@@ -143,7 +143,7 @@
 			continue
 		}
 		delete(f.deferred, key)
-		if name, ok := platform.RunnerName(key); ok && d.change.Gone {
+		if name, ok := platform.RunnerName(key); ok && d.change.Removed {
 			// The runner has been missing since the read.
 			f.ingress.Directory.Remove(name, d.read)
 			continue
--- a/pkg/process/restored_test.go
+++ b/pkg/process/restored_test.go
@@ -97,11 +97,11 @@
 			written("again", "decode", "ready", 100, 7, 7), evacuated("b", 8), largeConfig(1, 9))
 		f.apply([]store.Event{
 			{Item: written("leaves", "decode", "draining", 0, 2, 21)},
-			{Item: store.Item{Key: standin.RunnerKey("gone"), Revision: 22}, Gone: true},
+			{Item: store.Item{Key: standin.RunnerKey("gone"), Revision: 22}, Removed: true},
 			{Item: written("again", "decode", "ready", 200, 1, 23)},
 			{Item: written("new", "decode", "ready", 0, 1, 24)},
 			{Item: evacuated("c", 25)},
-			{Item: store.Item{Key: platform.EvacuationPrefix + "b", Revision: 26}, Gone: true},
+			{Item: store.Item{Key: platform.EvacuationPrefix + "b", Revision: 26}, Removed: true},
 			{Item: largeConfig(2, 27)},
 		}, 27)
 		old := []store.Item{written("leaves", "decode", "ready", 0, 1, inEra(1, 5)), written("gone", "decode", "ready", 0, 1, inEra(1, 6)),
@@ -121,7 +121,7 @@
 		expectCurrentState("while writers may still rewrite their state")
 
 		f.apply([]store.Event{{Item: written("new", "decode", "ready", 0, 9, inEra(1, 21))}, {Item: evacuated("c", inEra(1, 22))},
-			{Item: store.Item{Key: platform.EvacuationPrefix + "b", Revision: inEra(1, 23)}, Gone: true},
+			{Item: store.Item{Key: platform.EvacuationPrefix + "b", Revision: inEra(1, 23)}, Removed: true},
 			{Item: written("again", "decode", "ready", 200, 9, inEra(1, 24))}}, inEra(1, 24))
 		time.Sleep(lapseTime)
 		f.applyDeferred(time.Now())
@@ -155,7 +155,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newFixture(t, 20, entry("e1", "decode", 5))
-		f.apply([]store.Event{{Item: entry("e2", "decode", 21)}, {Item: store.Item{Key: standin.RunnerKey("e1"), Revision: 22}, Gone: true}}, 22)
+		f.apply([]store.Event{{Item: entry("e2", "decode", 21)}, {Item: store.Item{Key: standin.RunnerKey("e1"), Revision: 22}, Removed: true}}, 22)
 		for era := uint64(1); era <= 3; era++ {
 			g.Expect(f.reset([]store.Item{entry("e1", "decode", inEra(era, 5))}, inEra(era, 20))).To(Succeed())
 			f.applyDeferred(time.Now())
--- a/pkg/process/stager.go
+++ b/pkg/process/stager.go
@@ -99,7 +99,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			s.lock.Yield(ctx)
+			s.lock.Release(ctx)
 			return
 		case now := <-tick.C:
 			s.step(ctx, now)
--- a/pkg/relay/history_test.go
+++ b/pkg/relay/history_test.go
@@ -165,7 +165,7 @@
 	put(3, 15)
 	g.Expect(h.Since(12, allEncodings, now)[0].Deltas[0].Base).To(Equal(store.Revision(12)))
 	g.Expect(h.Since(10, allEncodings, now)[0].More).To(BeTrue(), "a gateway that lacks the previous value reads the store")
-	h.Advance(16, []store.Event{{Item: store.Item{Key: "op/config", Revision: 16}, Gone: true}}, now)
+	h.Advance(16, []store.Event{{Item: store.Item{Key: "op/config", Revision: 16}, Removed: true}}, now)
 	put(4, 17)
 	g.Expect(h.Since(16, allEncodings, now)[0].More).To(BeTrue(), "there is no previous value")
 }
@@ -187,7 +187,7 @@
 	var h History
 	h.Restart(30, now)
 	h.Advance(36, []store.Event{change("a", 33, 3)}, now)
-	gone := store.Event{Item: store.Item{Key: "lost", Revision: inEra(1, 0)}, Gone: true}
+	gone := store.Event{Item: store.Item{Key: "lost", Revision: inEra(1, 0)}, Removed: true}
 	h.Restore(Update{To: inEra(1, 32), Restored: inEra(1, 32), Changes: []store.Event{gone, change("a", inEra(1, 31), 4)}}, now, now)
 
 	same := h.Since(36, allEncodings, now)
@@ -220,7 +220,7 @@
 	h.Restart(30, now)
 	var lost []store.Event
 	for i := range 2 * maxUpdateBytes / 20 {
-		lost = append(lost, store.Event{Item: store.Item{Key: fmt.Sprintf("key-%016d", i), Revision: inEra(1, 0)}, Gone: true})
+		lost = append(lost, store.Event{Item: store.Item{Key: fmt.Sprintf("key-%016d", i), Revision: inEra(1, 0)}, Removed: true})
 	}
 	h.Restore(Update{To: inEra(1, 9), Restored: inEra(1, 9), Changes: lost}, now, now)
 	g.Expect(h.Since(30, allEncodings, now)).To(Equal([]Update{{From: 30, To: 30, More: true, Restored: inEra(1, 9)}}))
--- a/pkg/relay/large.go
+++ b/pkg/relay/large.go
@@ -40,7 +40,7 @@
 // updateLarge records a change of a key. The caller holds the lock.
 func (h *History) updateLarge(c store.Event) {
 	old := h.large[c.Key]
-	if c.Gone || len(c.Value) < largeValueBytes {
+	if c.Removed || len(c.Value) < largeValueBytes {
 		delete(h.large, c.Key)
 		return
 	}
--- a/pkg/store/follow.go
+++ b/pkg/store/follow.go
@@ -37,17 +37,17 @@
 type Follower struct {
 	Store  Store
 	Prefix string
-	// Gather returns how long to batch changes after some have arrived, before the next watch; nil
+	// BatchDelay returns how long to batch changes after some have arrived, before the next watch; nil
 	// disables batching. The first change after a quiet time is delivered at once.
-	Gather func() time.Duration
+	BatchDelay func() time.Duration
 	// Relayed, if set, blocks for as long as relays deliver the changes. It returns the revision
 	// that they reached, 0 for none, and how long the next watch may wait for a change, 0 for the
 	// default.
 	Relayed func(ctx context.Context) (at Revision, wait time.Duration)
-	// Forgotten, if set, waits for relays to deliver the changes after a revision that are missing
+	// CatchUp, if set, waits for relays to deliver the changes after a revision that are missing
 	// from the store's history. It returns the revision that they reached, 0 if a full read is
 	// needed.
-	Forgotten func(ctx context.Context, after Revision) Revision
+	CatchUp func(ctx context.Context, after Revision) Revision
 	// Reset receives a full read. Apply receives the result of each watch, also an empty one.
 	// Revisions never decrease from call to call. Reset rejects a read that is older than what
 	// relays have delivered.
@@ -89,8 +89,8 @@
 		}
 		if reachable = err == nil; reachable {
 			f.recordSuccess(&p, next)
-			if changed && f.Gather != nil {
-				sleep(ctx, f.Gather())
+			if changed && f.BatchDelay != nil {
+				sleep(ctx, f.BatchDelay())
 			}
 			continue
 		}
@@ -127,8 +127,8 @@
 // only the changes that exist already. It returns the revision reached, and whether there were
 // changes.
 func (f *Follower) step(ctx context.Context, p *position, reachable bool) (next Revision, changed bool, err error) {
-	if p.compacted && f.Forgotten != nil {
-		if at := f.Forgotten(ctx, p.at); at > 0 {
+	if p.compacted && f.CatchUp != nil {
+		if at := f.CatchUp(ctx, p.at); at > 0 {
 			p.at, p.known, p.compacted = at, true, false
 		}
 	}
--- a/pkg/store/lock.go
+++ b/pkg/store/lock.go
@@ -86,8 +86,8 @@
 	return err
 }
 
-// Yield releases the lock.
-func (l *Lock) Yield(ctx context.Context) {
+// Release releases the lock.
+func (l *Lock) Release(ctx context.Context) {
 	l.mu.Lock()
 	lease := l.lease
 	l.lease = LeaseID{}
--- a/pkg/store/store.go
+++ b/pkg/store/store.go
@@ -20,8 +20,8 @@
 // Event is one change of a key.
 type Event struct {
 	Item
-	// Gone is set when the key was removed; Value is then empty.
-	Gone bool
+	// Removed is set when the key was removed; Value is then empty.
+	Removed bool
 }
 
 // Put writes one key.
