--- a/pkg/peers/relay.go
+++ b/pkg/peers/relay.go
@@ -67,7 +67,7 @@
 			x.aliveNames = append(x.aliveNames, name)
 		}
 	}
-	x.defaultRelay = x.options.Pace.First(x.options.Name, x.aliveNames)
+	x.defaultRelay = x.options.Pace.AlwaysRelay(x.options.Name, x.aliveNames)
 	x.relaysChosenAt = time.Time{}
 	return x.aliveNames
 }
@@ -87,7 +87,7 @@
 // chooseRelays chooses relays again when a choice is due. The caller holds the lock.
 func (x *Exchange) chooseRelays(now time.Time) {
 	alive := x.aliveGateways()
-	if x.sources.Any() && now.Sub(x.relaysChosenAt) < x.options.Pace.Beat/choicesPerBeat {
+	if x.sources.Any() && now.Sub(x.relaysChosenAt) < x.options.Pace.Heartbeat/choicesPerBeat {
 		return
 	}
 	x.relaysChosenAt = now
@@ -113,7 +113,7 @@
 func (x *Exchange) Coverage(now time.Time) Coverage {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return Coverage{FreshUntil: x.sources.FreshUntil(), Answering: x.sources.Answering(now)}
+	return Coverage{FreshUntil: x.sources.FreshUntil(), Answering: x.sources.AnyResponding(now)}
 }
 
 // StoreAnswers records that the store responded to this gateway. Relays that can't reach the store
@@ -121,7 +121,7 @@
 func (x *Exchange) StoreAnswers(now time.Time) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.sources.StoreAnswers(now)
+	x.sources.RecordStoreResponse(now)
 }
 
 // SendStoreUpdates sends subscribers the changes that they lack, and an update without changes to
@@ -198,7 +198,7 @@
 	}
 	applied := x.options.Store.Receive(u)
 	x.mu.Lock()
-	x.sources.Heard(from, &u, applied, now)
+	x.sources.RecordUpdate(from, &u, applied, now)
 	x.mu.Unlock()
 	if !applied {
 		x.subscribe(now)
@@ -206,7 +206,7 @@
 }
 
 func encodeStoreUpdate(u relay.Update) *wirepb.StoreUpdate {
-	out := &wirepb.StoreUpdate{From: uint64(u.From), To: uint64(u.To), AgeMs: uint32(u.Age.Milliseconds()), More: u.More, Restored: uint64(u.Restored)}
+	out := &wirepb.StoreUpdate{From: uint64(u.From), To: uint64(u.To), AgeMs: uint32(u.Age.Milliseconds()), More: u.Truncated, Restored: uint64(u.Restored)}
 	for _, c := range u.Changes {
 		out.Changes = append(out.Changes, &wirepb.StoreChange{Key: c.Key, Value: c.Value, Revision: uint64(c.Revision), Gone: c.Removed})
 	}
@@ -217,7 +217,7 @@
 }
 
 func decodeStoreUpdate(u *wirepb.StoreUpdate) relay.Update {
-	out := relay.Update{From: store.Revision(u.From), To: store.Revision(u.To), Age: time.Duration(u.AgeMs) * time.Millisecond, More: u.More, Restored: store.Revision(u.Restored)}
+	out := relay.Update{From: store.Revision(u.From), To: store.Revision(u.To), Age: time.Duration(u.AgeMs) * time.Millisecond, Truncated: u.More, Restored: store.Revision(u.Restored)}
 	for _, c := range u.Changes {
 		out.Changes = append(out.Changes, store.Event{Item: store.Item{Key: c.Key, Value: c.Value, Revision: store.Revision(c.Revision)}, Removed: c.Gone})
 	}
--- a/pkg/peers/relay_test.go
+++ b/pkg/peers/relay_test.go
@@ -108,7 +108,7 @@
 		g.Eventually(w.feed.received).WithTimeout(20*time.Second).Should(HaveLen(1), w.options.Name)
 		g.Expect(w.Coverage(time.Now()).FreshUntil).To(BeTemporally(">", time.Now()))
 	}
-	time.Sleep(2 * pace.Beat)
+	time.Sleep(2 * pace.Heartbeat)
 	for _, w := range subscribed {
 		g.Expect(w.feed.received()).To(HaveLen(1), "each change is applied once although two relays send it")
 	}
--- a/pkg/process/copy.go
+++ b/pkg/process/copy.go
@@ -74,7 +74,7 @@
 		value, err := delta.Apply(before.Value, d.Bytes)
 		if err != nil {
 			u.Changes = slices.DeleteFunc(u.Changes, func(e store.Event) bool { return e.Revision >= d.Revision })
-			u.To, u.More = d.Revision-1, true
+			u.To, u.Truncated = d.Revision-1, true
 			return &ErrDelta{Key: d.Key, Revision: d.Revision, Base: d.Base, Have: before.Revision, Err: err}
 		}
 		u.Changes = append(u.Changes, store.Event{Item: store.Item{Key: d.Key, Value: value, Revision: d.Revision}})
--- a/pkg/process/relay.go
+++ b/pkg/process/relay.go
@@ -202,13 +202,13 @@
 		f.log.Write(decisionlog.KindFailed, "store_change_not_read", decisionlog.F("error", err))
 	}
 	var freshAt time.Time
-	if !u.More {
+	if !u.Truncated {
 		freshAt = time.Now().Add(-u.Age)
 	}
 	if count := f.applyUpdate(u, freshAt); count > 0 {
 		f.log.Write(decisionlog.KindState, "store_changes_relayed", decisionlog.F("changes", count), decisionlog.F("at", u.To))
 	}
-	if u.More {
+	if u.Truncated {
 		f.wake()
 	} else {
 		f.history.Confirm(u.Confirmed)
--- a/pkg/process/relay_test.go
+++ b/pkg/process/relay_test.go
@@ -169,7 +169,7 @@
 	f := newFixture(t, 10)
 	_, before := f.history.Reached()
 	time.Sleep(time.Millisecond)
-	g.Expect(f.Receive(relay.Update{From: 10, To: 11, More: true})).To(BeTrue())
+	g.Expect(f.Receive(relay.Update{From: 10, To: 11, Truncated: true})).To(BeTrue())
 	at, after := f.history.Reached()
 	g.Expect(at).To(Equal(store.Revision(11)))
 	g.Expect(after).To(Equal(before))
@@ -237,7 +237,7 @@
 		f := newFixture(t, 10)
 		f.coverage.FreshUntil = time.Now().Add(time.Hour)
 		time.Sleep(delayAfterFirstRead)
-		time.AfterFunc(100*time.Millisecond, func() { f.Receive(relay.Update{From: 10, To: 11, More: true}) })
+		time.AfterFunc(100*time.Millisecond, func() { f.Receive(relay.Update{From: 10, To: 11, Truncated: true}) })
 		g.Expect(f.timeToNextWatch(t)).To(Equal(100 * time.Millisecond))
 	})
 }
@@ -267,7 +267,7 @@
 	g.Expect(f.forwarded).To(Equal(forwardedBefore + 1))
 	updates := f.Since(11, allEncodings, time.Now())
 	g.Expect(updates).To(HaveLen(1))
-	g.Expect(updates[0].More).To(BeFalse(), "a subscriber need not read the store")
+	g.Expect(updates[0].Truncated).To(BeFalse(), "a subscriber need not read the store")
 	g.Expect(updates[0].To).To(Equal(store.Revision(20)))
 
 	other := newFixture(t, 11, entry("e1", "prefill", 5), entry("e2", "decode", 6), entry("e3", "decode", 7))
--- a/pkg/process/restored_test.go
+++ b/pkg/process/restored_test.go
@@ -73,7 +73,7 @@
 		g.Expect(f.Receive(u)).To(BeFalse())
 	}
 	g.Expect(f.Reached()).To(Equal(store.Revision(39)))
-	g.Expect(relay.Since(39, allEncodings, time.Now())[0].More).To(BeTrue())
+	g.Expect(relay.Since(39, allEncodings, time.Now())[0].Truncated).To(BeTrue())
 }
 
 // Guards against a relay that still follows an earlier era and confirms state of the current one.
--- a/pkg/relay/history.go
+++ b/pkg/relay/history.go
@@ -161,7 +161,7 @@
 	defer h.mu.Unlock()
 	age := max(0, now.Sub(h.freshAt))
 	if !h.canResume(at, encodings) {
-		return []Update{{From: at, To: at, Age: age, More: true}}
+		return []Update{{From: at, To: at, Age: age, Truncated: true}}
 	}
 	out := []Update{{From: min(at, h.reached), Age: age, Restored: h.restoredAfter(at)}}
 	bytes := 0
@@ -171,7 +171,7 @@
 		n := part.Bytes()
 		if n > maxUpdateBytes {
 			last := &out[len(out)-1]
-			last.To, last.More = previousRevision(h.changes[i].Revision, at), true
+			last.To, last.Truncated = previousRevision(h.changes[i].Revision, at), true
 			return out
 		}
 		if bytes += n; bytes > maxUpdateBytes {
--- a/pkg/relay/history_test.go
+++ b/pkg/relay/history_test.go
@@ -32,7 +32,7 @@
 	g.Expect(h.Since(12, allEncodings, now)).To(Equal([]Update{{From: 12, To: 14, Age: 300 * time.Millisecond, Changes: h.changes[1:]}}))
 	g.Expect(h.Since(14, allEncodings, now)).To(Equal([]Update{{From: 14, To: 14, Age: 300 * time.Millisecond}}))
 	g.Expect(h.Since(20, allEncodings, now)).To(Equal([]Update{{From: 14, To: 14, Age: 300 * time.Millisecond}}), "a gateway ahead of the history")
-	g.Expect(h.Since(9, allEncodings, now)[0].More).To(BeTrue(), "changes before the full read are not known")
+	g.Expect(h.Since(9, allEncodings, now)[0].Truncated).To(BeTrue(), "changes before the full read are not known")
 }
 
 func TestSinceOmitsChangesLargerThanDatagram(t *testing.T) {
@@ -44,7 +44,7 @@
 	got := h.Since(10, allEncodings, now)
 	g.Expect(got).To(HaveLen(1))
 	g.Expect(got[0].To).To(Equal(store.Revision(12)))
-	g.Expect(got[0].More).To(BeTrue())
+	g.Expect(got[0].Truncated).To(BeTrue())
 	g.Expect(got[0].Changes).To(HaveLen(1))
 }
 
@@ -73,7 +73,7 @@
 				if rapid.IntRange(0, 2).Draw(t, "lost") == 0 || u.From > at {
 					continue
 				}
-				if u.More && u.To <= at {
+				if u.Truncated && u.To <= at {
 					return
 				}
 				for _, c := range u.Changes {
@@ -82,7 +82,7 @@
 					}
 				}
 				at = max(at, u.To)
-				if reached, _ := relay.Reached(); u.Age < Unconfirmed && !u.More && at < reached {
+				if reached, _ := relay.Reached(); u.Age < Unconfirmed && !u.Truncated && at < reached {
 					t.Fatalf("confirmed at %d of %d", at, reached)
 				}
 			}
@@ -124,7 +124,7 @@
 		h.Advance(revision, []store.Event{change(fmt.Sprintf("k%d", revision), revision, 1000)}, now)
 	}
 	g.Expect(h.bytes).To(BeNumerically("<=", maxHistoryBytes))
-	g.Expect(h.Since(2, allEncodings, now)[0].More).To(BeTrue())
+	g.Expect(h.Since(2, allEncodings, now)[0].Truncated).To(BeTrue())
 	g.Expect(h.Since(998, allEncodings, now)[0].Changes).To(HaveLen(1))
 }
 
@@ -153,7 +153,7 @@
 	g.Expect(len(document(2))).To(BeNumerically(">", maxUpdateBytes))
 	got := h.Since(10, allEncodings, now)
 	g.Expect(got).To(HaveLen(1))
-	g.Expect(got[0].More).To(BeFalse())
+	g.Expect(got[0].Truncated).To(BeFalse())
 	g.Expect(got[0].To).To(Equal(store.Revision(12)))
 	g.Expect(got[0].Changes).To(BeEmpty())
 	g.Expect(got[0].Deltas).To(HaveLen(1))
@@ -161,13 +161,13 @@
 	g.Expect(got[0].Bytes()).To(BeNumerically("<", 1000))
 	g.Expect(delta.Apply(document(1), got[0].Deltas[0].Bytes)).To(Equal(document(2)))
 
-	g.Expect(h.Since(10, Encodings{}, now)[0].More).To(BeTrue(), "a gateway that decodes no deltas reads the store")
+	g.Expect(h.Since(10, Encodings{}, now)[0].Truncated).To(BeTrue(), "a gateway that decodes no deltas reads the store")
 	put(3, 15)
 	g.Expect(h.Since(12, allEncodings, now)[0].Deltas[0].Base).To(Equal(store.Revision(12)))
-	g.Expect(h.Since(10, allEncodings, now)[0].More).To(BeTrue(), "a gateway that lacks the previous value reads the store")
+	g.Expect(h.Since(10, allEncodings, now)[0].Truncated).To(BeTrue(), "a gateway that lacks the previous value reads the store")
 	h.Advance(16, []store.Event{{Item: store.Item{Key: "op/config", Revision: 16}, Removed: true}}, now)
 	put(4, 17)
-	g.Expect(h.Since(16, allEncodings, now)[0].More).To(BeTrue(), "there is no previous value")
+	g.Expect(h.Since(16, allEncodings, now)[0].Truncated).To(BeTrue(), "there is no previous value")
 }
 
 // inEra returns the revision of a number in an era.
@@ -196,9 +196,9 @@
 	g.Expect(same[0].Restored).To(Equal(inEra(1, 32)))
 	g.Expect(same[0].Changes).To(HaveLen(2))
 	for _, other := range []store.Revision{34, 35, 37, 39} {
-		g.Expect(h.Since(other, allEncodings, now)).To(Equal([]Update{{From: other, To: other, Age: 0, More: true}}), "at %s", other)
+		g.Expect(h.Since(other, allEncodings, now)).To(Equal([]Update{{From: other, To: other, Age: 0, Truncated: true}}), "at %s", other)
 	}
-	g.Expect(h.Since(36, Encodings{Deltas: true}, now)[0].More).To(BeTrue(), "a build that decodes no eras")
+	g.Expect(h.Since(36, Encodings{Deltas: true}, now)[0].Truncated).To(BeTrue(), "a build that decodes no eras")
 	g.Expect(h.Since(inEra(1, 31), allEncodings, now)[0].Changes).To(BeEmpty(), "a gateway that has read the restored store itself")
 
 	h.Advance(inEra(1, 34), []store.Event{change("b", inEra(1, 34), 1)}, now)
@@ -208,7 +208,7 @@
 	g.Expect(later.Restored).To(BeZero(), "the change is not part of the full read after the restore")
 
 	h.Restore(Update{To: inEra(2, 33), Restored: inEra(2, 33)}, now, now)
-	g.Expect(h.Since(36, allEncodings, now)[0].More).To(BeTrue(), "two eras before")
+	g.Expect(h.Since(36, allEncodings, now)[0].Truncated).To(BeTrue(), "two eras before")
 	g.Expect(h.Since(inEra(1, 34), allEncodings, now)[0].To).To(Equal(inEra(2, 33)))
 }
 
@@ -223,7 +223,7 @@
 		lost = append(lost, store.Event{Item: store.Item{Key: fmt.Sprintf("key-%016d", i), Revision: inEra(1, 0)}, Removed: true})
 	}
 	h.Restore(Update{To: inEra(1, 9), Restored: inEra(1, 9), Changes: lost}, now, now)
-	g.Expect(h.Since(30, allEncodings, now)).To(Equal([]Update{{From: 30, To: 30, More: true, Restored: inEra(1, 9)}}))
+	g.Expect(h.Since(30, allEncodings, now)).To(Equal([]Update{{From: 30, To: 30, Truncated: true, Restored: inEra(1, 9)}}))
 }
 
 // Guards against accepting API keys whose revocation the restored store may have lost.
--- a/pkg/relay/relay.go
+++ b/pkg/relay/relay.go
@@ -59,9 +59,9 @@
 // square of the bound.
 type Pace struct {
 	factor float64
-	// Beat is the heartbeat interval: the longest time between two updates to a subscriber. At the
+	// Heartbeat is the heartbeat interval: the longest time between two updates to a subscriber. At the
 	// shortest bound a gateway gets some 7 datagrams of 60 bytes a second from its two relays.
-	Beat time.Duration
+	Heartbeat time.Duration
 	// RenewEvery is the time between two subscriptions at the same relay.
 	RenewEvery time.Duration
 	// WatchWait is how long a relay's watch waits for a change. The end of the watch confirms that
@@ -76,7 +76,7 @@
 // PaceFor returns the pace at which a change is in force on all gateways within a bound.
 func PaceFor(bound time.Duration) Pace {
 	p := Pace{factor: max(1, float64(bound)/float64(ShortestBound))}
-	p.Beat, p.RenewEvery, p.WatchWait, p.StaleAfter = p.Scale(baseBeat), p.Scale(baseRenewEvery), p.Scale(baseWatchWait), p.Scale(baseStaleAfter)
+	p.Heartbeat, p.RenewEvery, p.WatchWait, p.StaleAfter = p.Scale(baseBeat), p.Scale(baseRenewEvery), p.Scale(baseWatchWait), p.Scale(baseStaleAfter)
 	return p
 }
 
@@ -84,7 +84,7 @@
 func (p Pace) Scale(d time.Duration) time.Duration { return time.Duration(float64(d) * p.factor) }
 
 // silenceTimeout is how long a relay may send no update before it is replaced.
-func (p Pace) silenceTimeout() time.Duration { return maxMissed * p.Beat }
+func (p Pace) silenceTimeout() time.Duration { return maxMissed * p.Heartbeat }
 
 // subscriptionTTL is how long a subscription lasts.
 func (p Pace) subscriptionTTL() time.Duration { return maxMissed * p.RenewEvery }
@@ -108,9 +108,9 @@
 	// Confirmed is a time, by boottime on the gateway that holds the update, at which the store
 	// certainly had no change after To; zero if none is known.
 	Confirmed time.Time
-	// More is set when the store holds later changes that are not sent.
-	More    bool
-	Changes []store.Event
+	// Truncated is set when the store holds later changes that are not sent.
+	Truncated bool
+	Changes   []store.Event
 	// Deltas are the changes of large values, each encoded as the difference from the previous
 	// value.
 	Deltas []Delta
--- a/pkg/relay/sources.go
+++ b/pkg/relay/sources.go
@@ -88,8 +88,8 @@
 	return slices.DeleteFunc(first, func(name string) bool { return name == s.self })
 }
 
-// First reports whether a gateway is among the first alive ones, which always watch the store.
-func (p Pace) First(self string, alive []string) bool {
+// AlwaysRelay reports whether a gateway is among the first alive ones, which always watch the store.
+func (p Pace) AlwaysRelay(self string, alive []string) bool {
 	before := 0
 	for _, name := range alive {
 		if name != self && compareGateways(name, self) < 0 {
@@ -120,11 +120,11 @@
 	return out
 }
 
-// Heard records an update of a relay. applied reports whether this gateway now has all changes up
+// RecordUpdate records an update of a relay. applied reports whether this gateway now has all changes up
 // to its end; if not, the relay is asked again for the lost ones.
-func (s *Sources) Heard(name string, u *Update, applied bool, now time.Time) {
+func (s *Sources) RecordUpdate(name string, u *Update, applied bool, now time.Time) {
 	freshAt := now.Add(-u.Age)
-	if applied && !u.More {
+	if applied && !u.Truncated {
 		s.freshAt = later(s.freshAt, freshAt)
 	}
 	if r := s.relays[name]; r != nil {
@@ -135,8 +135,8 @@
 // FreshUntil returns the time until which the data from relays can be relied on.
 func (s *Sources) FreshUntil() time.Time { return s.freshAt.Add(s.pace.StaleAfter) }
 
-// Answering reports whether any relay sends updates, including one that can't reach the store.
-func (s *Sources) Answering(now time.Time) bool {
+// AnyResponding reports whether any relay sends updates, including one that can't reach the store.
+func (s *Sources) AnyResponding(now time.Time) bool {
 	for _, r := range s.relays {
 		if now.Sub(r.updatedAt) <= s.pace.silenceTimeout() {
 			return true
@@ -145,9 +145,9 @@
 	return false
 }
 
-// StoreAnswers records that the store responds to this gateway. Relays that can't reach the store
+// RecordStoreResponse records that the store responds to this gateway. Relays that can't reach the store
 // are excluded and thus replaced.
-func (s *Sources) StoreAnswers(now time.Time) {
+func (s *Sources) RecordStoreResponse(now time.Time) {
 	for name, r := range s.relays {
 		if !r.updatedAt.IsZero() && now.Sub(r.freshAt) > 2*s.pace.StaleAfter {
 			s.excluded[name] = now.Add(exclusionTime)
--- a/pkg/relay/sources_test.go
+++ b/pkg/relay/sources_test.go
@@ -50,7 +50,7 @@
 		for name := range s.relays {
 			subscribed[name]++
 			g.Expect(name).NotTo(Equal(self))
-			g.Expect(pace.First(name, all)).To(BeTrue(), "only the first gateways are chosen")
+			g.Expect(pace.AlwaysRelay(name, all)).To(BeTrue(), "only the first gateways are chosen")
 		}
 	}
 	g.Expect(subscribed).To(HaveLen(pace.Relays(len(all))))
@@ -87,13 +87,13 @@
 	s := settledSources("self", now)
 	s.Choose(gatewayNames(3), now)
 	from := chosenRelays(s)[0]
-	s.Heard(from, &Update{Age: time.Second}, true, now)
+	s.RecordUpdate(from, &Update{Age: time.Second}, true, now)
 	g.Expect(s.FreshUntil()).To(Equal(now.Add(pace.StaleAfter - time.Second)))
-	s.Heard(from, &Update{Age: 0}, false, now)
+	s.RecordUpdate(from, &Update{Age: 0}, false, now)
 	g.Expect(s.FreshUntil()).To(Equal(now.Add(pace.StaleAfter-time.Second)), "an update after a gap confirms nothing")
-	s.Heard(from, &Update{Age: 0, More: true}, true, now)
+	s.RecordUpdate(from, &Update{Age: 0, Truncated: true}, true, now)
 	g.Expect(s.FreshUntil()).To(Equal(now.Add(pace.StaleAfter-time.Second)), "an update that lacks changes confirms nothing")
-	g.Expect(s.Answering(now)).To(BeTrue())
+	g.Expect(s.AnyResponding(now)).To(BeTrue())
 }
 
 func TestLostChangesAreRequestedAgain(t *testing.T) {
@@ -105,7 +105,7 @@
 	now = now.Add(rerequestAfter)
 	g.Expect(s.Due(now)).To(BeEmpty())
 	from := chosenRelays(s)[0]
-	s.Heard(from, &Update{}, false, now)
+	s.RecordUpdate(from, &Update{}, false, now)
 	g.Expect(s.Due(now)).To(Equal([]string{from}))
 	g.Expect(s.Due(now)).To(BeEmpty(), "once")
 	g.Expect(s.Due(now.Add(pace.RenewEvery))).To(HaveLen(relaysPerGateway))
@@ -121,12 +121,12 @@
 	s.Choose(all, now)
 	lost := chosenRelays(s)
 	for _, name := range lost {
-		s.Heard(name, &Update{}, true, now.Add(-3*pace.StaleAfter))
-		s.Heard(name, &Update{Age: Unconfirmed}, true, now)
+		s.RecordUpdate(name, &Update{}, true, now.Add(-3*pace.StaleAfter))
+		s.RecordUpdate(name, &Update{Age: Unconfirmed}, true, now)
 	}
 	s.Choose(all, now)
 	g.Expect(chosenRelays(s)).To(ConsistOf(lost), "perhaps no gateway can reach the store")
-	s.StoreAnswers(now)
+	s.RecordStoreResponse(now)
 	s.Choose(all, now)
 	for _, name := range lost {
 		g.Expect(chosenRelays(s)).NotTo(ContainElement(name))
@@ -143,7 +143,7 @@
 	s.Sent("a", 5, now)
 	g.Expect(s.Due(5, now)).To(BeEmpty())
 	g.Expect(s.Due(6, now)).To(Equal(map[string]store.Revision{"a": 5}), "a change")
-	g.Expect(s.Due(5, now.Add(pace.Beat))).To(HaveLen(1), "a heartbeat")
+	g.Expect(s.Due(5, now.Add(pace.Heartbeat))).To(HaveLen(1), "a heartbeat")
 	s.Subscribe("a", 3, allEncodings, now)
 	g.Expect(s.Due(5, now)).To(Equal(map[string]store.Revision{"a": 3}), "lost changes")
 	g.Expect(s.Any(now.Add(pace.subscriptionTTL() + 1))).To(BeFalse())
--- a/pkg/relay/subscribers.go
+++ b/pkg/relay/subscribers.go
@@ -68,7 +68,7 @@
 func (s *Subscribers) Due(reached store.Revision, now time.Time) map[string]store.Revision {
 	out := map[string]store.Revision{}
 	for name, g := range s.all {
-		if !now.After(g.expires) && (g.sent < reached || now.Sub(g.sentAt) >= s.pace.Beat) {
+		if !now.After(g.expires) && (g.sent < reached || now.Sub(g.sentAt) >= s.pace.Heartbeat) {
 			out[name] = g.sent
 		}
 	}
