--- a/pkg/peers/members.go
+++ b/pkg/peers/members.go
@@ -49,8 +49,8 @@
 	return nil
 }
 
-// Known returns the number of other gateways in the membership list, including silent ones.
-func (x *Exchange) Known() int {
+// MemberCount returns the number of other gateways in the membership list, including silent ones.
+func (x *Exchange) MemberCount() int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return len(x.members)
@@ -81,8 +81,8 @@
 	return n
 }
 
-// Neighbours returns the number of other live gateways in this gateway's failure domain.
-func (x *Exchange) Neighbours() int {
+// SameDomainCount returns the number of other live gateways in this gateway's failure domain.
+func (x *Exchange) SameDomainCount() int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	n := 0
@@ -172,7 +172,7 @@
 			m.alive = false
 			silent = append(silent, name)
 		}
-		if silentFor > RememberFor {
+		if silentFor > MemberTTL {
 			delete(x.members, name)
 			x.memberships++
 		}
--- a/pkg/peers/peers.go
+++ b/pkg/peers/peers.go
@@ -50,9 +50,9 @@
 	// times the number of members, so that more than a hundred gateways cause no higher rate
 	// of these datagrams than a hundred do.
 	minFullInterval = 3 * time.Second
-	// RememberFor is how long a silent gateway stays in the membership list and is sent
+	// MemberTTL is how long a silent gateway stays in the membership list and is sent
 	// datagrams.
-	RememberFor = 60 * time.Second
+	MemberTTL = 60 * time.Second
 	// maxDatagram is the maximum size of a datagram, in bytes.
 	maxDatagram = 16 << 10
 	// peersPerDatagram is the number of other gateways named in a datagram with the full state.
--- a/pkg/peers/peers_test.go
+++ b/pkg/peers/peers_test.go
@@ -108,7 +108,7 @@
 			return p.Engines[0].Loads[0].Now
 		}, "20s").Should(Equal(pair.load))
 	}
-	g.Expect(a.Known()).To(Equal(2))
+	g.Expect(a.MemberCount()).To(Equal(2))
 	g.Expect(a.Addresses()[0]).To(Equal(c.address), "the newest configuration first")
 	g.Expect(a.Rank()).To(Equal(0))
 	g.Expect(c.Rank()).To(Equal(2))
@@ -138,9 +138,9 @@
 	g.Expect(a.Add("z", "127.0.0.1:1")).To(Succeed())
 	now := time.Now()
 	a.sweep(now.Add(2 * minAliveTime))
-	g.Expect(a.Known()).To(Equal(1))
-	a.sweep(now.Add(2 * RememberFor))
-	g.Expect(a.Known()).To(Equal(0))
+	g.Expect(a.MemberCount()).To(Equal(1))
+	a.sweep(now.Add(2 * MemberTTL))
+	g.Expect(a.MemberCount()).To(Equal(0))
 }
 
 func TestSnapshotsSurviveEncoding(t *testing.T) {
--- a/pkg/peers/period_bench_test.go
+++ b/pkg/peers/period_bench_test.go
@@ -60,7 +60,7 @@
 				x.subscribe(now)
 				x.SendStoreUpdates(now)
 				x.sweep(now)
-				x.Relay(now)
+				x.IsRelay(now)
 			}
 		})
 	}
--- a/pkg/peers/relay.go
+++ b/pkg/peers/relay.go
@@ -30,8 +30,8 @@
 	// Receive applies an update of a relay, and reports whether the copy now has all changes
 	// up to the end of the update.
 	Receive(u relay.Update) bool
-	// Subscribed is called when a first gateway subscribes to this one, which makes it a relay.
-	Subscribed()
+	// OnFirstSubscriber is called when a first gateway subscribes to this one, which makes it a relay.
+	OnFirstSubscriber()
 }
 
 // allowance is the token bucket of the bytes that a relay may send.
@@ -94,31 +94,31 @@
 	x.sources.Choose(alive, now)
 }
 
-// Relay reports whether this gateway is a relay, which watches the store continuously.
-func (x *Exchange) Relay(now time.Time) bool {
+// IsRelay reports whether this gateway is a relay, which watches the store continuously.
+func (x *Exchange) IsRelay(now time.Time) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.subscribers.Any(now) || x.isDefaultRelay()
 }
 
-// Coverage is how up to date relays keep a gateway's copy of the store.
-type Coverage struct {
+// Freshness is how up to date relays keep a gateway's copy of the store.
+type Freshness struct {
 	// FreshUntil is the time until which the copy can be relied on without reading the store.
 	FreshUntil time.Time
-	// Answering says that a relay sends updates, whether or not it reaches the store.
-	Answering bool
+	// RelayResponding says that a relay sends updates, whether or not it reaches the store.
+	RelayResponding bool
 }
 
-// Coverage returns how up to date relays keep this gateway's copy of the store.
-func (x *Exchange) Coverage(now time.Time) Coverage {
+// Freshness returns how up to date relays keep this gateway's copy of the store.
+func (x *Exchange) Freshness(now time.Time) Freshness {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return Coverage{FreshUntil: x.sources.FreshUntil(), Answering: x.sources.AnyResponding(now)}
+	return Freshness{FreshUntil: x.sources.FreshUntil(), RelayResponding: x.sources.AnyResponding(now)}
 }
 
-// StoreAnswers records that the store responded to this gateway. Relays that can't reach the store
+// RecordStoreResponse records that the store responded to this gateway. Relays that can't reach the store
 // are then replaced.
-func (x *Exchange) StoreAnswers(now time.Time) {
+func (x *Exchange) RecordStoreResponse(now time.Time) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.sources.RecordStoreResponse(now)
@@ -186,7 +186,7 @@
 	x.mu.Unlock()
 	x.write(out)
 	if firstSubscriber {
-		x.options.Store.Subscribed()
+		x.options.Store.OnFirstSubscriber()
 	}
 }
 
--- a/pkg/peers/relay_test.go
+++ b/pkg/peers/relay_test.go
@@ -43,7 +43,7 @@
 	return true
 }
 
-func (k *fakeStoreFeed) Subscribed() {
+func (k *fakeStoreFeed) OnFirstSubscriber() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.subscribed++
@@ -92,21 +92,21 @@
 	g.Eventually(func() int {
 		subscribed = nil
 		for _, w := range all {
-			if !w.Relay(time.Now()) && w.Coverage(time.Now()).Answering {
+			if !w.IsRelay(time.Now()) && w.Freshness(time.Now()).RelayResponding {
 				subscribed = append(subscribed, w)
 			}
 		}
 		return len(subscribed)
 	}).WithTimeout(20*time.Second).Should(Equal(len(all)-pace.Relays(len(all))), "only the default relays have subscribers while all of them respond")
 	for _, w := range all {
-		if w.Relay(time.Now()) {
+		if w.IsRelay(time.Now()) {
 			w.feed.Advance(7, []store.Event{storeChange("servers/a", 7, 10)}, time.Now())
 			w.SendStoreUpdates(time.Now())
 		}
 	}
 	for _, w := range subscribed {
 		g.Eventually(w.feed.received).WithTimeout(20*time.Second).Should(HaveLen(1), w.options.Name)
-		g.Expect(w.Coverage(time.Now()).FreshUntil).To(BeTemporally(">", time.Now()))
+		g.Expect(w.Freshness(time.Now()).FreshUntil).To(BeTemporally(">", time.Now()))
 	}
 	time.Sleep(2 * pace.Heartbeat)
 	for _, w := range subscribed {
@@ -120,11 +120,11 @@
 	all := startFleet(t, pace.Relays(1)+1, 6)
 	subscriber := all[0]
 	for _, w := range all {
-		if !w.Relay(time.Now()) {
+		if !w.IsRelay(time.Now()) {
 			subscriber = w
 		}
 	}
-	g.Eventually(func() time.Time { return subscriber.Coverage(time.Now()).FreshUntil }).Should(BeTemporally(">", time.Now()))
+	g.Eventually(func() time.Time { return subscriber.Freshness(time.Now()).FreshUntil }).Should(BeTemporally(">", time.Now()))
 	for _, w := range all {
 		if w != subscriber {
 			// The relays count the change as sent; it never arrived.
@@ -141,7 +141,7 @@
 	g := NewWithT(t)
 	w := newGateway(t, "alone", 1)
 	defer w.options.Conn.Close()
-	g.Expect(w.Relay(time.Now())).To(BeTrue())
+	g.Expect(w.IsRelay(time.Now())).To(BeTrue())
 }
 
 // A relay must not send more than its allowance, however many changes there are.
--- a/pkg/process/announce.go
+++ b/pkg/process/announce.go
@@ -16,7 +16,7 @@
 	// announceTTL is the lease of such a key. It equals the time for which other gateways keep
 	// sending datagrams to a silent gateway. A process that starts before the lease expires also
 	// sends datagrams to the stopped gateway, in vain.
-	announceTTL = peers.RememberFor
+	announceTTL = peers.MemberTTL
 	// announceInterval is the interval between renewals of the lease: two renewals may fail before
 	// the lease expires. At a third of this interval, 356 gateways sent 60 renewals a second in
 	// total.
@@ -63,7 +63,7 @@
 		case <-time.After(delay):
 		case <-p.reannounce:
 			lease = store.LeaseID{}
-			sleep(ctx, jitter(time.Duration(p.peers.Known()+1)*reannouncePerGateway))
+			sleep(ctx, jitter(time.Duration(p.peers.MemberCount()+1)*reannouncePerGateway))
 		}
 	}
 	p.deregister(lease)
--- a/pkg/process/feed.go
+++ b/pkg/process/feed.go
@@ -128,7 +128,7 @@
 // batchWindow returns how long to wait now for further changes of the store.
 func (f *feed) batchWindow() time.Duration {
 	now := time.Now()
-	if !f.exchange.Relay(now) || f.ingress.Idle(now, idleThreshold) {
+	if !f.exchange.IsRelay(now) || f.ingress.Idle(now, idleThreshold) {
 		return f.pace.Scale(gatewayBatchWindow)
 	}
 	return f.pace.Scale(relayBatchWindow)
--- a/pkg/process/ingress.go
+++ b/pkg/process/ingress.go
@@ -108,7 +108,7 @@
 		Name: c.Instance.Name, Domain: c.Instance.Domain, Regions: c.Regions, Runners: calls, Reader: calls, Log: log,
 		Budget:   budgetLimits(c),
 		Gateways: initialGateways, MaxOpen: c.Limits.OpenRequests, MaxBuffered: int64(heldMemoryFraction * float64(memory)),
-		Pool: p.poolOptions(c), Revocation: p.revocation(c), Quota: p.quota, Suspicion: p.suspicion(), Neighbours: func() int { return p.peers.Neighbours() },
+		Pool: p.poolOptions(c), Revocation: p.revocation(c), Quota: p.quota, Suspicion: p.suspicion(), Neighbours: func() int { return p.peers.SameDomainCount() },
 	})
 	p.Ingress.Directory.ColdShare = p.coldShare
 	p.Ingress.Directory.Limits.Counted = func() { p.peers.Notify() }
@@ -233,7 +233,7 @@
 			return
 		case now := <-tick.C:
 			p.client.Sweep(now)
-			gateways := max(p.peers.Known()+1, minGateways)
+			gateways := max(p.peers.MemberCount()+1, minGateways)
 			p.Ingress.Gateways(gateways)
 			p.client.Limit(p.idleConnShare(gateways))
 		}
--- a/pkg/process/relay.go
+++ b/pkg/process/relay.go
@@ -32,14 +32,14 @@
 
 // storeExchange exchanges changes of the store with the other gateways.
 type storeExchange interface {
-	// Relay reports whether this gateway is a relay, which watches the store continuously.
-	Relay(now time.Time) bool
-	// Coverage returns how well relays keep this gateway up to date.
-	Coverage(now time.Time) peers.Coverage
-	// StoreAnswers records that the store responded to this gateway.
-	StoreAnswers(now time.Time)
-	// Known returns the number of other gateways.
-	Known() int
+	// IsRelay reports whether this gateway is a relay, which watches the store continuously.
+	IsRelay(now time.Time) bool
+	// Freshness returns how well relays keep this gateway up to date.
+	Freshness(now time.Time) peers.Freshness
+	// RecordStoreResponse records that the store responded to this gateway.
+	RecordStoreResponse(now time.Time)
+	// MemberCount returns the number of other gateways.
+	MemberCount() int
 	// SendStoreUpdates forwards new changes to the subscribers.
 	SendStoreUpdates(now time.Time)
 }
@@ -74,10 +74,10 @@
 	if left := f.firstRead.Add(f.pace.Scale(delayAfterFirstRead)).Sub(now); left > 0 {
 		return left, 0
 	}
-	if f.exchange.Relay(now) {
+	if f.exchange.IsRelay(now) {
 		return 0, f.relayWait(now)
 	}
-	coverage := f.exchange.Coverage(now)
+	coverage := f.exchange.Freshness(now)
 	until := coverage.FreshUntil
 	if f.confirmAt.Before(until) {
 		until = f.confirmAt
@@ -87,7 +87,7 @@
 		return until.Sub(now), 0
 	case now.Before(coverage.FreshUntil):
 		f.confirmAt, wait = now.Add(f.confirmDelay()), confirmWatchWait
-	case f.storeCopy.unreachable() && coverage.Answering && now.Before(f.retryAt):
+	case f.storeCopy.unreachable() && coverage.RelayResponding && now.Before(f.retryAt):
 		return f.retryAt.Sub(now), 0
 	}
 	f.retryAt = now.Add(jitter(outageRetryDelay))
@@ -109,7 +109,7 @@
 		if at := f.Reached(); at > after {
 			return at
 		}
-		if f.exchange.Relay(now) || !f.exchange.Coverage(now).Answering {
+		if f.exchange.IsRelay(now) || !f.exchange.Freshness(now).RelayResponding {
 			return 0
 		}
 		select {
@@ -141,7 +141,7 @@
 // confirmDelay returns how long this gateway relies on relays before it checks the store
 // nevertheless.
 func (f *feed) confirmDelay() time.Duration {
-	return jitter(max(confirmInterval, time.Duration(f.exchange.Known())*confirmPerGateway))
+	return jitter(max(confirmInterval, time.Duration(f.exchange.MemberCount())*confirmPerGateway))
 }
 
 // jitter returns a random time from d/2 to 3d/2, so that gateways which started together do not stay
@@ -154,7 +154,7 @@
 	f.mu.Lock()
 	f.confirmAt = now.Add(delay)
 	f.mu.Unlock()
-	f.exchange.StoreAnswers(now)
+	f.exchange.RecordStoreResponse(now)
 }
 
 // noteFirstRead records the time of the first read of the store.
@@ -174,9 +174,9 @@
 	}
 }
 
-// Subscribed implements peers.StoreFeed: a gateway that became a relay watches the store
+// OnFirstSubscriber implements peers.StoreFeed: a gateway that became a relay watches the store
 // at once.
-func (f *feed) Subscribed() { f.wake() }
+func (f *feed) OnFirstSubscriber() { f.wake() }
 
 // Reached implements peers.StoreFeed.
 func (f *feed) Reached() store.Revision {
--- a/pkg/process/relay_test.go
+++ b/pkg/process/relay_test.go
@@ -30,18 +30,18 @@
 type fixture struct {
 	*feed
 	isRelay      bool
-	coverage     peers.Coverage
+	coverage     peers.Freshness
 	others       int
 	forwarded    int
 	gatewaysSeen []string
 	restores     int
 }
 
-func (f *fixture) Relay(time.Time) bool              { return f.isRelay }
-func (f *fixture) Coverage(time.Time) peers.Coverage { return f.coverage }
-func (f *fixture) Known() int                        { return f.others }
-func (f *fixture) StoreAnswers(time.Time)            {}
-func (f *fixture) SendStoreUpdates(time.Time)        { f.forwarded++ }
+func (f *fixture) IsRelay(time.Time) bool              { return f.isRelay }
+func (f *fixture) Freshness(time.Time) peers.Freshness { return f.coverage }
+func (f *fixture) MemberCount() int                    { return f.others }
+func (f *fixture) RecordStoreResponse(time.Time)       {}
+func (f *fixture) SendStoreUpdates(time.Time)          { f.forwarded++ }
 
 func newFixture(t *testing.T, at store.Revision, items ...store.Item) *fixture {
 	log := decisionlog.New("test", io.Discard)
@@ -225,7 +225,7 @@
 		f := newFixture(t, 10)
 		f.coverage.FreshUntil = time.Now().Add(time.Hour)
 		time.Sleep(delayAfterFirstRead)
-		time.AfterFunc(100*time.Millisecond, f.Subscribed)
+		time.AfterFunc(100*time.Millisecond, f.OnFirstSubscriber)
 		g.Expect(f.timeToNextWatch(t)).To(Equal(100 * time.Millisecond))
 	})
 }
@@ -249,10 +249,10 @@
 		f := newFixture(t, 10)
 		f.storeCopy.setReachable(false)
 		time.Sleep(delayAfterFirstRead)
-		f.coverage = peers.Coverage{FreshUntil: time.Now().Add(-time.Second), Answering: true}
+		f.coverage = peers.Freshness{FreshUntil: time.Now().Add(-time.Second), RelayResponding: true}
 		g.Expect(f.timeToNextWatch(t)).To(BeZero())
 		g.Expect(f.timeToNextWatch(t)).To(And(BeNumerically(">=", outageRetryDelay/2), BeNumerically("<=", 2*outageRetryDelay)))
-		f.coverage.Answering = false
+		f.coverage.RelayResponding = false
 		g.Expect(f.timeToNextWatch(t)).To(BeZero(), "no relay will report that the store responds again")
 	})
 }
@@ -346,7 +346,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newFixture(t, 10, entry("e1", "prefill", 5))
-		f.coverage.Answering = true
+		f.coverage.RelayResponding = true
 		go func() {
 			time.Sleep(pace.WatchWait / 2)
 			f.Receive(update(10, 20, store.Event{Item: entry("e1", "decode", 15)}))
@@ -361,7 +361,7 @@
 		f.isRelay = true
 		began = time.Now()
 		g.Expect(f.forgotten(t.Context(), 20)).To(BeZero())
-		f.isRelay, f.coverage.Answering = false, false
+		f.isRelay, f.coverage.RelayResponding = false, false
 		g.Expect(f.forgotten(t.Context(), 20)).To(BeZero())
 		g.Expect(time.Since(began)).To(BeZero(), "relays, and gateways without relays, read at once")
 	})
