--- a/pkg/ingress/metrics.go
+++ b/pkg/ingress/metrics.go
@@ -93,7 +93,7 @@
 // writeLimits writes the runners' rate limits, and how many requests this gateway sent and
 // withheld.
 func (g *Ingress) writeLimits(w io.Writer) {
-	all := g.Directory.Limits.All(time.Now())
+	all := g.Directory.Limits.Statuses(time.Now())
 	fmt.Fprintf(w, "hopwell_runner_limits %d\n", len(all))
 	for _, s := range all[:min(len(all), shownLimits)] {
 		fmt.Fprintf(w, "hopwell_runner_limit_per_second{runner=%q} %g\n", s.Runner, s.PerSecond)
--- a/pkg/peers/limits.go
+++ b/pkg/peers/limits.go
@@ -22,14 +22,14 @@
 		m.limitsRevision = 0
 	}
 	var reports []runnerlimit.Report
-	reports, m.limitsRevision = x.options.Limits.Since(m.name, m.limitsRevision, now)
+	reports, m.limitsRevision = x.options.Limits.ReportsSince(m.name, m.limitsRevision, now)
 	state.Limits = encodeLimits(reports)
 }
 
 // limitsDue reports whether a gateway lacks changes of runners' rate limits, which are sent at once.
 // The caller holds the lock.
 func (x *Exchange) limitsDue(m *member) bool {
-	return x.options.Limits != nil && x.options.Limits.Due(m.name, m.limitsRevision)
+	return x.options.Limits != nil && x.options.Limits.HasReportsFor(m.name, m.limitsRevision)
 }
 
 // sharedLimitDue reports whether a gateway shares a rate limit and was sent no datagram for
@@ -69,7 +69,7 @@
 	for _, r := range reports {
 		out = append(out, &wirepb.RunnerLimit{
 			Runner: r.Runner, PerSecond: r.PerSecond, Kind: uint32(r.Kind), Calls: uint32(r.Calls), Sent: r.Sent,
-			NamedAgoMs: uint32(r.NamedAgo.Milliseconds()), Over: r.Over, EndedAgoMs: uint32(r.EndedAgo.Milliseconds()),
+			NamedAgoMs: uint32(r.NamedAgo.Milliseconds()), Over: r.Ended, EndedAgoMs: uint32(r.EndedAgo.Milliseconds()),
 		})
 	}
 	return out
@@ -87,7 +87,7 @@
 			continue
 		}
 		out = append(out, runnerlimit.Report{
-			Runner: r.Runner, Sent: r.Sent, Over: r.Over,
+			Runner: r.Runner, Sent: r.Sent, Ended: r.Over,
 			Statement: runnerlimit.Statement{Kind: runnerlimit.Kind(r.Kind), Named: true, PerSecond: r.PerSecond, Calls: int(min(max(r.Calls, 1), maxCallsPerRequest))},
 			NamedAgo:  time.Duration(r.NamedAgoMs) * time.Millisecond, EndedAgo: time.Duration(r.EndedAgoMs) * time.Millisecond,
 		})
--- a/pkg/process/ingress.go
+++ b/pkg/process/ingress.go
@@ -111,7 +111,7 @@
 		Pool: p.poolOptions(c), Revocation: p.revocation(c), Quota: p.quota, Suspicion: p.suspicion(), Neighbours: func() int { return p.peers.SameDomainCount() },
 	})
 	p.Ingress.Directory.ColdShare = p.coldShare
-	p.Ingress.Directory.Limits.Counted = func() { p.peers.Notify() }
+	p.Ingress.Directory.Limits.ReportsPending = func() { p.peers.Notify() }
 	p.feed = newFeed(p.Ingress, log, openStore(c.Store, log), c.Store, relay.PaceFor(c.Changes.Bound(c.Workspaces)))
 	if err := p.openPeers(); err != nil {
 		return nil, err
--- a/pkg/runnerlimit/exchange.go
+++ b/pkg/runnerlimit/exchange.go
@@ -16,16 +16,16 @@
 	// NamedAgo is the time since a response last named the limit. Over is set if the limit has ended,
 	// EndedAgo ago.
 	NamedAgo time.Duration
-	Over     bool
+	Ended    bool
 	EndedAgo time.Duration
 	// Sent is the number of calls that the gateway's process made to the runner since it learned of the
 	// limit.
 	Sent uint64
 }
 
-// Since returns the reports that are newer than a revision and meant for a gateway, and the current revision.
+// ReportsSince returns the reports that are newer than a revision and meant for a gateway, and the current revision.
 // All gateways receive changes of limits; the users of a limit also receive its call counts.
-func (t *Table) Since(gateway string, since uint64, now time.Time) ([]Report, uint64) {
+func (t *Table) ReportsSince(gateway string, since uint64, now time.Time) ([]Report, uint64) {
 	if !t.nonEmpty.Load() {
 		return nil, since
 	}
@@ -40,8 +40,8 @@
 	return out, t.revision
 }
 
-// Due reports whether Since would return any reports.
-func (t *Table) Due(gateway string, since uint64) bool {
+// HasReportsFor reports whether Since would return any reports.
+func (t *Table) HasReportsFor(gateway string, since uint64) bool {
 	if !t.nonEmpty.Load() {
 		return false
 	}
@@ -86,7 +86,7 @@
 func (l *limit) report(runner string, now time.Time) Report {
 	r := Report{
 		Runner: runner, Statement: Statement{Kind: l.kind, Named: true, PerSecond: l.perSecond, Calls: l.calls},
-		NamedAgo: max(0, now.Sub(l.namedAt)), Over: l.ended, Sent: l.sent,
+		NamedAgo: max(0, now.Sub(l.namedAt)), Ended: l.ended, Sent: l.sent,
 	}
 	if l.ended {
 		r.EndedAgo = max(0, now.Sub(l.endedAt))
@@ -112,9 +112,9 @@
 	namedAt, endedAt := now.Add(-r.NamedAgo), now.Add(-r.EndedAgo)
 	var change *Change
 	switch {
-	case r.Over && l != nil && !l.ended && endedAt.After(l.namedAt):
+	case r.Ended && l != nil && !l.ended && endedAt.After(l.namedAt):
 		change = t.end(r.Runner, endedAt, now, gateway)
-	case r.Over || r.NamedAgo > retention:
+	case r.Ended || r.NamedAgo > retention:
 		return nil
 	case l == nil || l.ended && namedAt.After(l.endedAt) || !l.ended && namedAt.After(l.namedAt):
 		change = t.setLimit(r.Runner, r.Statement, namedAt, now, gateway)
--- a/pkg/runnerlimit/runnerlimit.go
+++ b/pkg/runnerlimit/runnerlimit.go
@@ -22,27 +22,27 @@
 
 // The kinds of calls.
 const (
-	// Run is a call that runs a request.
-	Run Kind = iota + 1
-	// Read is a call that prefills a prompt at the runner.
-	Read
-	// Own is any other call that the gateway makes, such as a reservation.
-	Own
+	// RunCall is a call that runs a request.
+	RunCall Kind = iota + 1
+	// PrefillCall is a call that prefills a prompt at the runner.
+	PrefillCall
+	// OtherCall is any other call that the gateway makes, such as a reservation.
+	OtherCall
 )
 
 // Statement is what one response of a runner reports of its limit.
 type Statement struct {
 	Kind Kind
-	// Asked is when the call was sent.
-	Asked time.Time
+	// SentAt is when the call was sent.
+	SentAt time.Time
 	// Named is set if the response names a valid limit, which is PerSecond in calls per second. Unreadable is
 	// set if the response names an invalid limit.
 	Named      bool
 	PerSecond  float64
 	Unreadable bool
-	// Own is set if the response certainly comes from the runner. Otherwise, a response without a limit may
+	// FromRunner is set if the response certainly comes from the runner. Otherwise, a response without a limit may
 	// have been sent by another server.
-	Own bool
+	FromRunner bool
 	// Calls is the number of calls that one request takes at the runner.
 	Calls int
 }
@@ -85,8 +85,8 @@
 	// Changed is called after each change of a limit. Counted is called when reports for other gateways are
 	// due: after each change or call that they should learn of. Both are called without locks held. They must
 	// be set before the table is used; nil disables them.
-	Changed func(Change)
-	Counted func()
+	Changed        func(Change)
+	ReportsPending func()
 
 	self string
 	// nonEmpty is set while there are limits. Most of the time there are none, and methods return without
@@ -126,10 +126,10 @@
 	case s.Named:
 		delete(t.unreadable, runner)
 		return t.setLimit(runner, s, now, now, "")
-	case l == nil || l.ended || !s.Own || s.Kind != l.kind || !s.Asked.After(l.namedAt):
+	case l == nil || l.ended || !s.FromRunner || s.Kind != l.kind || !s.SentAt.After(l.namedAt):
 		return nil
 	}
-	return t.end(runner, s.Asked, now, "")
+	return t.end(runner, s.SentAt, now, "")
 }
 
 // markUnreadable records that a runner named an invalid limit. The limit that it named before stays in force.
@@ -215,8 +215,8 @@
 }
 
 func (t *Table) notifyCounted() {
-	if t.Counted != nil {
-		t.Counted()
+	if t.ReportsPending != nil {
+		t.ReportsPending()
 	}
 }
 
--- a/pkg/runnerlimit/runnerlimit_test.go
+++ b/pkg/runnerlimit/runnerlimit_test.go
@@ -15,7 +15,7 @@
 }
 
 func namedLimit(perSecond float64, asked time.Time) Statement {
-	return Statement{Kind: Run, Asked: asked, Named: true, PerSecond: perSecond, Calls: 1}
+	return Statement{Kind: RunCall, SentAt: asked, Named: true, PerSecond: perSecond, Calls: 1}
 }
 
 func TestLimitBeginsAndEndsByResponses(t *testing.T) {
@@ -23,19 +23,19 @@
 	now := time.Now()
 	at := func(ms int) time.Time { return now.Add(time.Duration(ms) * time.Millisecond) }
 	table, changes := recordChanges(New("a"))
-	table.Observe("r", Statement{Kind: Run, Asked: now, Own: true}, at(1))
+	table.Observe("r", Statement{Kind: RunCall, SentAt: now, FromRunner: true}, at(1))
 	g.Expect(*changes).To(BeEmpty(), "no limit was named")
 	table.Observe("r", namedLimit(2, at(2)), at(10))
 	table.Observe("r", namedLimit(2.1, at(2)), at(11))
 	table.Observe("r", namedLimit(1, at(2)), at(12))
 	g.Expect(*changes).To(Equal([]string{"begins ", "changes "}))
-	table.Observe("r", Statement{Kind: Run, Asked: at(5), Own: true}, at(13))
+	table.Observe("r", Statement{Kind: RunCall, SentAt: at(5), FromRunner: true}, at(13))
 	g.Expect(*changes).To(HaveLen(2), "a response to a call that was sent before the limit was last named")
-	table.Observe("r", Statement{Kind: Own, Asked: at(14), Own: true}, at(15))
+	table.Observe("r", Statement{Kind: OtherCall, SentAt: at(14), FromRunner: true}, at(15))
 	g.Expect(*changes).To(HaveLen(2), "a response to a kind of call whose responses never named it")
-	table.Observe("r", Statement{Kind: Run, Asked: at(16)}, at(17))
+	table.Observe("r", Statement{Kind: RunCall, SentAt: at(16)}, at(17))
 	g.Expect(*changes).To(HaveLen(2), "a response that another server may have sent")
-	table.Observe("r", Statement{Kind: Run, Asked: at(16), Own: true}, at(17))
+	table.Observe("r", Statement{Kind: RunCall, SentAt: at(16), FromRunner: true}, at(17))
 	g.Expect(*changes).To(Equal([]string{"begins ", "changes ", "ends "}))
 	g.Expect(table.Room("r", 100, at(17))).To(BeTrue())
 	table.Observe("r", namedLimit(2, at(18)), at(19))
@@ -83,25 +83,25 @@
 	var reached uint64
 	sendReports := func() {
 		var reports []Report
-		reports, reached = a.Since("b", reached, now)
+		reports, reached = a.ReportsSince("b", reached, now)
 		b.GatewaySeen("a", now)
 		b.Receive("a", 1, reports, now)
 	}
 	a.Observe("r", namedLimit(2, now), now)
 	sendReports()
 	g.Expect(*changes).To(Equal([]string{"begins a"}))
-	g.Expect(a.Due("b", reached)).To(BeFalse())
+	g.Expect(a.HasReportsFor("b", reached)).To(BeFalse())
 	now = now.Add(time.Second)
 	sendReports()
 	a.GatewaySeen("b", now)
 	for range 2 {
 		a.Sent("r", "", now)
 	}
-	g.Expect(a.Due("b", reached)).To(BeTrue())
+	g.Expect(a.HasReportsFor("b", reached)).To(BeTrue())
 	sendReports()
 	g.Expect(b.Room("r", 1, now)).To(BeFalse(), "the other gateway used all calls that were left")
 	now = now.Add(time.Second)
-	a.Observe("r", Statement{Kind: Run, Asked: now, Own: true}, now.Add(time.Millisecond))
+	a.Observe("r", Statement{Kind: RunCall, SentAt: now, FromRunner: true}, now.Add(time.Millisecond))
 	sendReports()
 	g.Expect(*changes).To(Equal([]string{"begins a", "ends a"}))
 	// A report that is older than the end does not restore the limit.
@@ -159,7 +159,7 @@
 	g := NewWithT(t)
 	now := time.Now()
 	table, changes := recordChanges(New("a"))
-	unreadable := Statement{Kind: Run, Asked: now, Unreadable: true, Own: true}
+	unreadable := Statement{Kind: RunCall, SentAt: now, Unreadable: true, FromRunner: true}
 	table.Observe("r", namedLimit(2, now), now)
 	for range 3 {
 		table.Observe("r", unreadable, now.Add(time.Second))
@@ -182,7 +182,7 @@
 	table.Observe("r", namedLimit(1, now), now)
 	g.Expect(table.Room("r", 1, now)).To(BeFalse())
 	g.Expect(table.After("r", 1, now)).To(Equal(time.Second))
-	status, ok := table.Of("r", now)
+	status, ok := table.Status("r", now)
 	g.Expect(ok).To(BeTrue())
 	g.Expect(status.Withheld).To(Equal(uint64(1)))
 }
--- a/pkg/runnerlimit/simulation_test.go
+++ b/pkg/runnerlimit/simulation_test.go
@@ -69,7 +69,7 @@
 func (s *sim) start(g *simGateway) {
 	g.table, g.incarnation = New(g.name), g.incarnation+1
 	g.sentRevision, g.lastSent, g.changedAt = map[string]uint64{}, map[string]time.Time{}, time.Time{}
-	g.table.Counted = func() {
+	g.table.ReportsPending = func() {
 		if g.changedAt.IsZero() {
 			g.changedAt = s.now
 		}
@@ -130,7 +130,7 @@
 		s.arrivals = append(s.arrivals, s.now)
 	}
 	g.table.Release("runner", request)
-	g.table.Observe("runner", Statement{Kind: Run, Asked: s.now, Named: s.limit > 0, PerSecond: s.limit, Calls: s.calls}, s.now)
+	g.table.Observe("runner", Statement{Kind: RunCall, SentAt: s.now, Named: s.limit > 0, PerSecond: s.limit, Calls: s.calls}, s.now)
 }
 
 // sendReports sends the datagrams that are due from a gateway to the others.
@@ -143,11 +143,11 @@
 		g.changedAt = time.Time{}
 	}
 	for _, o := range s.gateways {
-		if o == g || !(due && g.table.Due(o.name, g.sentRevision[o.name])) && !(g.table.Shares(o.name) && s.now.Sub(g.lastSent[o.name]) >= datagramInterval) {
+		if o == g || !(due && g.table.HasReportsFor(o.name, g.sentRevision[o.name])) && !(g.table.Shares(o.name) && s.now.Sub(g.lastSent[o.name]) >= datagramInterval) {
 			continue
 		}
 		var reports []Report
-		reports, g.sentRevision[o.name] = g.table.Since(o.name, g.sentRevision[o.name], s.now)
+		reports, g.sentRevision[o.name] = g.table.ReportsSince(o.name, g.sentRevision[o.name], s.now)
 		g.lastSent[o.name] = s.now
 		if s.random.Float64() >= s.lossRate {
 			latency := time.Millisecond + time.Duration(s.random.Int64N(int64(s.maxLatency)))
--- a/pkg/runnerlimit/status.go
+++ b/pkg/runnerlimit/status.go
@@ -31,8 +31,8 @@
 	return fmt.Sprintf("limit=%g named_ago=%s told_by=%q left=%.1f users=%d heard=%d own=%t sent=%d", s.PerSecond, s.NamedAgo.Round(time.Millisecond), s.From, s.Level, s.Users, s.Heard, s.Own, s.Sent)
 }
 
-// Of returns the status of a runner's limit; false if no limit is in force.
-func (t *Table) Of(runner string, now time.Time) (Status, bool) {
+// Status returns the status of a runner's limit; false if no limit is in force.
+func (t *Table) Status(runner string, now time.Time) (Status, bool) {
 	if !t.nonEmpty.Load() {
 		return Status{}, false
 	}
@@ -45,8 +45,8 @@
 	return t.status(runner, l, now), true
 }
 
-// All returns the limits in force, sorted by runner.
-func (t *Table) All(now time.Time) []Status {
+// Statuses returns the limits in force, sorted by runner.
+func (t *Table) Statuses(now time.Time) []Status {
 	if !t.nonEmpty.Load() {
 		return nil
 	}
--- a/pkg/runners/room.go
+++ b/pkg/runners/room.go
@@ -41,7 +41,7 @@
 }
 
 // Limit returns the rate limit that the runner reported, false for none.
-func (s *State) Limit(now time.Time) (runnerlimit.Status, bool) { return s.limits.Of(s.ID, now) }
+func (s *State) Limit(now time.Time) (runnerlimit.Status, bool) { return s.limits.Status(s.ID, now) }
 
 // RoomAfter returns the time until a runner that reported a rate limit, or is in the slow start
 // after a pause, takes one more request; 0 is now. The wait for a cold runner is not included.
