--- a/pkg/ingress/notices.go
+++ b/pkg/ingress/notices.go
@@ -29,7 +29,7 @@
 			why = "leaving"
 		}
 		x.logStep("passed_over", decisionlog.F("runner", n.Runner), decisionlog.F("why", why), decisionlog.F("told_by", n.From),
-			decisionlog.F("known_for", n.Known), decisionlog.F("left", n.Left))
+			decisionlog.F("known_for", n.KnownFor), decisionlog.F("left", n.Left))
 		if left--; left == 0 {
 			return
 		}
--- a/pkg/notice/notice.go
+++ b/pkg/notice/notice.go
@@ -20,7 +20,7 @@
 	// Leaving is set if the runner accepts no more work. Ends is set if the response reports when the runner
 	// ends, and LeavesIn is the time until then.
 	Leaving  bool
-	Ends     bool
+	HasEnd   bool
 	LeavesIn time.Duration
 	// Refused is set if the runner refused the call. RetryAfter is the time until the runner wants the next
 	// one; 0 if the response doesn't specify it.
@@ -55,7 +55,7 @@
 }
 
 // leaves reports whether the runner is leaving, or ends so soon that it gets no more work.
-func (n *Notice) leaves() bool { return n.Leaving || n.Ends && n.LeavesIn <= leavingLeadTime }
+func (n *Notice) leaves() bool { return n.Leaving || n.HasEnd && n.LeavesIn <= leavingLeadTime }
 
 // Purpose distinguishes calls that load a runner from calls that don't.
 type Purpose uint8
@@ -74,13 +74,13 @@
 	Runner string
 	// From is the gateway that received the runner's notice; empty for this gateway.
 	From string
-	// Known is the time since this gateway learned that the runner is leaving.
-	Known time.Duration
+	// KnownFor is the time since this gateway learned that the runner is leaving.
+	KnownFor time.Duration
 }
 
 // Error implements error.
 func (e *ErrLeaving) Error() string {
-	return fmt.Sprintf("runner is leaving: runner=%s told_by=%q known_for=%s", e.Runner, e.From, e.Known.Round(time.Millisecond))
+	return fmt.Sprintf("runner is leaving: runner=%s told_by=%q known_for=%s", e.Runner, e.From, e.KnownFor.Round(time.Millisecond))
 }
 
 // ErrPaused reports that a call was not sent because the runner asked for a pause that is not over.
@@ -126,6 +126,6 @@
 	// gateway.
 	Leaving bool
 	From    string
-	// Known is the time since this gateway learned of the notice. Left is the remaining time of a pause.
-	Known, Left time.Duration
+	// KnownFor is the time since this gateway learned of the notice. Left is the remaining time of a pause.
+	KnownFor, Left time.Duration
 }
--- a/pkg/notice/notice_test.go
+++ b/pkg/notice/notice_test.go
@@ -162,7 +162,7 @@
 	table.Receive("front-2", []string{"b", "a"}, at(0))
 	table.Receive("front-3", []string{"a"}, at(1))
 	g.Expect(table.Leaves("a")).To(BeTrue())
-	g.Expect(table.Admits("a", Work, at(2))).To(MatchError(&ErrLeaving{Runner: "a", From: "front-2", Known: 2 * time.Second}))
+	g.Expect(table.Admits("a", Work, at(2))).To(MatchError(&ErrLeaving{Runner: "a", From: "front-2", KnownFor: 2 * time.Second}))
 	table.Observe("c", Notice{Leaving: true}, at(3))
 	g.Expect(table.Leaving(time.Minute, at(3))).To(Equal([]string{"c", "a", "b"}))
 	g.Expect(table.Leaving(time.Second, at(3))).To(Equal([]string{"c"}))
@@ -235,6 +235,6 @@
 	g.Expect((&Notice{Refused: true, RetryAfter: 24 * time.Hour}).pause()).To(Equal(maxPause))
 	g.Expect((&Notice{}).leaves()).To(BeFalse())
 	g.Expect((&Notice{Leaving: true}).leaves()).To(BeTrue())
-	g.Expect((&Notice{Ends: true, LeavesIn: leavingLeadTime}).leaves()).To(BeTrue())
-	g.Expect((&Notice{Ends: true, LeavesIn: time.Hour}).leaves()).To(BeFalse())
+	g.Expect((&Notice{HasEnd: true, LeavesIn: leavingLeadTime}).leaves()).To(BeTrue())
+	g.Expect((&Notice{HasEnd: true, LeavesIn: time.Hour}).leaves()).To(BeFalse())
 }
--- a/pkg/notice/table.go
+++ b/pkg/notice/table.go
@@ -147,7 +147,7 @@
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	if a, leaves := t.leaving[runner]; leaves && purpose == Work {
-		return &ErrLeaving{Runner: runner, From: a.from, Known: now.Sub(a.at)}
+		return &ErrLeaving{Runner: runner, From: a.from, KnownFor: now.Sub(a.at)}
 	}
 	if p := t.pauses[runner]; p != nil && p.active(now) {
 		return &ErrPaused{Runner: runner, Left: p.until.Sub(now)}
@@ -277,11 +277,11 @@
 		if now.Sub(a.at) > within {
 			continue
 		}
-		out = append(out, Withheld{Runner: runner, Leaving: true, From: a.from, Known: now.Sub(a.at)})
+		out = append(out, Withheld{Runner: runner, Leaving: true, From: a.from, KnownFor: now.Sub(a.at)})
 	}
 	for runner, p := range t.pauses {
 		if p.active(now) {
-			out = append(out, Withheld{Runner: runner, Known: now.Sub(p.since), Left: p.until.Sub(now)})
+			out = append(out, Withheld{Runner: runner, KnownFor: now.Sub(p.since), Left: p.until.Sub(now)})
 		}
 	}
 	slices.SortFunc(out, func(a, b Withheld) int { return cmp.Or(cmp.Compare(a.Runner, b.Runner), cmp.Compare(a.Left, b.Left)) })
