--- a/pkg/gateway/access.go
+++ b/pkg/gateway/access.go
@@ -35,7 +35,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := time.Now()
-	a.quota.Members(otherGateways(view, self), limitWindow, now)
+	a.quota.SetMembers(otherGateways(view, self), limitWindow, now)
 	if a.of == d {
 		return a.directory, a.err
 	}
@@ -88,7 +88,7 @@
 // giveBack returns what was taken for a request that has not run.
 func (g *Gateway) giveBack(req *Request, outcome request.Outcome) {
 	if req.charged != nil && outcome == request.NotRun {
-		g.access.quota.GiveBack(req.charged, req.cost, time.Now())
+		g.access.quota.Refund(req.charged, req.cost, time.Now())
 		req.charged = nil
 	}
 }
--- a/pkg/ingress/quota.go
+++ b/pkg/ingress/quota.go
@@ -24,7 +24,7 @@
 // refundQuota refunds the charge of a request that never ran.
 func (x *exchange) refundQuota() {
 	if x.cost > 0 && (x.life == nil || !x.life.MayHaveRun()) {
-		x.g.options.Quota.GiveBack(x.workspace, x.cost, time.Now())
+		x.g.options.Quota.Refund(x.workspace, x.cost, time.Now())
 	}
 }
 
--- a/pkg/peers/spending.go
+++ b/pkg/peers/spending.go
@@ -28,7 +28,7 @@
 		m.spendingRevision = 0
 	}
 	var spent []quota.Spending
-	spent, m.spendingRevision = x.options.Quota.Since(m.spendingRevision, maxSpenders)
+	spent, m.spendingRevision = x.options.Quota.SpendingSince(m.spendingRevision, maxSpenders)
 	for _, s := range spent {
 		state.Spenders = append(state.Spenders, uint64(s.Workspace))
 		state.Spent = append(state.Spent, s.Total)
@@ -46,7 +46,7 @@
 	if q == nil || !m.alive || q.Revision() == m.spendingRevision {
 		return false
 	}
-	return now.Sub(m.lastSent) >= spendingInterval || q.Pressed(m.spendingRevision)
+	return now.Sub(m.lastSent) >= spendingInterval || q.RunningLow(m.spendingRevision)
 }
 
 // receiveSpending records the spending that another gateway reported. It must not be called while data
@@ -64,7 +64,7 @@
 		}
 		spent = append(spent, spending)
 	}
-	x.options.Quota.Heard(s.Name, s.Incarnation, spent, full, s.Settled, now)
+	x.options.Quota.ReceiveSpending(s.Name, s.Incarnation, spent, full, s.Settled, now)
 }
 
 // updateQuotaMembers passes the names of the other gateways, which share the limits, and the grace to
@@ -82,5 +82,5 @@
 	for name := range x.members {
 		names = append(names, name)
 	}
-	x.options.Quota.Members(names, grace, now)
+	x.options.Quota.SetMembers(names, grace, now)
 }
--- a/pkg/quota/exchange.go
+++ b/pkg/quota/exchange.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Members sets the names of all peers, alive or not, and the grace period: how long after its
+// SetMembers sets the names of all peers, alive or not, and the grace period: how long after its
 // last datagram a peer counts as alive. It should be somewhat longer than the interval between
 // two datagrams.
-func (l *Ledger) Members(names []string, grace time.Duration, now time.Time) {
+func (l *Ledger) SetMembers(names []string, grace time.Duration, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.advance(now)
@@ -50,11 +50,11 @@
 	}
 }
 
-// Heard records the spending that a peer reported in a datagram. The caller passes full reports,
+// ReceiveSpending records the spending that a peer reported in a datagram. The caller passes full reports,
 // and others only if no earlier datagram of the peer was lost since a full one. full means that the
 // report names every workspace that the peer ever spent for. settled means that the peer has seen
 // all spending of a window.
-func (l *Ledger) Heard(name string, incarnation uint64, spending []Spending, full, settled bool, now time.Time) {
+func (l *Ledger) ReceiveSpending(name string, incarnation uint64, spending []Spending, full, settled bool, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.fleet.upToDate(name, now) {
@@ -155,9 +155,9 @@
 	return l.revision
 }
 
-// Since returns this gateway's spending for the workspaces whose spending changed after a
+// SpendingSince returns this gateway's spending for the workspaces whose spending changed after a
 // revision, the latest first and at most maxEntries of them, and the current revision.
-func (l *Ledger) Since(revision uint64, maxEntries int) ([]Spending, uint64) {
+func (l *Ledger) SpendingSince(revision uint64, maxEntries int) ([]Spending, uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []Spending
@@ -179,9 +179,9 @@
 	return l.settled(now)
 }
 
-// Pressed reports whether this gateway spent, after a revision, from a bucket that is less than
+// RunningLow reports whether this gateway spent, after a revision, from a bucket that is less than
 // half full. Peers should receive such spending at once.
-func (l *Ledger) Pressed(revision uint64) bool {
+func (l *Ledger) RunningLow(revision uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for e := l.recent.Front(); e != nil; e = e.Next() {
--- a/pkg/quota/fleet_test.go
+++ b/pkg/quota/fleet_test.go
@@ -95,7 +95,7 @@
 			names = append(names, other.name)
 		}
 	}
-	g.ledger.Members(names, heartbeat*5/4, w.now)
+	g.ledger.SetMembers(names, heartbeat*5/4, w.now)
 	g.ledger.Configure(w.workspaces, w.now)
 }
 
@@ -139,7 +139,7 @@
 			continue
 		}
 		if w.rng.IntN(20) == 0 {
-			g.ledger.GiveBack(ws, cost, w.now)
+			g.ledger.Refund(ws, cost, w.now)
 			continue
 		}
 		w.admitted = append(w.admitted, admittedRequest{w.now, ws.Name, cost})
@@ -154,7 +154,7 @@
 			continue
 		}
 		l := g.link(other.name)
-		due := g.ledger.Revision() != l.sentRevision && (w.now.Sub(l.lastSent) >= reportInterval || g.ledger.Pressed(l.sentRevision))
+		due := g.ledger.Revision() != l.sentRevision && (w.now.Sub(l.lastSent) >= reportInterval || g.ledger.RunningLow(l.sentRevision))
 		if !l.sendFull && !l.needFull && !due && w.now.Sub(l.lastSent) < heartbeat {
 			continue
 		}
@@ -162,7 +162,7 @@
 			l.sentRevision = 0
 		}
 		m := datagram{from: i, to: j, incarnation: g.incarnation, full: l.sendFull, requestFull: l.needFull, settled: g.ledger.Settled(w.now), at: w.now.Add(w.delay)}
-		m.spending, l.sentRevision = g.ledger.Since(l.sentRevision, 1000)
+		m.spending, l.sentRevision = g.ledger.SpendingSince(l.sentRevision, 1000)
 		if len(m.spending) > 0 {
 			w.sentBytes += datagramOverhead + entryBytes*len(m.spending)
 			w.sentEntries += len(m.spending)
@@ -203,7 +203,7 @@
 	l.sendFull = l.sendFull || m.requestFull || m.incarnation != l.incarnation
 	l.incarnation, l.seenSequence = m.incarnation, m.sequence
 	if !l.needFull {
-		g.ledger.Heard(from, m.incarnation, m.spending, m.full, m.settled, now)
+		g.ledger.ReceiveSpending(from, m.incarnation, m.spending, m.full, m.settled, now)
 	}
 }
 
--- a/pkg/quota/quota.go
+++ b/pkg/quota/quota.go
@@ -196,8 +196,8 @@
 	return nil
 }
 
-// GiveBack refunds the cost of a request that has not run and will not run.
-func (l *Ledger) GiveBack(w *workspace.Workspace, cost float64, now time.Time) {
+// Refund refunds the cost of a request that has not run and will not run.
+func (l *Ledger) Refund(w *workspace.Workspace, cost float64, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if a := l.account(w, now); a != nil {
--- a/pkg/quota/quota_test.go
+++ b/pkg/quota/quota_test.go
@@ -131,7 +131,7 @@
 	g.Expect(w.gateways[0].ledger.Admit(s, 10000, w.now)).To(Succeed())
 	w.run(100*time.Millisecond, []float64{0}, 1)
 	g.Expect(level(1)).To(BeNumerically("~", before-10000, 2000))
-	w.gateways[0].ledger.GiveBack(s, 10000, w.now)
+	w.gateways[0].ledger.Refund(s, 10000, w.now)
 	w.run(100*time.Millisecond, []float64{0}, 1)
 	g.Expect(level(1)).To(BeNumerically("~", before, 2000))
 }
@@ -263,16 +263,16 @@
 		s := tokenWorkspace("s", 36000, 36000)
 		now := time.Unix(1000, 0)
 		l := New(allowance, DefaultShares())
-		l.Members([]string{"old"}, time.Second, now)
+		l.SetMembers([]string{"old"}, time.Second, now)
 		configure := func() { l.Configure([]*workspace.Workspace{s}, now) }
 		if limitsFirst {
 			configure()
 		}
-		l.Heard("old", 7, []Spending{{Workspace: KeyOf("s"), Total: 900000, Level: 100000}}, true, true, now)
+		l.ReceiveSpending("old", 7, []Spending{{Workspace: KeyOf("s"), Total: 900000, Level: 100000}}, true, true, now)
 		if !limitsFirst {
 			configure()
 		}
-		l.Heard("old", 7, []Spending{{Workspace: KeyOf("s"), Total: 905000}}, false, true, now)
+		l.ReceiveSpending("old", 7, []Spending{{Workspace: KeyOf("s"), Total: 905000}}, false, true, now)
 		g.Expect(l.Admit(s, 5000, now)).To(Succeed(), "limits first: %t", limitsFirst)
 	}
 }
