--- a/pkg/gateway/access.go
+++ b/pkg/gateway/access.go
@@ -73,7 +73,7 @@
 	if err != nil || directory == nil {
 		return err
 	}
-	w := directory.Named(req.Workspace)
+	w := directory.ByName(req.Workspace)
 	if w == nil {
 		return &workspace.ErrCredential{Why: workspace.Unknown}
 	}
--- a/pkg/workspace/workspace.go
+++ b/pkg/workspace/workspace.go
@@ -151,8 +151,8 @@
 // ByKey returns the workspace that the key with the given digest belongs to, or nil.
 func (d *Directory) ByKey(digest Digest) *Workspace { return d.byKey[digest] }
 
-// Named returns the workspace with a name, or nil.
-func (d *Directory) Named(name string) *Workspace { return d.byName[name] }
+// ByName returns the workspace with a name, or nil.
+func (d *Directory) ByName(name string) *Workspace { return d.byName[name] }
 
 // All returns the workspaces in the order in which they were given. A nil directory has none.
 func (d *Directory) All() []*Workspace {
