--- a/pkg/ingress/metrics.go
+++ b/pkg/ingress/metrics.go
@@ -139,7 +139,7 @@
 		fmt.Fprintf(w, "hopwell_ingress_config_version %d\n", t.Config.Version)
 	}
 	if t := g.options.Suspicion.Table; t != nil {
-		fmt.Fprintf(w, "hopwell_ingress_quarantined %d\n", t.Held(time.Now()))
+		fmt.Fprintf(w, "hopwell_ingress_quarantined %d\n", t.Quarantined(time.Now()))
 	}
 	for name, p := range g.Pools() {
 		here, all := p.Waiting()
--- a/pkg/ingress/suspicion.go
+++ b/pkg/ingress/suspicion.go
@@ -26,7 +26,7 @@
 // digest returns the digest of the request's content. It is computed on first use.
 func (x *exchange) digest() quarantine.Digest {
 	if x.cachedDigest == nil {
-		a := quarantine.Asked{Method: x.call.Method, Host: x.call.Host, Path: x.call.Path, Body: x.call.Body}
+		a := quarantine.RequestContent{Method: x.call.Method, Host: x.call.Host, Path: x.call.Path, Body: x.call.Body}
 		if x.workspace != nil {
 			a.Workspace = x.workspace.Name
 		}
@@ -78,7 +78,7 @@
 
 // crashed records that a runner crashed while it ran a request.
 func (g *Ingress) crashed(digest quarantine.Digest, b quarantine.Break) {
-	report, found := g.options.Suspicion.Table.Broke(digest, b)
+	report, found := g.options.Suspicion.Table.RecordBreak(digest, b)
 	if found {
 		g.quarantineBegins(report, "found")
 	}
@@ -88,7 +88,7 @@
 // recordCompleted records that a runner ran the request to its end.
 func (x *exchange) recordCompleted() {
 	if table := x.g.options.Suspicion.Table; table != nil && !table.Empty() {
-		table.EndedWell(x.digest(), time.Now())
+		table.RecordCompleted(x.digest(), time.Now())
 	}
 }
 
@@ -102,13 +102,13 @@
 	if r.Left == 0 {
 		// The reports of several gateways together led to the quarantine here, which the other
 		// gateways may not have concluded.
-		g.options.Suspicion.Report(quarantine.Report{Digest: r.Digest, Left: quarantine.Hold})
+		g.options.Suspicion.Report(quarantine.Report{Digest: r.Digest, Left: quarantine.Duration})
 	}
 }
 
 // ReadQuarantine applies a quarantine that was read from the store.
 func (g *Ingress) ReadQuarantine(d quarantine.Digest) {
-	if table := g.options.Suspicion.Table; table != nil && table.Published(d, time.Now()) {
+	if table := g.options.Suspicion.Table; table != nil && table.RecordPublished(d, time.Now()) {
 		g.quarantineBegins(quarantine.Report{Digest: d}, "read")
 	}
 }
@@ -116,7 +116,7 @@
 // EndQuarantine records that a quarantine was removed from the store.
 func (g *Ingress) EndQuarantine(d quarantine.Digest) {
 	if table := g.options.Suspicion.Table; table != nil {
-		table.Lapsed(d, time.Now())
+		table.RecordRemoved(d, time.Now())
 	}
 }
 
--- a/pkg/process/quarantine.go
+++ b/pkg/process/quarantine.go
@@ -45,7 +45,7 @@
 		case <-ctx.Done():
 			return
 		case now := <-tick.C:
-			for _, r := range p.suspects.Unpublished(now) {
+			for _, r := range p.suspects.DueForPublish(now) {
 				p.publishQuarantine(ctx, r)
 			}
 		}
@@ -66,7 +66,7 @@
 		err = nil
 	}
 	if exists || err == nil {
-		p.suspects.Published(r.Digest, time.Now())
+		p.suspects.RecordPublished(r.Digest, time.Now())
 	}
 	p.log.Write(decisionlog.KindState, "quarantine_written", decisionlog.F("asked", r.Digest), decisionlog.F("left", r.Left),
 		decisionlog.F("first", !exists), decisionlog.F("error", err))
--- a/pkg/quarantine/digest.go
+++ b/pkg/quarantine/digest.go
@@ -21,8 +21,8 @@
 // of the request.
 type Digest [digestBytes]byte
 
-// Asked is the content that identifies a request.
-type Asked struct {
+// RequestContent is the content that identifies a request.
+type RequestContent struct {
 	// Workspace is the workspace that sent the request; empty if no API key is required.
 	Workspace string
 	// Method, Host and Path exclude the query, because clients vary it between tries.
@@ -31,7 +31,7 @@
 }
 
 // Digest returns the digest of the request.
-func (a Asked) Digest() Digest {
+func (a RequestContent) Digest() Digest {
 	h := sha256.New()
 	for _, part := range [][]byte{[]byte(a.Workspace), []byte(a.Method), []byte(a.Host), []byte(a.Path), a.Body} {
 		var size [8]byte
--- a/pkg/quarantine/quarantine.go
+++ b/pkg/quarantine/quarantine.go
@@ -26,9 +26,9 @@
 	// connections of a crashed runner close within a few milliseconds; the next try of the same
 	// client comes later.
 	simultaneousWindow = 50 * time.Millisecond
-	// Hold is the duration of a quarantine, and the time for which a break counts. It equals the
+	// Duration is the duration of a quarantine, and the time for which a break counts. It equals the
 	// longest lease that the platform's store grants.
-	Hold = 10 * time.Minute
+	Duration = 10 * time.Minute
 	// maxSuspects limits the requests in the table, at about 200 bytes each. A runner crash adds
 	// some tens of requests.
 	maxSuspects = 4096
@@ -111,9 +111,9 @@
 // Empty reports whether the table has no suspects.
 func (t *Table) Empty() bool { return t.size.Load() == 0 }
 
-// Broke records an attempt of this gateway that broke off, and returns the report for the other
+// RecordBreak records an attempt of this gateway that broke off, and returns the report for the other
 // gateways. quarantined reports whether this break started a quarantine.
-func (t *Table) Broke(d Digest, b Break) (r Report, quarantined bool) {
+func (t *Table) RecordBreak(d Digest, b Break) (r Report, quarantined bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.getOrAdd(d, b.At)
@@ -131,31 +131,31 @@
 		s.add(b)
 	}
 	if r.Left > 0 && s.allowed(now) {
-		s.quarantine(now.Add(min(r.Left, Hold)), now.Add(t.jitter(publishDelay)))
+		s.quarantine(now.Add(min(r.Left, Duration)), now.Add(t.jitter(publishDelay)))
 		return true
 	}
 	return s.evaluate(now, now.Add(t.jitter(publishDelay)))
 }
 
-// Published records that a quarantine is in the store. It reports whether the quarantine is new
+// RecordPublished records that a quarantine is in the store. It reports whether the quarantine is new
 // to this gateway.
-func (t *Table) Published(d Digest, now time.Time) bool {
+func (t *Table) RecordPublished(d Digest, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.getOrAdd(d, now)
 	isNew := s.allowed(now)
 	if isNew {
-		s.quarantine(now.Add(Hold), time.Time{})
+		s.quarantine(now.Add(Duration), time.Time{})
 		s.endKnown = false
 	}
 	s.published = true
 	return isNew
 }
 
-// Lapsed records that a quarantine is no longer in the store. If its exact end is known, the store
+// RecordRemoved records that a quarantine is no longer in the store. If its exact end is known, the store
 // may have lost it in an outage, and it is scheduled to be written again until that end. A
 // quarantine that was only read from the store ends.
-func (t *Table) Lapsed(d Digest, now time.Time) {
+func (t *Table) RecordRemoved(d Digest, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.suspects[d]
@@ -191,9 +191,9 @@
 	return &ErrQuarantined{Digest: d, Left: s.quarantinedUntil.Sub(now)}
 }
 
-// EndedWell records that an attempt at a request completed. The request did not cause earlier
+// RecordCompleted records that an attempt at a request completed. The request did not cause earlier
 // breaks, so they are discarded. A request that is already quarantined remains quarantined.
-func (t *Table) EndedWell(d Digest, now time.Time) {
+func (t *Table) RecordCompleted(d Digest, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s := t.suspects[d]; s != nil && s.allowed(now) {
@@ -201,9 +201,9 @@
 	}
 }
 
-// Unpublished returns the quarantines that are due to be written to the store, each with its
+// DueForPublish returns the quarantines that are due to be written to the store, each with its
 // remaining time. A quarantine is returned again after a backoff until Published is called for it.
-func (t *Table) Unpublished(now time.Time) []Report {
+func (t *Table) DueForPublish(now time.Time) []Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []Report
@@ -224,14 +224,14 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for d, s := range t.suspects {
-		if s.prune(now); s.allowed(now) && len(s.breaks) == 0 && now.Sub(s.lastSuccess) > Hold {
+		if s.prune(now); s.allowed(now) && len(s.breaks) == 0 && now.Sub(s.lastSuccess) > Duration {
 			t.remove(d)
 		}
 	}
 }
 
-// Held returns the number of quarantined requests.
-func (t *Table) Held(now time.Time) int {
+// Quarantined returns the number of quarantined requests.
+func (t *Table) Quarantined(now time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
@@ -290,7 +290,7 @@
 	if !s.allowed(now) || s.weight() < quarantineWeight {
 		return false
 	}
-	s.quarantine(now.Add(Hold), publishAt)
+	s.quarantine(now.Add(Duration), publishAt)
 	return true
 }
 
@@ -340,7 +340,7 @@
 
 // prune removes breaks that are older than Hold.
 func (s *suspect) prune(now time.Time) {
-	for len(s.breaks) > 0 && now.Sub(s.breaks[0].At) > Hold {
+	for len(s.breaks) > 0 && now.Sub(s.breaks[0].At) > Duration {
 		s.breaks = s.breaks[1:]
 	}
 }
--- a/pkg/quarantine/quarantine_test.go
+++ b/pkg/quarantine/quarantine_test.go
@@ -13,7 +13,7 @@
 
 var (
 	start    = time.Unix(1_800_000_000, 0)
-	crashing = Asked{Workspace: "green", Method: "POST", Host: "h", Path: "/p", Body: []byte("x")}.Digest()
+	crashing = RequestContent{Workspace: "green", Method: "POST", Host: "h", Path: "/p", Body: []byte("x")}.Digest()
 )
 
 func newTable() *Table { return New(func(d time.Duration) time.Duration { return d }) }
@@ -34,7 +34,7 @@
 func recordBreaks(t *Table, breaks ...Break) bool {
 	quarantined := false
 	for _, b := range breaks {
-		_, started := t.Broke(crashing, b)
+		_, started := t.RecordBreak(crashing, b)
 		quarantined = quarantined || started
 	}
 	return quarantined
@@ -54,8 +54,8 @@
 	g.Expect(recordBreaks(table, early(3, 2))).To(BeTrue())
 	var quarantined *ErrQuarantined
 	g.Expect(errors.As(table.Check(crashing, start.Add(3*time.Second)), &quarantined)).To(BeTrue())
-	g.Expect(quarantined.Left).To(Equal(Hold - time.Second))
-	g.Expect(table.Check(crashing, start.Add(2*time.Second+Hold))).To(Succeed())
+	g.Expect(quarantined.Left).To(Equal(Duration - time.Second))
+	g.Expect(table.Check(crashing, start.Add(2*time.Second+Duration))).To(Succeed())
 }
 
 // A break after the first event weighs less, because harmless streams break in that way when
@@ -78,7 +78,7 @@
 	g := NewWithT(t)
 	table := newTable()
 	recordBreaks(table, early(1, 0), early(2, 1))
-	table.EndedWell(crashing, start.Add(2*time.Second))
+	table.RecordCompleted(crashing, start.Add(2*time.Second))
 	g.Expect(recordBreaks(table, early(3, 3), early(4, 4))).To(BeFalse())
 	// Breaks from before the completed attempt, reported by another gateway, are ignored.
 	g.Expect(table.Receive(Report{Digest: crashing, Breaks: []Break{early(1, 0), early(2, 1)}}, start.Add(5*time.Second))).To(BeFalse())
@@ -87,8 +87,8 @@
 
 func TestDigestDistinguishesRequests(t *testing.T) {
 	g := NewWithT(t)
-	base := Asked{Workspace: "a", Method: "GET", Host: "h", Path: "/p", Body: []byte("b")}
-	variants := []Asked{
+	base := RequestContent{Workspace: "a", Method: "GET", Host: "h", Path: "/p", Body: []byte("b")}
+	variants := []RequestContent{
 		{Workspace: "b", Method: "GET", Host: "h", Path: "/p", Body: []byte("b")},
 		{Workspace: "a", Method: "PUT", Host: "h", Path: "/p", Body: []byte("b")},
 		{Workspace: "a", Method: "GET", Host: "h", Path: "/pb"},
@@ -108,22 +108,22 @@
 	g := NewWithT(t)
 	detector, notified, reader := newTable(), newTable(), newTable()
 	recordBreaks(detector, early(1, 0), early(2, 1))
-	report, quarantined := detector.Broke(crashing, early(3, 2))
+	report, quarantined := detector.RecordBreak(crashing, early(3, 2))
 	g.Expect(quarantined).To(BeTrue())
 	at := func(s float64) time.Time { return early(0, s).At }
 	g.Expect(notified.Receive(report, at(2))).To(BeTrue())
-	g.Expect(detector.Unpublished(at(2))).To(HaveLen(1))
-	g.Expect(detector.Unpublished(at(2.1))).To(BeEmpty(), "not written again before the backoff")
-	g.Expect(notified.Unpublished(at(2))).To(BeEmpty())
-	g.Expect(notified.Unpublished(at(2).Add(publishDelay))).To(HaveLen(1))
+	g.Expect(detector.DueForPublish(at(2))).To(HaveLen(1))
+	g.Expect(detector.DueForPublish(at(2.1))).To(BeEmpty(), "not written again before the backoff")
+	g.Expect(notified.DueForPublish(at(2))).To(BeEmpty())
+	g.Expect(notified.DueForPublish(at(2).Add(publishDelay))).To(HaveLen(1))
 	for _, table := range []*Table{detector, notified, reader} {
-		g.Expect(table.Published(crashing, at(5))).To(Equal(table == reader))
+		g.Expect(table.RecordPublished(crashing, at(5))).To(Equal(table == reader))
 		g.Expect(table.Check(crashing, at(6))).NotTo(Succeed())
-		g.Expect(table.Unpublished(at(60))).To(BeEmpty())
-		table.Lapsed(crashing, at(60))
+		g.Expect(table.DueForPublish(at(60))).To(BeEmpty())
+		table.RecordRemoved(crashing, at(60))
 	}
 	g.Expect(detector.Check(crashing, at(61))).NotTo(Succeed())
-	g.Expect(detector.Unpublished(at(60).Add(publishDelay))).To(HaveLen(1))
+	g.Expect(detector.DueForPublish(at(60).Add(publishDelay))).To(HaveLen(1))
 	g.Expect(reader.Check(crashing, at(61))).To(Succeed())
 }
 
@@ -135,10 +135,10 @@
 	recordBreaks(detector, early(1, 0), early(2, 1), early(3, 2))
 	at := func(s float64) time.Time { return early(0, s).At }
 	for _, table := range []*Table{detector, reader} {
-		table.Published(crashing, at(5))
+		table.RecordPublished(crashing, at(5))
 		table.Republish(at(6))
 		g.Expect(table.Check(crashing, at(6))).NotTo(Succeed())
-		g.Expect(table.Unpublished(at(6).Add(publishDelay))).To(HaveLen(1))
+		g.Expect(table.DueForPublish(at(6).Add(publishDelay))).To(HaveLen(1))
 	}
 }
 
@@ -164,7 +164,7 @@
 		}
 		g.Expect(permuted.suspects[crashing].breaks).To(Equal(batched.suspects[crashing].breaks))
 		if len(runners) < 3 {
-			g.Expect(batched.Held(end) + permuted.Held(end)).To(BeZero())
+			g.Expect(batched.Quarantined(end) + permuted.Quarantined(end)).To(BeZero())
 		}
 	})
 }
@@ -174,16 +174,16 @@
 	table := newTable()
 	recordBreaks(table, early(1, 0), early(2, 1), early(3, 2))
 	for i := range 2 * maxSuspects {
-		table.Broke(Digest{byte(i), byte(i >> 8), byte(i >> 16), 1}, early(uint64(i), 3))
+		table.RecordBreak(Digest{byte(i), byte(i >> 8), byte(i >> 16), 1}, early(uint64(i), 3))
 	}
 	g.Expect(table.size.Load()).To(BeNumerically("<=", maxSuspects))
-	g.Expect(table.Held(start.Add(4*time.Second))).To(Equal(1), "a quarantined suspect is not evicted")
+	g.Expect(table.Quarantined(start.Add(4*time.Second))).To(Equal(1), "a quarantined suspect is not evicted")
 	table.Sweep(start.Add(time.Hour))
 	g.Expect(table.Empty()).To(BeTrue())
 }
 
 func BenchmarkDigest(b *testing.B) {
-	a := Asked{Workspace: "green", Method: "POST", Host: "h", Path: "/p", Body: make([]byte, 4<<10)}
+	a := RequestContent{Workspace: "green", Method: "POST", Host: "h", Path: "/p", Body: make([]byte, 4<<10)}
 	for b.Loop() {
 		a.Digest()
 	}
@@ -193,6 +193,6 @@
 	table := newTable()
 	now := start
 	for i := 0; b.Loop(); i++ {
-		table.Broke(Digest{byte(i), byte(i >> 8)}, Break{Runner: uint64(i), At: now})
+		table.RecordBreak(Digest{byte(i), byte(i >> 8)}, Break{Runner: uint64(i), At: now})
 	}
 }
