--- a/pkg/ingress/answers.go
+++ b/pkg/ingress/answers.go
@@ -157,7 +157,7 @@
 		decisionlog.F("version", x.version), decisionlog.F("status", status), decisionlog.F("outcome", outcome(status, err)),
 		decisionlog.F("took", took), decisionlog.F("sends", x.sends), decisionlog.F("returning", x.rank == enginepool.Returning)}
 	if x.route != nil {
-		fields = append(fields, decisionlog.F("target", x.route.Latency))
+		fields = append(fields, decisionlog.F("target", x.route.LatencyTarget))
 	}
 	fields = append(append(fields, x.fields...), more...)
 	if err != nil {
--- a/pkg/ingress/plain.go
+++ b/pkg/ingress/plain.go
@@ -13,7 +13,7 @@
 // reached their rate limits or are paused, it waits for room, for as long as a new request may. It
 // fails with *ErrLimited or *runners.ErrUnavailable if there is still no room.
 func (x *exchange) claimPlain(avoid map[string]bool) (*runners.State, error) {
-	latest := x.arrived.Add(time.Duration(newRequestWaitShare * float64(x.route.Latency)))
+	latest := x.arrived.Add(time.Duration(newRequestWaitShare * float64(x.route.LatencyTarget)))
 	w := plainRequest{id: x.call.ID, service: x.service, domain: x.g.options.Domain, repeatable: x.route.Repeatable(), avoid: avoid, allows: x.domainFilter()}
 	x.logPassedOver("")
 	for {
--- a/pkg/ingress/reserve.go
+++ b/pkg/ingress/reserve.go
@@ -29,7 +29,7 @@
 		w.Prefer(s.cacheHolder.ID)
 	}
 	if s.rank == enginepool.Returning {
-		w.LateFrom(s.arrived.Add(s.route.Latency - serveReserve))
+		w.LateFrom(s.arrived.Add(s.route.LatencyTarget - serveReserve))
 	}
 	s.logPassedOver(runners.Decode)
 	for {
@@ -122,9 +122,9 @@
 func (s *generation) roomDeadline() time.Time {
 	switch s.rank {
 	case enginepool.Fresh:
-		return s.arrived.Add(time.Duration(newRequestWaitShare * float64(s.route.Latency)))
+		return s.arrived.Add(time.Duration(newRequestWaitShare * float64(s.route.LatencyTarget)))
 	default:
-		clientTimeout := max(minClientTimeout, latencyFactor*s.route.Latency, gapFactor*s.route.Gap)
+		clientTimeout := max(minClientTimeout, latencyFactor*s.route.LatencyTarget, gapFactor*s.route.GapTarget)
 		return s.arrived.Add(clientTimeout - serveReserve)
 	}
 }
@@ -140,10 +140,10 @@
 // then the decode has begun, or the first event is late anyway. A hold whose response was lost
 // can't be released, and occupies memory until it expires.
 func (s *generation) holdTTL() time.Duration {
-	if s.route.Latency > 0 {
-		return min(s.engine.HoldFor, s.route.Latency)
+	if s.route.LatencyTarget > 0 {
+		return min(s.engine.MaxHold, s.route.LatencyTarget)
 	}
-	return s.engine.HoldFor
+	return s.engine.MaxHold
 }
 
 // missingTokens returns the number of tokens of the prompt that are not in a runner's KV cache.
--- a/pkg/process/stager.go
+++ b/pkg/process/stager.go
@@ -212,7 +212,7 @@
 	longest := time.Duration(0)
 	for _, service := range s.ingress.Table().Config.Services {
 		if service.Engine != nil {
-			longest = max(longest, service.Engine.Restage)
+			longest = max(longest, service.Engine.StageChangeTime)
 		}
 	}
 	return longest
--- a/pkg/routetable/routetable.go
+++ b/pkg/routetable/routetable.go
@@ -40,9 +40,9 @@
 	Kind             Kind
 	// Timeout limits the time that a request may take in all; 0 for no limit.
 	Timeout time.Duration
-	// Latency is the target time until the response, or a stream's first event. Gap is
+	// LatencyTarget is the target time until the response, or a stream's first event. GapTarget is
 	// the target for the longest gap between two events of a stream.
-	Latency, Gap time.Duration
+	LatencyTarget, GapTarget time.Duration
 	// Priority ranks the routes' requests; 0 is the most urgent.
 	Priority int
 	// Targets are the services that share the route's requests.
@@ -84,13 +84,13 @@
 	Slots int
 	// Memory is the capacity of one engine's KV cache, in tokens.
 	Memory int
-	// HandleFor is how long a prefill engine keeps a prompt's KV cache for the decode
+	// PrefillRetention is how long a prefill engine keeps a prompt's KV cache for the decode
 	// engine to fetch.
-	HandleFor time.Duration
-	// HoldFor is the longest time that an engine keeps a hold.
-	HoldFor time.Duration
-	// Restage is how long a stage change takes.
-	Restage time.Duration
+	PrefillRetention time.Duration
+	// MaxHold is the longest time that an engine keeps a hold.
+	MaxHold time.Duration
+	// StageChangeTime is how long a stage change takes.
+	StageChangeTime time.Duration
 	// TokensPerEvent is the largest number of tokens in one event of a stream.
 	TokensPerEvent int
 }
@@ -177,7 +177,7 @@
 	if r.Kind != Safe && r.Kind != Unsafe && r.Kind != Stream {
 		return &ErrRoute{r.Name, "kind", "safe, unsafe or stream"}
 	}
-	if r.Timeout < 0 || r.Latency < 0 || r.Gap < 0 {
+	if r.Timeout < 0 || r.LatencyTarget < 0 || r.GapTarget < 0 {
 		return &ErrRoute{r.Name, "times", "times of 0 or more"}
 	}
 	if len(r.Targets) == 0 {
--- a/pkg/routetable/routetable_test.go
+++ b/pkg/routetable/routetable_test.go
@@ -36,7 +36,7 @@
 	for field, invalidate := range map[string]func(*Route){
 		"path prefix": func(r *Route) { r.PathPrefix = "x" },
 		"kind":        func(r *Route) { r.Kind = "odd" },
-		"times":       func(r *Route) { r.Gap = -1 },
+		"times":       func(r *Route) { r.GapTarget = -1 },
 		"service":     func(r *Route) { r.Targets = []Target{{Service: "none", Weight: 1}} },
 		"weight":      func(r *Route) { r.Targets[0].Weight = -1 },
 	} {
