--- a/pkg/process/ingress.go
+++ b/pkg/process/ingress.go
@@ -98,7 +98,7 @@
 	memory := int64(c.Limits.MemoryMB) << 20
 	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(memory)))
 	log := decisionlog.New(c.Instance.Name, out)
-	client := upstream.New(upstream.Options{ConnectTimeout: connectTimeout, Idle: idleConnTimeout, MaxIdle: maxIdleConns, Opened: countOpened})
+	client := upstream.New(upstream.Options{ConnectTimeout: connectTimeout, DefaultKeepAlive: idleConnTimeout, MaxIdle: maxIdleConns, OnConnect: countOpened})
 	calls := &platform.Runners{Client: client}
 	p := &Ingress{log: log, client: client, suspects: quarantine.New(jitter), stopped: make(chan struct{}), reannounce: make(chan struct{}, 1)}
 	p.settings.Store(c)
@@ -128,7 +128,7 @@
 		p.rewriteStoreEntries()
 		stager.restored.Store(true)
 	}
-	p.feed.exchange, p.feed.onGateway, p.feed.onRunnerRestart = p.peers, p.addPeer, client.Forget
+	p.feed.exchange, p.feed.onGateway, p.feed.onRunnerRestart = p.peers, p.addPeer, client.CloseIdle
 	p.done.Go(func() { p.feed.run(ctx) })
 	p.done.Go(func() { p.Ingress.Run(ctx) })
 	p.done.Go(func() { p.peers.Run(ctx) })
@@ -156,7 +156,7 @@
 	o.Domain = c.Instance.Domain
 	o.Uses = func(runner string) bool { return p.peers.Uses(runner) }
 	o.Changed = func() { p.peers.Notify() }
-	o.Connected = p.client.Connected
+	o.Connected = p.client.HasIdle
 	return o
 }
 
@@ -235,7 +235,7 @@
 			p.client.Sweep(now)
 			gateways := max(p.peers.MemberCount()+1, minGateways)
 			p.Ingress.Gateways(gateways)
-			p.client.Limit(p.idleConnShare(gateways))
+			p.client.SetMaxIdle(p.idleConnShare(gateways))
 		}
 	}
 }
--- a/pkg/process/stop.go
+++ b/pkg/process/stop.go
@@ -46,6 +46,6 @@
 	p.cancel()
 	p.closePorts()
 	p.done.Wait()
-	p.client.Forget("")
+	p.client.CloseIdle("")
 	p.log.Close(logCloseTimeout)
 }
--- a/pkg/upstream/pool.go
+++ b/pkg/upstream/pool.go
@@ -50,8 +50,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if c.options.Opened != nil {
-		c.options.Opened(address)
+	if c.options.OnConnect != nil {
+		c.options.OnConnect(address)
 	}
 	if err := setTimeouts(raw); err != nil {
 		_ = raw.Close()
@@ -72,8 +72,8 @@
 	return k
 }
 
-// Connected reports whether there is an idle connection to an address.
-func (c *Client) Connected(address string) bool {
+// HasIdle reports whether there is an idle connection to an address.
+func (c *Client) HasIdle(address string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.idle[address]) > 0
@@ -87,7 +87,7 @@
 	}
 	keep := k.announced
 	if keep < 0 {
-		keep = c.options.Idle
+		keep = c.options.DefaultKeepAlive
 	}
 	keep -= idleMargin
 	if keep <= 0 {
@@ -107,15 +107,15 @@
 	c.idle[k.address] = append(list, k)
 }
 
-// Limit sets the maximum number of idle connections per address. It closes no connections.
-func (c *Client) Limit(idle int) {
+// SetMaxIdle sets the maximum number of idle connections per address. It closes no connections.
+func (c *Client) SetMaxIdle(idle int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.maxIdle = idle
 }
 
-// Forget closes the idle connections to an address, or to all addresses if address is empty.
-func (c *Client) Forget(address string) {
+// CloseIdle closes the idle connections to an address, or to all addresses if address is empty.
+func (c *Client) CloseIdle(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for a, list := range c.idle {
--- a/pkg/upstream/slow_test.go
+++ b/pkg/upstream/slow_test.go
@@ -16,7 +16,7 @@
 // sendToReader sends a body to a runner that handles its end of the connection with read. It
 // returns the duration of the exchange and its error.
 func sendToReader(body []byte, read func(c net.Conn)) (time.Duration, error) {
-	c := New(Options{ConnectTimeout: time.Second, Idle: time.Minute, MaxIdle: 1, Dial: func(context.Context, string, string) (net.Conn, error) {
+	c := New(Options{ConnectTimeout: time.Second, DefaultKeepAlive: time.Minute, MaxIdle: 1, Dial: func(context.Context, string, string) (net.Conn, error) {
 		here, there := net.Pipe()
 		go read(there)
 		return here, nil
@@ -31,7 +31,7 @@
 	}
 	took := time.Since(began)
 	time.Sleep(time.Hour) // Lets read see that its connection was closed.
-	c.Forget("")
+	c.CloseIdle("")
 	return took, err
 }
 
--- a/pkg/upstream/upstream.go
+++ b/pkg/upstream/upstream.go
@@ -100,22 +100,22 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Own reports whether a response belongs to this request; nil accepts any response.
-	Own func(*http.Response) bool
+	// Matches reports whether a response belongs to this request; nil accepts any response.
+	Matches func(*http.Response) bool
 }
 
 // Options are a client's settings.
 type Options struct {
 	// ConnectTimeout limits the time to open a connection.
 	ConnectTimeout time.Duration
-	// Idle is the keep-alive timeout assumed for runners that send none.
-	Idle time.Duration
+	// DefaultKeepAlive is the keep-alive timeout assumed for runners that send none.
+	DefaultKeepAlive time.Duration
 	// MaxIdle is the maximum number of idle connections per address.
 	MaxIdle int
 	// Dial opens connections; nil dials TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Opened is called for each new connection, if not nil.
-	Opened func(address string)
+	// OnConnect is called for each new connection, if not nil.
+	OnConnect func(address string)
 }
 
 // Client sends requests over reused connections. It is safe for concurrent use.
@@ -299,7 +299,7 @@
 			}
 			continue
 		}
-		if r.Own == nil || r.Own(res) {
+		if r.Matches == nil || r.Matches(res) {
 			k.responding.Store(true)
 			return res, surplus, nil
 		}
--- a/pkg/upstream/upstream_test.go
+++ b/pkg/upstream/upstream_test.go
@@ -59,7 +59,7 @@
 }
 
 func newClient() *Client {
-	return New(Options{ConnectTimeout: 5 * time.Second, Idle: time.Minute, MaxIdle: 4})
+	return New(Options{ConnectTimeout: 5 * time.Second, DefaultKeepAlive: time.Minute, MaxIdle: 4})
 }
 
 // idleSetupTimeout limits the requests of openThreeIdle.
@@ -92,7 +92,7 @@
 // get sends one request and returns the body of its response.
 func get(c *Client, address, id string) (string, error) {
 	res, err := c.Do(context.Background(), address, &Request{Method: "GET", Target: "/", Host: "h", Header: http.Header{"Id": {id}},
-		Own: func(r *http.Response) bool { return r.Header.Get("Id") == id }})
+		Matches: func(r *http.Response) bool { return r.Header.Get("Id") == id }})
 	if err != nil {
 		return "", err
 	}
@@ -133,7 +133,7 @@
 		}
 	})
 	k := newClient()
-	k.Limit(0)
+	k.SetMaxIdle(0)
 	for i := range 3 {
 		g.Expect(get(k, s.address, fmt.Sprint(i))).To(Equal("ok"))
 	}
@@ -161,7 +161,7 @@
 		for header := "Keep-Alive: timeout=30\r\n"; respondOK(c, in, header); header = "" {
 		}
 	})
-	c := New(Options{ConnectTimeout: 5 * time.Second, Idle: time.Second, MaxIdle: 4})
+	c := New(Options{ConnectTimeout: 5 * time.Second, DefaultKeepAlive: time.Second, MaxIdle: 4})
 	for _, id := range []string{"a", "b", "c"} {
 		_, err := get(c, s.address, id)
 		g.Expect(err).NotTo(HaveOccurred())
