--- a/pkg/process/state.go
+++ b/pkg/process/state.go
@@ -211,7 +211,7 @@
 // fetchState requests the state of one gateway. A state older than maxStateAge is rejected.
 func fetchState(ctx context.Context, client *http.Client, address string) (sharedState, error) {
 	var s sharedState
-	ctx, cancel := progress.Bound(ctx, stateReadTimeout)
+	ctx, cancel := progress.WithIdleTimeout(ctx, stateReadTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+statePath+"?"+paramEras, nil)
 	if err != nil {
--- a/pkg/progress/progress.go
+++ b/pkg/progress/progress.go
@@ -24,8 +24,8 @@
 // context.DeadlineExceeded, as after a timeout.
 func (s idleContext) Err() error { return context.Cause(s.Context) }
 
-// Bound returns a context that ends with context.DeadlineExceeded if Note is not called for the limit.
-func Bound(ctx context.Context, limit time.Duration) (context.Context, context.CancelFunc) {
+// WithIdleTimeout returns a context that ends with context.DeadlineExceeded if Note is not called for the limit.
+func WithIdleTimeout(ctx context.Context, limit time.Duration) (context.Context, context.CancelFunc) {
 	inner, cancel := context.WithCancelCause(ctx)
 	timer := time.AfterFunc(limit, func() { cancel(context.DeadlineExceeded) })
 	restart := func() {
--- a/pkg/progress/progress_test.go
+++ b/pkg/progress/progress_test.go
@@ -15,7 +15,7 @@
 func TestContextEndsAfterLimitWithoutProgress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		ctx, cancel := Bound(t.Context(), time.Second)
+		ctx, cancel := WithIdleTimeout(t.Context(), time.Second)
 		defer cancel()
 		for range 10 {
 			time.Sleep(900 * time.Millisecond)
@@ -34,7 +34,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		parent, cancelParent := context.WithCancel(t.Context())
-		ctx, cancel := Bound(parent, time.Second)
+		ctx, cancel := WithIdleTimeout(parent, time.Second)
 		defer cancel()
 		cancelParent()
 		<-ctx.Done()
@@ -47,7 +47,7 @@
 func TestReaderNotesEachRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		ctx, cancel := Bound(t.Context(), time.Second)
+		ctx, cancel := WithIdleTimeout(t.Context(), time.Second)
 		defer cancel()
 		slow := iotest.OneByteReader(strings.NewReader("four"))
 		data, err := io.ReadAll(readerFunc(func(p []byte) (int, error) {
--- a/pkg/store/follow.go
+++ b/pkg/store/follow.go
@@ -165,7 +165,7 @@
 func (f *Follower) readAll(ctx context.Context, p *position) (Revision, error) {
 	ctx, end := context.WithTimeout(ctx, maxRangeTime)
 	defer end()
-	ctx, cancel := progress.Bound(ctx, p.timeout)
+	ctx, cancel := progress.WithIdleTimeout(ctx, p.timeout)
 	defer cancel()
 	asked := boottime.Now()
 	items, next, err := f.Store.Range(ctx, f.Prefix)
