--- a/pkg/losses/losses.go
+++ b/pkg/losses/losses.go
@@ -98,9 +98,9 @@
 	Prefill, Decode, Changing int
 	// Reserved is the reserved share of the decode engines' memory, as a mean over the engines.
 	Reserved float64
-	// Waiting is the number of requests that wait for engine memory at all gateways, Reading
+	// Waiting is the number of requests that wait for engine memory at all gateways, PrefillTokens
 	// the number of prompt tokens queued at prefill engines.
-	Waiting, Reading int
+	Waiting, PrefillTokens int
 }
 
 // Log is the data extracted from the logs.
@@ -239,7 +239,7 @@
 	return Pool{
 		Time: line.Time, Process: line.Process, Service: line.Get("service"),
 		Prefill: l.number(line, "prefill"), Decode: l.number(line, "decode"), Changing: l.number(line, "changing"),
-		Reserved: l.fraction(line, "reserved"), Waiting: l.number(line, "waiting"), Reading: l.number(line, "reading"),
+		Reserved: l.fraction(line, "reserved"), Waiting: l.number(line, "waiting"), PrefillTokens: l.number(line, "reading"),
 	}
 }
 
--- a/pkg/losses/text.go
+++ b/pkg/losses/text.go
@@ -82,7 +82,7 @@
 	fmt.Fprint(w, "\nENGINES\tprefill\tdecode\tchanging\treserved\twaiting\treading\t\n")
 	for i := range r.Windows {
 		e := &r.Windows[i].Engines
-		fmt.Fprintf(w, "%s\t%.1f\t%.1f\t%.1f\t%.2f\t%.1f\t%.0f\t\n", r.Windows[i].From, e.Prefill, e.Decode, e.Changing, e.Reserved, e.Waiting, e.Reading)
+		fmt.Fprintf(w, "%s\t%.1f\t%.1f\t%.1f\t%.2f\t%.1f\t%.0f\t\n", r.Windows[i].From, e.Prefill, e.Decode, e.Changing, e.Reserved, e.Waiting, e.PrefillTokens)
 	}
 }
 
--- a/pkg/losses/window.go
+++ b/pkg/losses/window.go
@@ -45,7 +45,7 @@
 // Engines is the state of the engines in a window, as means over all Pool entries of all
 // gateways in the window. See Pool for the fields.
 type Engines struct {
-	Prefill, Decode, Changing, Reserved, Waiting, Reading float64
+	Prefill, Decode, Changing, Reserved, Waiting, PrefillTokens float64
 }
 
 // Report is the data of a log by window.
@@ -119,7 +119,7 @@
 			value float64
 		}{
 			{&e.Prefill, float64(p.Prefill)}, {&e.Decode, float64(p.Decode)}, {&e.Changing, float64(p.Changing)},
-			{&e.Reserved, p.Reserved}, {&e.Waiting, float64(p.Waiting)}, {&e.Reading, float64(p.Reading)},
+			{&e.Reserved, p.Reserved}, {&e.Waiting, float64(p.Waiting)}, {&e.PrefillTokens, float64(p.PrefillTokens)},
 		} {
 			*v.mean += (v.value - *v.mean) / samples[n]
 		}
