--- a/pkg/boottime/suspend.go
+++ b/pkg/boottime/suspend.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Suspend makes Now jump as after a suspension of the machine, for tests of what must expire during one.
+// SuspendForTest makes Now jump as after a suspension of the machine, for tests of what must expire during one.
 // The returned function undoes the jump.
-func Suspend(d time.Duration) (restore func()) {
+func SuspendForTest(d time.Duration) (restore func()) {
 	systemClock.shift(d)
 	return func() { systemClock.shift(-d) }
 }
--- a/pkg/ingress/identity_test.go
+++ b/pkg/ingress/identity_test.go
@@ -85,7 +85,7 @@
 	in.SetTable(tableWithKeys(t, 1, "k"))
 	x := newExchange(in, "/closed/", "Bearer k")
 	g.Expect(x.identify()).To(Succeed())
-	t.Cleanup(boottime.Suspend(5 * time.Second))
+	t.Cleanup(boottime.SuspendForTest(5 * time.Second))
 	var old *ErrUnconfirmed
 	g.Expect(errors.As(x.reconfirm(), &old)).To(BeTrue())
 	g.Expect(errors.As(newExchange(in, "/closed/", "Bearer k").identify(), &old)).To(BeTrue())
--- a/pkg/peers/assured_test.go
+++ b/pkg/peers/assured_test.go
@@ -93,7 +93,7 @@
 func TestConfirmedTimeCountsSuspensions(t *testing.T) {
 	g := NewWithT(t)
 	relay, self := newStampExchange(), newStampExchange()
-	suspended := func() { t.Cleanup(boottime.Suspend(3 * time.Second)) }
+	suspended := func() { t.Cleanup(boottime.SuspendForTest(3 * time.Second)) }
 	read := boottime.Now()
 	suspended()
 	stamp := self.clock.stamp(boottime.Now())
--- a/pkg/store/store_test.go
+++ b/pkg/store/store_test.go
@@ -267,7 +267,7 @@
 	g.Expect(l.Acquire(t.Context())).To(Succeed())
 	_, _, held := l.Held(boottime.Now())
 	g.Expect(held).To(BeTrue())
-	t.Cleanup(boottime.Suspend(5 * time.Second))
+	t.Cleanup(boottime.SuspendForTest(5 * time.Second))
 	_, _, held = l.Held(boottime.Now())
 	g.Expect(held).To(BeFalse())
 }
