--- a/cmd/hopwelld/cmds/demo_ingress.go
+++ b/cmd/hopwelld/cmds/demo_ingress.go
@@ -94,7 +94,7 @@
 // watch prints the state and injects random faults until the context ends.
 func (f *ingressDemo) watch(ctx context.Context, d *ingressdemo.Demo, out io.Writer) {
 	if f.faultInterval > 0 {
-		go d.StrikeAtRandom(ctx, f.faultInterval, func(fault ingressdemo.Fault, target string) {
+		go d.InjectRandomFaults(ctx, f.faultInterval, func(fault ingressdemo.Fault, target string) {
 			fmt.Fprintf(out, "fault: %s %s\n\n", fault, target)
 		})
 	}
--- a/pkg/ingressdemo/faults.go
+++ b/pkg/ingressdemo/faults.go
@@ -187,9 +187,9 @@
 	return gatewayName(at), nil
 }
 
-// StrikeAtRandom makes random faults happen until the context ends; struck is called
+// InjectRandomFaults makes random faults happen until the context ends; struck is called
 // after each.
-func (d *Demo) StrikeAtRandom(ctx context.Context, every time.Duration, struck func(f Fault, target string)) {
+func (d *Demo) InjectRandomFaults(ctx context.Context, every time.Duration, struck func(f Fault, target string)) {
 	random := rand.New(rand.NewPCG(d.options.Seed, 2))
 	tick := time.NewTicker(every)
 	defer tick.Stop()
