--- a/pkg/enginepool/status.go
+++ b/pkg/enginepool/status.go
@@ -46,7 +46,7 @@
 
 // RemainingWork returns an estimate of the work left on an engine, in tokens: the larger of the
 // output tokens left of its longest response and its backlog of prompt tokens. It is
-// unrelated to the type RemainingWork.
+// unrelated to the type Load.
 func (p *Pool) RemainingWork(runner string, now time.Time) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/pkg/ingress/call.go
+++ b/pkg/ingress/call.go
@@ -39,7 +39,7 @@
 type CallOptions struct {
 	// TimeLeft is the time left for the runner to respond.
 	TimeLeft time.Duration
-	// Source is the name, from Engines.Fetch, of the KV cache from which a decode continues; empty
+	// Source is the name, from RunnerClient.CacheName, of the KV cache from which a decode continues; empty
 	// for none.
 	Source string
 	// CacheFrom is a runner that has the prompt in its KV cache, from which the decode runner
@@ -86,7 +86,7 @@
 // RunnerClient makes the calls to runners, engines as well as plain ones. Calls fail with
 // *upstream.ErrDial, *notice.ErrLeaving or *notice.ErrPaused if nothing was sent, with
 // *upstream.ErrExchange if the call may have run, and with *ErrDeclined if the runner refused. Send
-// does not fail if the runner refused; it sets Answer.NotRun or Answer.Elsewhere.
+// does not fail if the runner refused; it sets Response.NotRun or Response.WrongRunner.
 type RunnerClient interface {
 	// Send sends a client's request to a runner, which runs it.
 	Send(ctx context.Context, r *runners.State, c *Call, o CallOptions) (*Response, error)
--- a/pkg/ingress/exchange.go
+++ b/pkg/ingress/exchange.go
@@ -39,7 +39,7 @@
 	life *request.Life
 	// sends counts the calls that run the request on a runner, without prefills.
 	sends int
-	// bufferedBytes is the part of Options.MaxHeld that this request's body and buffered response
+	// bufferedBytes is the part of Options.MaxBuffered that this request's body and buffered response
 	// use.
 	bufferedBytes int64
 	rank          enginepool.Rank
--- a/pkg/ingress/ingress.go
+++ b/pkg/ingress/ingress.go
@@ -36,7 +36,7 @@
 	Budget retrybudget.Limits
 	// Gateways is the initial number of gateways.
 	Gateways int
-	// MaxOpen limits the requests served at once. MaxHeld limits the total bytes of request bodies
+	// MaxOpen limits the requests served at once. MaxBuffered limits the total bytes of request bodies
 	// and buffered responses.
 	MaxOpen     int
 	MaxBuffered int64
--- a/pkg/notice/notice.go
+++ b/pkg/notice/notice.go
@@ -17,7 +17,7 @@
 type Notice struct {
 	// Limit is what the response reports of the runner's rate limit.
 	Limit runnerlimit.Statement
-	// Leaving is set if the runner accepts no more work. Ends is set if the response reports when the runner
+	// Leaving is set if the runner accepts no more work. HasEnd is set if the response reports when the runner
 	// ends, and LeavesIn is the time until then.
 	Leaving  bool
 	HasEnd   bool
--- a/pkg/peers/members.go
+++ b/pkg/peers/members.go
@@ -161,7 +161,7 @@
 }
 
 // sweep marks gateways as silent when they time out, and removes those that were silent for
-// RememberFor. It passes the members to the quota and to the table of rate limits.
+// MemberTTL. It passes the members to the quota and to the table of rate limits.
 func (x *Exchange) sweep(now time.Time) {
 	var silent []string
 	x.mu.Lock()
--- a/pkg/peers/peers.go
+++ b/pkg/peers/peers.go
@@ -60,7 +60,7 @@
 	// outcomesEvery is the number of send intervals between two reports of runners' outcomes.
 	outcomesEvery = 4
 	// maxOutcomes bounds the runners in one report, some 20 bytes each. With more than
-	// subset.Users gateways, a report goes to fewer gateways the more there are, but to
+	// subset.GatewaysPerEngine gateways, a report goes to fewer gateways the more there are, but to
 	// minReceivers at least. So each gateway receives the same number of reports a second
 	// whatever the number of gateways.
 	maxOutcomes  = 32
--- a/pkg/peers/relay.go
+++ b/pkg/peers/relay.go
@@ -80,7 +80,7 @@
 }
 
 // choicesPerBeat is the number of times that relays are chosen in one heartbeat interval of the
-// relays (Pace.Beat) while the same gateways are alive. It need not be higher, because a silent
+// relays (Pace.Heartbeat) while the same gateways are alive. It need not be higher, because a silent
 // relay is replaced only after some intervals.
 const choicesPerBeat = 3
 
@@ -125,7 +125,7 @@
 }
 
 // SendStoreUpdates sends subscribers the changes that they lack, and an update without changes to
-// those that were sent nothing for the relays' heartbeat interval (Pace.Beat).
+// those that were sent nothing for the relays' heartbeat interval (Pace.Heartbeat).
 func (x *Exchange) SendStoreUpdates(now time.Time) {
 	reached := x.options.Store.Reached()
 	x.mu.Lock()
--- a/pkg/process/relay.go
+++ b/pkg/process/relay.go
@@ -100,7 +100,7 @@
 // forgotten waits for relays to send what they read again after the store has dropped its history. It
 // waits as long as a relay may take to notice that and to read. Relays themselves read at once. The
 // result is the revision reached, or 0 if this gateway must read the store itself. It implements
-// store.Follower.Forgotten.
+// store.Follower.CatchUp.
 func (f *feed) forgotten(ctx context.Context, after store.Revision) store.Revision {
 	began := time.Now()
 	tick := time.NewTicker(forgottenPollInterval)
--- a/pkg/progress/progress.go
+++ b/pkg/progress/progress.go
@@ -41,7 +41,7 @@
 }
 
 // Note records that a part of a call's response arrived. It does nothing if ctx does not derive from
-// Bound.
+// WithIdleTimeout.
 func Note(ctx context.Context) {
 	if restart, ok := ctx.Value(restartKey{}).(func()); ok {
 		restart()
--- a/pkg/quarantine/quarantine.go
+++ b/pkg/quarantine/quarantine.go
@@ -26,7 +26,7 @@
 	// connections of a crashed runner close within a few milliseconds; the next try of the same
 	// client comes later.
 	simultaneousWindow = 50 * time.Millisecond
-	// Duration is the duration of a quarantine, and the time for which a break counts. It equals the
+	// Duration is how long a quarantine lasts, and the time for which a break counts. It equals the
 	// longest lease that the platform's store grants.
 	Duration = 10 * time.Minute
 	// maxSuspects limits the requests in the table, at about 200 bytes each. A runner crash adds
@@ -202,7 +202,7 @@
 }
 
 // DueForPublish returns the quarantines that are due to be written to the store, each with its
-// remaining time. A quarantine is returned again after a backoff until Published is called for it.
+// remaining time. A quarantine is returned again after a backoff until RecordPublished is called for it.
 func (t *Table) DueForPublish(now time.Time) []Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -218,8 +218,8 @@
 	return out
 }
 
-// Sweep removes breaks that are older than Hold, and suspects that are not quarantined and had
-// neither a break nor a success within Hold.
+// Sweep removes breaks that are older than Duration, and suspects that are not quarantined and had
+// neither a break nor a success within Duration.
 func (t *Table) Sweep(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -338,7 +338,7 @@
 	}
 }
 
-// prune removes breaks that are older than Hold.
+// prune removes breaks that are older than Duration.
 func (s *suspect) prune(now time.Time) {
 	for len(s.breaks) > 0 && now.Sub(s.breaks[0].At) > Duration {
 		s.breaks = s.breaks[1:]
--- a/pkg/quota/exchange.go
+++ b/pkg/quota/exchange.go
@@ -196,5 +196,5 @@
 	return false
 }
 
-// lowLevel is the level, as a fraction of the bucket's size, below which Pressed returns true.
+// lowLevel is the level, as a fraction of the bucket's size, below which RunningLow returns true.
 const lowLevel = 0.5
--- a/pkg/quota/fleet.go
+++ b/pkg/quota/fleet.go
@@ -36,7 +36,7 @@
 // datagram. While anything is spent, most datagrams arrive within that time.
 const lateDivisor = 4
 
-// defaultGrace applies until the first call of Members.
+// defaultGrace applies until the first call of SetMembers.
 const defaultGrace = time.Second
 
 func newFleet() fleet { return fleet{peers: map[string]*peer{}, grace: defaultGrace} }
--- a/pkg/quota/quota.go
+++ b/pkg/quota/quota.go
@@ -196,7 +196,7 @@
 	return nil
 }
 
-// Refund refunds the cost of a request that has not run and will not run.
+// Refund gives back the cost of a request that has not run and will not run.
 func (l *Ledger) Refund(w *workspace.Workspace, cost float64, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/pkg/relay/history.go
+++ b/pkg/relay/history.go
@@ -154,7 +154,7 @@
 }
 
 // Since returns the updates, at least one, that bring a gateway from a revision to the one reached.
-// Each fits a datagram; a change that is too large is left out with all later ones, and More is
+// Each fits a datagram; a change that is too large is left out with all later ones, and Truncated is
 // set. Large values are sent as deltas if encodings.Deltas is set.
 func (h *History) Since(at store.Revision, encodings Encodings, now time.Time) []Update {
 	h.mu.Lock()
--- a/pkg/relay/relay.go
+++ b/pkg/relay/relay.go
@@ -2,7 +2,7 @@
 // them watch it. Those few, the relays, retain the latest changes (History) and send them to the
 // gateways that subscribed to them (Subscribers). Every other gateway chooses two relays and tracks
 // the age of what it has from them (Sources). Gateways run no agreement protocol: a gateway is a
-// relay if it has a subscriber or is among the first alive ones, see Pace.First.
+// relay if it has a subscriber or is among the first alive ones, see Pace.AlwaysRelay.
 //
 // The package does no I/O; callers pass in the time. Callers must serialize access to Sources and
 // to Subscribers.
--- a/pkg/runnerlimit/exchange.go
+++ b/pkg/runnerlimit/exchange.go
@@ -13,7 +13,7 @@
 type Report struct {
 	Runner string
 	Statement
-	// NamedAgo is the time since a response last named the limit. Over is set if the limit has ended,
+	// NamedAgo is the time since a response last named the limit. Ended is set if the limit has ended,
 	// EndedAgo ago.
 	NamedAgo time.Duration
 	Ended    bool
@@ -40,7 +40,7 @@
 	return out, t.revision
 }
 
-// HasReportsFor reports whether Since would return any reports.
+// HasReportsFor reports whether ReportsSince would return any reports.
 func (t *Table) HasReportsFor(gateway string, since uint64) bool {
 	if !t.nonEmpty.Load() {
 		return false
--- a/pkg/runnerlimit/runnerlimit.go
+++ b/pkg/runnerlimit/runnerlimit.go
@@ -82,7 +82,7 @@
 
 // Table holds the limits of all runners. It is safe for concurrent use.
 type Table struct {
-	// Changed is called after each change of a limit. Counted is called when reports for other gateways are
+	// Changed is called after each change of a limit. ReportsPending is called when reports for other gateways are
 	// due: after each change or call that they should learn of. Both are called without locks held. They must
 	// be set before the table is used; nil disables them.
 	Changed        func(Change)
--- a/pkg/runners/runners.go
+++ b/pkg/runners/runners.go
@@ -166,7 +166,7 @@
 	s.mismatch = mismatch{stage: s.Stage, at: now, own: true}
 }
 
-// BeginRequest records a request that is sent to the runner, Leave the end of the request.
+// BeginRequest records a request that is sent to the runner, EndRequest the end of the request.
 func (s *State) BeginRequest() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
