--- a/pkg/gateway/access.go
+++ b/pkg/gateway/access.go
@@ -35,7 +35,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := time.Now()
-	a.quota.Members(otherGateways(view, self), limitWindow, now)
+	a.quota.SetMembers(otherGateways(view, self), limitWindow, now)
 	if a.document == d {
 		return a.directory, a.err
 	}
@@ -74,7 +74,7 @@
 	if err != nil || directory == nil {
 		return err
 	}
-	w := directory.Named(req.Workspace)
+	w := directory.ByName(req.Workspace)
 	if w == nil {
 		return &workspace.ErrCredential{Why: workspace.Unknown}
 	}
@@ -89,7 +89,7 @@
 // refund returns the cost charged for a request that has not run.
 func (g *Gateway) refund(req *Request, outcome request.Outcome) {
 	if req.charged != nil && outcome == request.NotRun {
-		g.access.quota.GiveBack(req.charged, req.cost, time.Now())
+		g.access.quota.Refund(req.charged, req.cost, time.Now())
 		req.charged = nil
 	}
 }
--- a/pkg/ingress/forward_test.go
+++ b/pkg/ingress/forward_test.go
@@ -62,17 +62,17 @@
 	good, bad := in.Directory.Find("good"), in.Directory.Find("bad")
 	now := time.Now()
 	for range 3 {
-		good.Answered(50 * time.Millisecond)
-		bad.Answered(50 * time.Millisecond)
+		good.Completed(50 * time.Millisecond)
+		bad.Completed(50 * time.Millisecond)
 	}
 	bad.Failed(now)
 	for range 2 {
-		good.Enter()
+		good.BeginRequest()
 	}
 	g.Expect(chosen(in, plainRequest{service: "s", repeatable: true}).ID).To(Equal("bad"))
 	g.Expect(chosen(in, plainRequest{service: "s"}).ID).To(Equal("good"))
 	for range 10 {
-		good.Enter()
+		good.BeginRequest()
 	}
 	g.Expect(chosen(in, plainRequest{service: "s"}).ID).To(Equal("bad"), "the other runner can't serve everything")
 }
@@ -87,7 +87,7 @@
 		in := New(Options{Name: fmt.Sprintf("g%d", i), Gateways: gateways})
 		table, err := routetable.New(routetable.Config{Version: 1, Services: map[string]routetable.Service{"s": {Name: "s", MaxConnections: most}}})
 		g.Expect(err).NotTo(HaveOccurred())
-		in.Use(table)
+		in.SetTable(table)
 		for _, id := range []string{"a", "b", "c"} {
 			in.Directory.Put(runners.Runner{ID: id, Service: "s"}, time.Now())
 		}
--- a/pkg/ingress/ingress.go
+++ b/pkg/ingress/ingress.go
@@ -29,17 +29,17 @@
 	// Domain is the failure domain of the process, Regions the region of each failure domain.
 	Domain  string
 	Regions map[string]string
-	Engines Engines
-	Reader  Reader
+	Runners RunnerClient
+	Reader  RequestParser
 	Log     *decisionlog.Log
 	// Budget holds the retry limits, which all gateways share.
 	Budget retrybudget.Limits
 	// Gateways is the initial number of gateways.
 	Gateways int
-	// MaxOpen limits the requests served at once. MaxHeld limits the total bytes of request bodies
+	// MaxOpen limits the requests served at once. MaxBuffered limits the total bytes of request bodies
 	// and buffered responses.
-	MaxOpen int
-	MaxHeld int64
+	MaxOpen     int
+	MaxBuffered int64
 	// Neighbours returns the number of other gateways in the failure domain, to which the balancer
 	// sends clients first; nil if the number is unavailable.
 	Neighbours func() int
@@ -78,14 +78,14 @@
 // New returns an Ingress without routes.
 func New(o Options) *Ingress {
 	return &Ingress{
-		options: o, promptCaches: newPromptCaches(o.Engines, o.Log), Directory: runners.NewDirectory(o.Name), metrics: newMeters(), gateways: o.Gateways,
+		options: o, promptCaches: newPromptCaches(o.Runners, o.Log), Directory: runners.NewDirectory(o.Name), metrics: newMeters(), gateways: o.Gateways,
 		pools: map[string]*enginepool.Pool{}, budgets: map[string]*retrybudget.Budget{}, returnDetectors: map[string]*returnDetector{},
 	}
 }
 
-// Use puts a route table into force. It ignores a table that is not newer than the one in force and
+// SetTable puts a route table into force. It ignores a table that is not newer than the one in force and
 // returns false, so that the configuration never goes back.
-func (g *Ingress) Use(t *routetable.Table) bool {
+func (g *Ingress) SetTable(t *routetable.Table) bool {
 	for {
 		old := g.table.Load()
 		if old != nil && old.Config.Version >= t.Config.Version {
@@ -281,7 +281,7 @@
 		share, _ := p.PrefillShare()
 		g.options.Log.Write(decisionlog.KindState, "pool", decisionlog.F("service", service),
 			decisionlog.F("prefill", s.Prefill), decisionlog.F("decode", s.Decode), decisionlog.F("changing", s.Changing),
-			decisionlog.F("reserved", s.Reserved), decisionlog.F("waiting", s.Waiting), decisionlog.F("reading", s.Reading), decisionlog.F("prefill_share", share))
+			decisionlog.F("reserved", s.Reserved), decisionlog.F("waiting", s.Waiting), decisionlog.F("reading", s.PrefillTokens), decisionlog.F("prefill_share", share))
 	}
 }
 
--- a/pkg/ingress/reserve.go
+++ b/pkg/ingress/reserve.go
@@ -29,7 +29,7 @@
 		w.Prefer(s.cacheHolder.ID)
 	}
 	if s.rank == enginepool.Returning {
-		w.LateFrom(s.arrived.Add(s.route.Latency - serveReserve))
+		w.LateFrom(s.arrived.Add(s.route.LatencyTarget - serveReserve))
 	}
 	s.logPassedOver(runners.Decode)
 	for {
@@ -110,7 +110,7 @@
 	case errors.As(err, &dial):
 		runner.Unreachable(time.Now())
 	case errors.As(err, &declined):
-		if declined.Elsewhere {
+		if declined.WrongRunner {
 			runner.MarkUnusable(time.Now())
 		}
 	default:
@@ -122,9 +122,9 @@
 func (s *generation) roomDeadline() time.Time {
 	switch s.rank {
 	case enginepool.Fresh:
-		return s.arrived.Add(time.Duration(newRequestWaitShare * float64(s.route.Latency)))
+		return s.arrived.Add(time.Duration(newRequestWaitShare * float64(s.route.LatencyTarget)))
 	default:
-		clientTimeout := max(minClientTimeout, latencyFactor*s.route.Latency, gapFactor*s.route.Gap)
+		clientTimeout := max(minClientTimeout, latencyFactor*s.route.LatencyTarget, gapFactor*s.route.GapTarget)
 		return s.arrived.Add(clientTimeout - serveReserve)
 	}
 }
@@ -132,18 +132,18 @@
 func (s *generation) hold(runner *runners.State) (string, error) {
 	ctx, cancel := context.WithTimeout(s.ctx, holdTimeout)
 	defer cancel()
-	runner.Called(s.job.ID, time.Now())
-	return s.g.options.Engines.Hold(ctx, runner, s.missingTokens(runner)+holdOutputTokens, s.holdTTL())
+	runner.CallSent(s.job.ID, time.Now())
+	return s.g.options.Runners.Hold(ctx, runner, s.missingTokens(runner)+holdOutputTokens, s.holdTTL())
 }
 
 // holdTTL returns how long a hold lasts. A hold is not needed for longer than the latency target: by
 // then the decode has begun, or the first event is late anyway. A hold whose response was lost
 // can't be released, and occupies memory until it expires.
 func (s *generation) holdTTL() time.Duration {
-	if s.route.Latency > 0 {
-		return min(s.engine.HoldFor, s.route.Latency)
+	if s.route.LatencyTarget > 0 {
+		return min(s.engine.MaxHold, s.route.LatencyTarget)
 	}
-	return s.engine.HoldFor
+	return s.engine.MaxHold
 }
 
 // missingTokens returns the number of tokens of the prompt that are not in a runner's KV cache.
@@ -156,10 +156,10 @@
 
 // dropHold releases a hold. It does not wait for the call, which continues after the request ends.
 func (s *generation) dropHold(p *reservation) {
-	p.runner.Called("", time.Now())
+	p.runner.CallSent("", time.Now())
 	go func() {
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(s.ctx), releaseTimeout)
 		defer cancel()
-		_ = s.g.options.Engines.Drop(ctx, p.runner, p.hold)
+		_ = s.g.options.Runners.Drop(ctx, p.runner, p.hold)
 	}()
 }
--- a/pkg/ingressdemo/faults.go
+++ b/pkg/ingressdemo/faults.go
@@ -189,9 +189,9 @@
 	return gatewayName(at), nil
 }
 
-// StrikeAtRandom injects a random fault at each interval until the context ends. It calls
+// InjectRandomFaults injects a random fault at each interval until the context ends. It calls
 // struck after each injected fault and skips faults that can't be injected.
-func (d *Demo) StrikeAtRandom(ctx context.Context, every time.Duration, struck func(f Fault, target string)) {
+func (d *Demo) InjectRandomFaults(ctx context.Context, every time.Duration, struck func(f Fault, target string)) {
 	random := rand.New(rand.NewPCG(d.options.Seed, 2))
 	tick := time.NewTicker(every)
 	defer tick.Stop()
--- a/pkg/ingressdemo/view.go
+++ b/pkg/ingressdemo/view.go
@@ -56,7 +56,7 @@
 		return 0, 0, 0
 	}
 	s := pool.Status(now)
-	return s.Waiting, s.Reading, s.Reserved
+	return s.Waiting, s.PrefillTokens, s.Reserved
 }
 
 // writeRunners writes the stage, state, load and memory use of each runner.
--- a/pkg/peers/peers.go
+++ b/pkg/peers/peers.go
@@ -50,9 +50,9 @@
 	// times the number of members, so that more than a hundred gateways cause no higher rate
 	// of these datagrams than a hundred do.
 	minFullInterval = 3 * time.Second
-	// RememberFor is how long a silent gateway stays in the membership list and is sent
+	// MemberTTL is how long a silent gateway stays in the membership list and is sent
 	// datagrams.
-	RememberFor = 60 * time.Second
+	MemberTTL = 60 * time.Second
 	// maxDatagram is the maximum size of a datagram, in bytes.
 	maxDatagram = 16 << 10
 	// peersPerDatagram is the number of other gateways named in a datagram with the full state.
@@ -60,7 +60,7 @@
 	// outcomesEvery is the number of send intervals between two reports of runners' outcomes.
 	outcomesEvery = 4
 	// maxOutcomes bounds the runners in one report, some 20 bytes each. With more than
-	// subset.Users gateways, a report goes to fewer gateways the more there are, but to
+	// subset.GatewaysPerEngine gateways, a report goes to fewer gateways the more there are, but to
 	// minReceivers at least. So each gateway receives the same number of reports a second
 	// whatever the number of gateways.
 	maxOutcomes  = 32
--- a/pkg/peers/peers_test.go
+++ b/pkg/peers/peers_test.go
@@ -108,7 +108,7 @@
 			return p.Engines[0].Loads[0].Now
 		}, "20s").Should(Equal(pair.load))
 	}
-	g.Expect(a.Known()).To(Equal(2))
+	g.Expect(a.MemberCount()).To(Equal(2))
 	g.Expect(a.Addresses()[0]).To(Equal(c.address), "the newest configuration first")
 	g.Expect(a.Rank()).To(Equal(0))
 	g.Expect(c.Rank()).To(Equal(2))
@@ -138,9 +138,9 @@
 	g.Expect(a.Add("z", "127.0.0.1:1")).To(Succeed())
 	now := time.Now()
 	a.sweep(now.Add(2 * minAliveTime))
-	g.Expect(a.Known()).To(Equal(1))
-	a.sweep(now.Add(2 * RememberFor))
-	g.Expect(a.Known()).To(Equal(0))
+	g.Expect(a.MemberCount()).To(Equal(1))
+	a.sweep(now.Add(2 * MemberTTL))
+	g.Expect(a.MemberCount()).To(Equal(0))
 }
 
 func TestSnapshotsSurviveEncoding(t *testing.T) {
@@ -148,7 +148,7 @@
 		g := NewWithT(t)
 		s := enginepool.Snapshot{Full: rapid.Bool().Draw(t, "full"), Waiting: rapid.IntRange(0, 9).Draw(t, "waiting")}
 		for i := range rapid.IntRange(0, 4).Draw(t, "engines") {
-			e := enginepool.EngineLoad{Runner: string(rune('a' + i)), Reading: rapid.IntRange(0, 999).Draw(t, "reading")}
+			e := enginepool.EngineLoad{Runner: string(rune('a' + i)), PrefillTokens: rapid.IntRange(0, 999).Draw(t, "reading")}
 			for range rapid.IntRange(0, 3).Draw(t, "loads") {
 				e.Loads = append(e.Loads, enginepool.Load{Now: rapid.IntRange(0, 9999).Draw(t, "now"), Left: rapid.IntRange(0, 999).Draw(t, "left")})
 			}
@@ -213,7 +213,7 @@
 			receivers++
 		}
 	}
-	g.Expect(receivers).To(And(BeNumerically(">=", subset.Users-1), BeNumerically("<=", subset.Users)))
+	g.Expect(receivers).To(And(BeNumerically(">=", subset.GatewaysPerEngine-1), BeNumerically("<=", subset.GatewaysPerEngine)))
 	g.Expect(float64(len(a.members)) / a.heartbeat().Seconds()).To(BeNumerically("<", 34))
 }
 
@@ -263,7 +263,7 @@
 	for _, w := range []*gateway{b, c} {
 		g.Eventually(func() bool { _, ok := a.receivedFrom(w.options.Name); return ok }, "20s").Should(BeTrue())
 	}
-	changes := []runners.StageChange{{Runner: "e", To: runners.Prefill, Left: 1500 * time.Millisecond}}
+	changes := []runners.StageChange{{Runner: "e", To: runners.Prefill, Remaining: 1500 * time.Millisecond}}
 	a.SendStageChanges(changes, time.Now())
 	for _, w := range []*gateway{b, c} {
 		g.Eventually(func() []runners.StageChange { w.mu.Lock(); defer w.mu.Unlock(); return w.changes }, "20s").Should(Equal(changes))
@@ -291,13 +291,13 @@
 		turns := 0
 		for len(informed) < gateways {
 			now := a.outcomeReceivers(true)
-			g.Expect(len(now)).To(BeNumerically("<=", subset.Users))
+			g.Expect(len(now)).To(BeNumerically("<=", subset.GatewaysPerEngine))
 			for name := range now {
 				informed[name] = true
 			}
 			turns++
 		}
-		if gateways <= subset.Users {
+		if gateways <= subset.GatewaysPerEngine {
 			g.Expect(turns).To(Equal(1))
 		}
 	}
--- a/pkg/peers/relay.go
+++ b/pkg/peers/relay.go
@@ -30,8 +30,8 @@
 	// Receive applies an update of a relay, and reports whether the copy now has all changes
 	// up to the end of the update.
 	Receive(u relay.Update) bool
-	// Subscribed is called when a first gateway subscribes to this one, which makes it a relay.
-	Subscribed()
+	// OnFirstSubscriber is called when a first gateway subscribes to this one, which makes it a relay.
+	OnFirstSubscriber()
 }
 
 // allowance is the token bucket of the bytes that a relay may send.
@@ -67,7 +67,7 @@
 			x.aliveNames = append(x.aliveNames, name)
 		}
 	}
-	x.defaultRelay = x.options.Pace.First(x.options.Name, x.aliveNames)
+	x.defaultRelay = x.options.Pace.AlwaysRelay(x.options.Name, x.aliveNames)
 	x.relaysChosenAt = time.Time{}
 	return x.aliveNames
 }
@@ -80,52 +80,52 @@
 }
 
 // choicesPerBeat is the number of times that relays are chosen in one heartbeat interval of the
-// relays (Pace.Beat) while the same gateways are alive. It need not be higher, because a silent
+// relays (Pace.Heartbeat) while the same gateways are alive. It need not be higher, because a silent
 // relay is replaced only after some intervals.
 const choicesPerBeat = 3
 
 // chooseRelays chooses relays again when a choice is due. The caller holds the lock.
 func (x *Exchange) chooseRelays(now time.Time) {
 	alive := x.aliveGateways()
-	if x.sources.Any() && now.Sub(x.relaysChosenAt) < x.options.Pace.Beat/choicesPerBeat {
+	if x.sources.Any() && now.Sub(x.relaysChosenAt) < x.options.Pace.Heartbeat/choicesPerBeat {
 		return
 	}
 	x.relaysChosenAt = now
 	x.sources.Choose(alive, now)
 }
 
-// Relay reports whether this gateway is a relay, which watches the store continuously.
-func (x *Exchange) Relay(now time.Time) bool {
+// IsRelay reports whether this gateway is a relay, which watches the store continuously.
+func (x *Exchange) IsRelay(now time.Time) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.subscribers.Any(now) || x.isDefaultRelay()
 }
 
-// Coverage is how up to date relays keep a gateway's copy of the store.
-type Coverage struct {
+// Freshness is how up to date relays keep a gateway's copy of the store.
+type Freshness struct {
 	// FreshUntil is the time until which the copy can be relied on without reading the store.
 	FreshUntil time.Time
-	// Answering says that a relay sends updates, whether or not it reaches the store.
-	Answering bool
+	// RelayResponding says that a relay sends updates, whether or not it reaches the store.
+	RelayResponding bool
 }
 
-// Coverage returns how up to date relays keep this gateway's copy of the store.
-func (x *Exchange) Coverage(now time.Time) Coverage {
+// Freshness returns how up to date relays keep this gateway's copy of the store.
+func (x *Exchange) Freshness(now time.Time) Freshness {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return Coverage{FreshUntil: x.sources.FreshUntil(), Answering: x.sources.Answering(now)}
+	return Freshness{FreshUntil: x.sources.FreshUntil(), RelayResponding: x.sources.AnyResponding(now)}
 }
 
-// StoreAnswers records that the store responded to this gateway. Relays that can't reach the store
+// RecordStoreResponse records that the store responded to this gateway. Relays that can't reach the store
 // are then replaced.
-func (x *Exchange) StoreAnswers(now time.Time) {
+func (x *Exchange) RecordStoreResponse(now time.Time) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.sources.StoreAnswers(now)
+	x.sources.RecordStoreResponse(now)
 }
 
 // SendStoreUpdates sends subscribers the changes that they lack, and an update without changes to
-// those that were sent nothing for the relays' heartbeat interval (Pace.Beat).
+// those that were sent nothing for the relays' heartbeat interval (Pace.Heartbeat).
 func (x *Exchange) SendStoreUpdates(now time.Time) {
 	reached := x.options.Store.Reached()
 	x.mu.Lock()
@@ -186,7 +186,7 @@
 	x.mu.Unlock()
 	x.write(out)
 	if firstSubscriber {
-		x.options.Store.Subscribed()
+		x.options.Store.OnFirstSubscriber()
 	}
 }
 
@@ -198,7 +198,7 @@
 	}
 	applied := x.options.Store.Receive(u)
 	x.mu.Lock()
-	x.sources.Heard(from, &u, applied, now)
+	x.sources.RecordUpdate(from, &u, applied, now)
 	x.mu.Unlock()
 	if !applied {
 		x.subscribe(now)
@@ -206,9 +206,9 @@
 }
 
 func encodeStoreUpdate(u relay.Update) *wirepb.StoreUpdate {
-	out := &wirepb.StoreUpdate{From: uint64(u.From), To: uint64(u.To), AgeMs: uint32(u.Age.Milliseconds()), More: u.More, Restored: uint64(u.Restored)}
+	out := &wirepb.StoreUpdate{From: uint64(u.From), To: uint64(u.To), AgeMs: uint32(u.Age.Milliseconds()), More: u.Truncated, Restored: uint64(u.Restored)}
 	for _, c := range u.Changes {
-		out.Changes = append(out.Changes, &wirepb.StoreChange{Key: c.Key, Value: c.Value, Revision: uint64(c.Revision), Gone: c.Gone})
+		out.Changes = append(out.Changes, &wirepb.StoreChange{Key: c.Key, Value: c.Value, Revision: uint64(c.Revision), Gone: c.Removed})
 	}
 	for _, d := range u.Deltas {
 		out.Deltas = append(out.Deltas, &wirepb.StoreDelta{Key: d.Key, Revision: uint64(d.Revision), Base: uint64(d.Base), Delta: d.Bytes})
@@ -217,9 +217,9 @@
 }
 
 func decodeStoreUpdate(u *wirepb.StoreUpdate) relay.Update {
-	out := relay.Update{From: store.Revision(u.From), To: store.Revision(u.To), Age: time.Duration(u.AgeMs) * time.Millisecond, More: u.More, Restored: store.Revision(u.Restored)}
+	out := relay.Update{From: store.Revision(u.From), To: store.Revision(u.To), Age: time.Duration(u.AgeMs) * time.Millisecond, Truncated: u.More, Restored: store.Revision(u.Restored)}
 	for _, c := range u.Changes {
-		out.Changes = append(out.Changes, store.Event{Item: store.Item{Key: c.Key, Value: c.Value, Revision: store.Revision(c.Revision)}, Gone: c.Gone})
+		out.Changes = append(out.Changes, store.Event{Item: store.Item{Key: c.Key, Value: c.Value, Revision: store.Revision(c.Revision)}, Removed: c.Gone})
 	}
 	for _, d := range u.Deltas {
 		out.Deltas = append(out.Deltas, relay.Delta{Key: d.Key, Revision: store.Revision(d.Revision), Base: store.Revision(d.Base), Bytes: d.Delta})
--- a/pkg/process/feed.go
+++ b/pkg/process/feed.go
@@ -128,7 +128,7 @@
 // batchWindow returns how long to wait now for further changes of the store.
 func (f *feed) batchWindow() time.Duration {
 	now := time.Now()
-	if !f.exchange.Relay(now) || f.ingress.Idle(now, idleThreshold) {
+	if !f.exchange.IsRelay(now) || f.ingress.Idle(now, idleThreshold) {
 		return f.pace.Scale(gatewayBatchWindow)
 	}
 	return f.pace.Scale(relayBatchWindow)
@@ -138,7 +138,7 @@
 // and one for the runners, which halves the calls. The few other keys rarely change.
 func (f *feed) follower(s store.Store) *store.Follower {
 	return &store.Follower{
-		Store: s, Gather: f.batchWindow, Relayed: f.relayed, Forgotten: f.forgotten, Reset: f.reset, Apply: f.apply, Confirmed: f.history.Confirm,
+		Store: s, BatchDelay: f.batchWindow, Relayed: f.relayed, CatchUp: f.forgotten, Reset: f.reset, Apply: f.apply, Confirmed: f.history.Confirm,
 		Rejected: func(err *store.ErrOld) {
 			f.log.Write(decisionlog.KindFailed, "store_reading_refused", decisionlog.F("have", err.Have), decisionlog.F("got", err.Got))
 		},
@@ -220,8 +220,8 @@
 	for _, i := range items {
 		f.applyStageChange(i)
 	}
-	f.ingress.Directory.Keep(names, time.Now())
-	for _, domain := range f.ingress.Directory.KeepEvacuated(evacuated, time.Now()) {
+	f.ingress.Directory.SyncRunners(names, time.Now())
+	for _, domain := range f.ingress.Directory.SyncEvacuated(evacuated, time.Now()) {
 		f.logEvacuation(domain, false, at)
 	}
 	f.onOrderLock(free)
@@ -270,28 +270,28 @@
 // applyEvent applies one change.
 func (f *feed) applyEvent(e store.Event, at store.Revision) {
 	if e.Key == orderKey {
-		f.onOrderLock(e.Gone)
+		f.onOrderLock(e.Removed)
 		return
 	}
-	if id, ok := strings.CutPrefix(e.Key, changePrefix); ok && e.Gone {
+	if id, ok := strings.CutPrefix(e.Key, changePrefix); ok && e.Removed {
 		f.ingress.EndStageChange(id)
 		return
 	}
-	if d, ok := parseQuarantineKey(e.Key); ok && e.Gone {
+	if d, ok := parseQuarantineKey(e.Key); ok && e.Removed {
 		f.ingress.EndQuarantine(d)
 		return
 	}
-	if name, ok := platform.RunnerName(e.Key); ok && e.Gone {
-		f.ingress.Directory.Gone(name, time.Now())
+	if name, ok := platform.RunnerName(e.Key); ok && e.Removed {
+		f.ingress.Directory.Remove(name, time.Now())
 		return
 	}
-	if domain, ok := platform.EvacuatedDomain(e.Key); ok && e.Gone {
+	if domain, ok := platform.EvacuatedDomain(e.Key); ok && e.Removed {
 		if f.ingress.Directory.Restore(domain, time.Now()) {
 			f.logEvacuation(domain, false, at)
 		}
 		return
 	}
-	if !e.Gone {
+	if !e.Removed {
 		f.applyItem(e.Item, at)
 		f.applyStageChange(e.Item)
 	}
@@ -319,7 +319,7 @@
 // applyStageChange applies a stage change in progress. Its engine must already be in the directory.
 func (f *feed) applyStageChange(i store.Item) {
 	if id, ok := strings.CutPrefix(i.Key, changePrefix); ok {
-		f.ingress.ReceiveStageChanges([]runners.StageChange{{Runner: id, To: runners.Stage(i.Value), Left: maxStageChange}})
+		f.ingress.ReceiveStageChanges([]runners.StageChange{{Runner: id, To: runners.Stage(i.Value), Remaining: maxStageChange}})
 	}
 }
 
@@ -334,7 +334,7 @@
 		f.log.Write(decisionlog.KindFailed, "config_refused", decisionlog.F("revision", i.Revision), decisionlog.F("error", err))
 		return
 	}
-	used := f.ingress.Use(table)
+	used := f.ingress.SetTable(table)
 	if used {
 		f.inForce.Store(&i)
 	}
@@ -349,7 +349,7 @@
 	if err != nil {
 		f.log.Write(decisionlog.KindFailed, "runner_refused", decisionlog.F("key", i.Key), decisionlog.F("error", err))
 		if name, ok := platform.RunnerName(i.Key); ok {
-			f.ingress.Directory.Gone(name, time.Now())
+			f.ingress.Directory.Remove(name, time.Now())
 		}
 		return
 	}
--- a/pkg/process/ingress.go
+++ b/pkg/process/ingress.go
@@ -98,20 +98,20 @@
 	memory := int64(c.Limits.MemoryMB) << 20
 	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(memory)))
 	log := decisionlog.New(c.Instance.Name, out)
-	client := upstream.New(upstream.Options{ConnectTimeout: connectTimeout, Idle: idleConnTimeout, MaxIdle: maxIdleConns, Opened: countOpened})
+	client := upstream.New(upstream.Options{ConnectTimeout: connectTimeout, DefaultKeepAlive: idleConnTimeout, MaxIdle: maxIdleConns, OnConnect: countOpened})
 	calls := &platform.Runners{Client: client}
 	p := &Ingress{log: log, client: client, suspects: quarantine.New(jitter), stopped: make(chan struct{}), reannounce: make(chan struct{}, 1)}
 	p.settings.Store(c)
 	allowance := c.Workspaces.Quota
 	p.quota = quota.New(quota.Allowance{Window: allowance.Window.D(), Overshoot: allowance.Overshoot, Slack: allowance.Slack}, quota.DefaultShares())
 	p.Ingress = ingress.New(ingress.Options{
-		Name: c.Instance.Name, Domain: c.Instance.Domain, Regions: c.Regions, Engines: calls, Reader: calls, Log: log,
+		Name: c.Instance.Name, Domain: c.Instance.Domain, Regions: c.Regions, Runners: calls, Reader: calls, Log: log,
 		Budget:   budgetLimits(c),
-		Gateways: initialGateways, MaxOpen: c.Limits.OpenRequests, MaxHeld: int64(heldMemoryFraction * float64(memory)),
-		Pool: p.poolOptions(c), Revocation: p.revocation(c), Quota: p.quota, Suspicion: p.suspicion(), Neighbours: func() int { return p.peers.Neighbours() },
+		Gateways: initialGateways, MaxOpen: c.Limits.OpenRequests, MaxBuffered: int64(heldMemoryFraction * float64(memory)),
+		Pool: p.poolOptions(c), Revocation: p.revocation(c), Quota: p.quota, Suspicion: p.suspicion(), Neighbours: func() int { return p.peers.SameDomainCount() },
 	})
 	p.Ingress.Directory.ColdShare = p.coldShare
-	p.Ingress.Directory.Limits.Counted = func() { p.peers.Notify() }
+	p.Ingress.Directory.Limits.ReportsPending = func() { p.peers.Notify() }
 	p.feed = newFeed(p.Ingress, log, openStore(c.Store, log), c.Store, relay.PaceFor(c.Changes.Bound(c.Workspaces)))
 	if err := p.openPeers(); err != nil {
 		return nil, err
@@ -128,7 +128,7 @@
 		p.rewriteStoreEntries()
 		stager.restored.Store(true)
 	}
-	p.feed.exchange, p.feed.onGateway, p.feed.onRunnerRestart = p.peers, p.addPeer, client.Forget
+	p.feed.exchange, p.feed.onGateway, p.feed.onRunnerRestart = p.peers, p.addPeer, client.CloseIdle
 	p.done.Go(func() { p.feed.run(ctx) })
 	p.done.Go(func() { p.Ingress.Run(ctx) })
 	p.done.Go(func() { p.peers.Run(ctx) })
@@ -156,7 +156,7 @@
 	o.Domain = c.Instance.Domain
 	o.Uses = func(runner string) bool { return p.peers.Uses(runner) }
 	o.Changed = func() { p.peers.Notify() }
-	o.Connected = p.client.Connected
+	o.Connected = p.client.HasIdle
 	return o
 }
 
@@ -233,9 +233,9 @@
 			return
 		case now := <-tick.C:
 			p.client.Sweep(now)
-			gateways := max(p.peers.Known()+1, minGateways)
+			gateways := max(p.peers.MemberCount()+1, minGateways)
 			p.Ingress.Gateways(gateways)
-			p.client.Limit(p.idleConnShare(gateways))
+			p.client.SetMaxIdle(p.idleConnShare(gateways))
 		}
 	}
 }
--- a/pkg/process/order.go
+++ b/pkg/process/order.go
@@ -55,7 +55,7 @@
 func (s *stager) announcement(changes []staging.Change) []runners.StageChange {
 	out := make([]runners.StageChange, 0, len(changes))
 	for _, c := range changes {
-		out = append(out, runners.StageChange{Runner: c.Runner.ID, To: c.Stage, Left: s.changeLimit(c.Runner.Service)})
+		out = append(out, runners.StageChange{Runner: c.Runner.ID, To: c.Stage, Remaining: s.changeLimit(c.Runner.Service)})
 	}
 	return out
 }
@@ -81,7 +81,7 @@
 // sendOrder sends one order and records the result in the engine's state: accepted, refused or unknown.
 func (s *stager) sendOrder(ctx context.Context, c staging.Change, fence store.Revision, sequence int) error {
 	c.Runner.BeginStageChange(c.Stage, s.changeLimit(c.Runner.Service), time.Now())
-	c.Runner.Called("", time.Now())
+	c.Runner.CallSent("", time.Now())
 	err := s.calls.Restage(ctx, c.Runner, platform.StageOrder{Stage: c.Stage, Holder: s.lock.Holder, Fence: uint64(fence), Sequence: sequence})
 	var declined *ingress.ErrDeclined
 	switch {
@@ -100,7 +100,7 @@
 func (s *stager) order(ctx context.Context, c staging.Change, fence store.Revision) {
 	call, cancel := context.WithTimeout(ctx, orderCallTimeout)
 	defer cancel()
-	c.Runner.Called("", time.Now())
+	c.Runner.CallSent("", time.Now())
 	sequence, err := s.calls.Sequence(call, c.Runner)
 	if err == nil {
 		err = s.sendOrder(call, c, fence, sequence)
--- a/pkg/process/relay_test.go
+++ b/pkg/process/relay_test.go
@@ -30,18 +30,18 @@
 type fixture struct {
 	*feed
 	isRelay      bool
-	coverage     peers.Coverage
+	coverage     peers.Freshness
 	others       int
 	forwarded    int
 	gatewaysSeen []string
 	restores     int
 }
 
-func (f *fixture) Relay(time.Time) bool              { return f.isRelay }
-func (f *fixture) Coverage(time.Time) peers.Coverage { return f.coverage }
-func (f *fixture) Known() int                        { return f.others }
-func (f *fixture) StoreAnswers(time.Time)            {}
-func (f *fixture) SendStoreUpdates(time.Time)        { f.forwarded++ }
+func (f *fixture) IsRelay(time.Time) bool              { return f.isRelay }
+func (f *fixture) Freshness(time.Time) peers.Freshness { return f.coverage }
+func (f *fixture) MemberCount() int                    { return f.others }
+func (f *fixture) RecordStoreResponse(time.Time)       {}
+func (f *fixture) SendStoreUpdates(time.Time)          { f.forwarded++ }
 
 func newFixture(t *testing.T, at store.Revision, items ...store.Item) *fixture {
 	log := decisionlog.New("test", io.Discard)
@@ -93,7 +93,7 @@
 	g.Expect(f.Receive(update(10, 13, store.Event{Item: entry("e1", "decode", 12)}, store.Event{Item: entry("e2", "decode", 13)}))).To(BeTrue())
 	g.Expect(f.stage("e1")).To(Equal(runners.Decode))
 	g.Expect(f.present("e2")).To(BeTrue())
-	g.Expect(f.Receive(update(13, 14, store.Event{Item: store.Item{Key: standin.RunnerKey("e2"), Revision: 14}, Gone: true}))).To(BeTrue())
+	g.Expect(f.Receive(update(13, 14, store.Event{Item: store.Item{Key: standin.RunnerKey("e2"), Revision: 14}, Removed: true}))).To(BeTrue())
 	g.Expect(f.present("e2")).To(BeFalse())
 	g.Expect(f.Reached()).To(Equal(store.Revision(14)), "the next watch continues from there")
 	g.Expect(f.forwarded).To(Equal(2), "to the subscribers of this gateway")
@@ -133,7 +133,7 @@
 func TestLateRelayUpdateDoesNotRestoreRemovedRunner(t *testing.T) {
 	g := NewWithT(t)
 	f := newFixture(t, 10, entry("e1", "decode", 5))
-	f.apply([]store.Event{{Item: store.Item{Key: standin.RunnerKey("e1"), Revision: 12}, Gone: true}}, 12)
+	f.apply([]store.Event{{Item: store.Item{Key: standin.RunnerKey("e1"), Revision: 12}, Removed: true}}, 12)
 	f.Receive(update(10, 11, store.Event{Item: entry("e1", "decode", 11)}))
 	g.Expect(f.present("e1")).To(BeFalse())
 }
@@ -169,7 +169,7 @@
 	f := newFixture(t, 10)
 	_, before := f.history.Reached()
 	time.Sleep(time.Millisecond)
-	g.Expect(f.Receive(relay.Update{From: 10, To: 11, More: true})).To(BeTrue())
+	g.Expect(f.Receive(relay.Update{From: 10, To: 11, Truncated: true})).To(BeTrue())
 	at, after := f.history.Reached()
 	g.Expect(at).To(Equal(store.Revision(11)))
 	g.Expect(after).To(Equal(before))
@@ -187,7 +187,7 @@
 	f.onOrderLock = func(isFree bool) { free = append(free, isFree) }
 	f.loadPeerState(sharedState{At: 10, Items: []store.Item{entry("e1", "prefill", 5), {Key: orderKey, Value: []byte("g"), Revision: 7}}})
 	g.Expect(f.Receive(update(10, 12, store.Event{Item: entry("e1", "decode", 11)},
-		store.Event{Item: store.Item{Key: orderKey, Revision: 12}, Gone: true}))).To(BeTrue())
+		store.Event{Item: store.Item{Key: orderKey, Revision: 12}, Removed: true}))).To(BeTrue())
 	g.Expect(f.stage("e1")).To(Equal(runners.Decode))
 	g.Expect(free).To(Equal([]bool{false, true}))
 	at, _ := f.relayed(t.Context())
@@ -225,7 +225,7 @@
 		f := newFixture(t, 10)
 		f.coverage.FreshUntil = time.Now().Add(time.Hour)
 		time.Sleep(delayAfterFirstRead)
-		time.AfterFunc(100*time.Millisecond, f.Subscribed)
+		time.AfterFunc(100*time.Millisecond, f.OnFirstSubscriber)
 		g.Expect(f.timeToNextWatch(t)).To(Equal(100 * time.Millisecond))
 	})
 }
@@ -237,7 +237,7 @@
 		f := newFixture(t, 10)
 		f.coverage.FreshUntil = time.Now().Add(time.Hour)
 		time.Sleep(delayAfterFirstRead)
-		time.AfterFunc(100*time.Millisecond, func() { f.Receive(relay.Update{From: 10, To: 11, More: true}) })
+		time.AfterFunc(100*time.Millisecond, func() { f.Receive(relay.Update{From: 10, To: 11, Truncated: true}) })
 		g.Expect(f.timeToNextWatch(t)).To(Equal(100 * time.Millisecond))
 	})
 }
@@ -249,10 +249,10 @@
 		f := newFixture(t, 10)
 		f.storeCopy.setReachable(false)
 		time.Sleep(delayAfterFirstRead)
-		f.coverage = peers.Coverage{FreshUntil: time.Now().Add(-time.Second), Answering: true}
+		f.coverage = peers.Freshness{FreshUntil: time.Now().Add(-time.Second), RelayResponding: true}
 		g.Expect(f.timeToNextWatch(t)).To(BeZero())
 		g.Expect(f.timeToNextWatch(t)).To(And(BeNumerically(">=", outageRetryDelay/2), BeNumerically("<=", 2*outageRetryDelay)))
-		f.coverage.Answering = false
+		f.coverage.RelayResponding = false
 		g.Expect(f.timeToNextWatch(t)).To(BeZero(), "no relay will report that the store responds again")
 	})
 }
@@ -267,7 +267,7 @@
 	g.Expect(f.forwarded).To(Equal(forwardedBefore + 1))
 	updates := f.Since(11, allEncodings, time.Now())
 	g.Expect(updates).To(HaveLen(1))
-	g.Expect(updates[0].More).To(BeFalse(), "a subscriber need not read the store")
+	g.Expect(updates[0].Truncated).To(BeFalse(), "a subscriber need not read the store")
 	g.Expect(updates[0].To).To(Equal(store.Revision(20)))
 
 	other := newFixture(t, 11, entry("e1", "prefill", 5), entry("e2", "decode", 6), entry("e3", "decode", 7))
@@ -346,7 +346,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newFixture(t, 10, entry("e1", "prefill", 5))
-		f.coverage.Answering = true
+		f.coverage.RelayResponding = true
 		go func() {
 			time.Sleep(pace.WatchWait / 2)
 			f.Receive(update(10, 20, store.Event{Item: entry("e1", "decode", 15)}))
@@ -361,7 +361,7 @@
 		f.isRelay = true
 		began = time.Now()
 		g.Expect(f.forgotten(t.Context(), 20)).To(BeZero())
-		f.isRelay, f.coverage.Answering = false, false
+		f.isRelay, f.coverage.RelayResponding = false, false
 		g.Expect(f.forgotten(t.Context(), 20)).To(BeZero())
 		g.Expect(time.Since(began)).To(BeZero(), "relays, and gateways without relays, read at once")
 	})
--- a/pkg/process/stager.go
+++ b/pkg/process/stager.go
@@ -99,7 +99,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			s.lock.Yield(ctx)
+			s.lock.Release(ctx)
 			return
 		case now := <-tick.C:
 			s.step(ctx, now)
@@ -212,7 +212,7 @@
 	longest := time.Duration(0)
 	for _, service := range s.ingress.Table().Config.Services {
 		if service.Engine != nil {
-			longest = max(longest, service.Engine.Restage)
+			longest = max(longest, service.Engine.StageChangeTime)
 		}
 	}
 	return longest
@@ -254,8 +254,8 @@
 		Admits: func(r *runners.State) bool { return r.Admits(notice.Work, now) == nil },
 	}
 	if pool := s.ingress.Pools()[service]; pool != nil {
-		out.Learned, _ = pool.PrefillShare()
-		out.Load = func(r *runners.State) float64 { return pool.Load(r.ID, now) }
+		out.LearnedShare, _ = pool.PrefillShare()
+		out.Load = func(r *runners.State) float64 { return pool.RemainingWork(r.ID, now) }
 	}
 	return out
 }
@@ -290,7 +290,7 @@
 		return true
 	}
 	status := pool.Status(now)
-	return status.Reserved == 0 && status.Reading == 0 && status.Waiting == 0
+	return status.Reserved == 0 && status.PrefillTokens == 0 && status.Waiting == 0
 }
 
 // settled reports whether the number of engines has been unchanged for settleTime.
--- a/pkg/progress/progress.go
+++ b/pkg/progress/progress.go
@@ -24,8 +24,8 @@
 // context.DeadlineExceeded, as after a timeout.
 func (s idleContext) Err() error { return context.Cause(s.Context) }
 
-// Bound returns a context that ends with context.DeadlineExceeded if Note is not called for the limit.
-func Bound(ctx context.Context, limit time.Duration) (context.Context, context.CancelFunc) {
+// WithIdleTimeout returns a context that ends with context.DeadlineExceeded if Note is not called for the limit.
+func WithIdleTimeout(ctx context.Context, limit time.Duration) (context.Context, context.CancelFunc) {
 	inner, cancel := context.WithCancelCause(ctx)
 	timer := time.AfterFunc(limit, func() { cancel(context.DeadlineExceeded) })
 	restart := func() {
@@ -41,7 +41,7 @@
 }
 
 // Note records that a part of a call's response arrived. It does nothing if ctx does not derive from
-// Bound.
+// WithIdleTimeout.
 func Note(ctx context.Context) {
 	if restart, ok := ctx.Value(restartKey{}).(func()); ok {
 		restart()
--- a/pkg/relay/history.go
+++ b/pkg/relay/history.go
@@ -154,14 +154,14 @@
 }
 
 // Since returns the updates, at least one, that bring a gateway from a revision to the one reached.
-// Each fits a datagram; a change that is too large is left out with all later ones, and More is
+// Each fits a datagram; a change that is too large is left out with all later ones, and Truncated is
 // set. Large values are sent as deltas if encodings.Deltas is set.
 func (h *History) Since(at store.Revision, encodings Encodings, now time.Time) []Update {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	age := max(0, now.Sub(h.freshAt))
 	if !h.canResume(at, encodings) {
-		return []Update{{From: at, To: at, Age: age, More: true}}
+		return []Update{{From: at, To: at, Age: age, Truncated: true}}
 	}
 	out := []Update{{From: min(at, h.reached), Age: age, Restored: h.restoredAfter(at)}}
 	bytes := 0
@@ -171,7 +171,7 @@
 		n := part.Bytes()
 		if n > maxUpdateBytes {
 			last := &out[len(out)-1]
-			last.To, last.More = previousRevision(h.changes[i].Revision, at), true
+			last.To, last.Truncated = previousRevision(h.changes[i].Revision, at), true
 			return out
 		}
 		if bytes += n; bytes > maxUpdateBytes {
--- a/pkg/runners/room.go
+++ b/pkg/runners/room.go
@@ -41,7 +41,7 @@
 }
 
 // Limit returns the rate limit that the runner reported, false for none.
-func (s *State) Limit(now time.Time) (runnerlimit.Status, bool) { return s.limits.Of(s.ID, now) }
+func (s *State) Limit(now time.Time) (runnerlimit.Status, bool) { return s.limits.Status(s.ID, now) }
 
 // RoomAfter returns the time until a runner that reported a rate limit, or is in the slow start
 // after a pause, takes one more request; 0 is now. The wait for a cold runner is not included.
@@ -73,9 +73,9 @@
 	s.limits.Sent(s.ID, request, now)
 }
 
-// Called records a call to the runner now that does not send the request itself, such as a
+// CallSent records a call to the runner now that does not send the request itself, such as a
 // reservation, with the ID of the request that it belongs to, if any.
-func (s *State) Called(request string, now time.Time) { s.limits.Sent(s.ID, request, now) }
+func (s *State) CallSent(request string, now time.Time) { s.limits.Sent(s.ID, request, now) }
 
 // Release releases the room that was claimed for a request that is not sent.
 func (s *State) Release(request string) {
