--- a/pkg/admission/errors.go
+++ b/pkg/admission/errors.go
@@ -8,7 +8,8 @@
 // ErrLate reports that a prefill would miss its deadline.
 type ErrLate struct {
 	ID string
-	// RetryAfter is the time by which the prefill would miss its deadline.
+	// RetryAfter is how late the first late prefill would be. The client may
+	// retry after it.
 	RetryAfter time.Duration
 }
 
@@ -22,7 +23,7 @@
 	ID string
 	// RetryAfter is the estimated time until the first running stream ends.
 	RetryAfter time.Duration
-	// Never is set for a stream that needs more memory than the engine has.
+	// If Never is true, the stream needs more memory than the engine has.
 	Never bool
 }
 
--- a/pkg/admission/ledger.go
+++ b/pkg/admission/ledger.go
@@ -22,8 +22,8 @@
 }
 
 // Ledger records the memory and the batch slots of one decode engine. A
-// reservation counts from the time at which the stream's KV cache will have
-// been computed, so a slot that becomes free before then need not stay unused.
+// reservation takes its slot and memory only from the estimated time at which
+// the stream's KV cache is ready, so until then other streams can use them.
 type Ledger struct {
 	// Bytes and Batch are the engine's limits: KV cache memory, and streams in
 	// a batch.
@@ -40,9 +40,9 @@
 	return &Ledger{Bytes: bytes, Batch: batch, streams: map[string]*Stream{}}
 }
 
-// Reserve records a stream whose KV cache will be ready after need and whose
-// start may be delayed by slack beyond that. It returns the expected delay, or
-// *ErrFull when the engine will have no room in time.
+// Reserve records a stream whose KV cache will be ready after the duration need
+// and whose start may be delayed beyond that by up to slack. It returns the
+// expected delay, or *ErrFull when the engine will have no room in time.
 func (l *Ledger) Reserve(now time.Time, need, slack time.Duration, s Stream) (time.Duration, error) {
 	if s.Bytes > l.Bytes {
 		return 0, &ErrFull{ID: s.ID, Never: true}
@@ -74,7 +74,7 @@
 }
 
 // Add records a stream without checking whether it fits. Start refuses the
-// stream until it does.
+// stream until it fits.
 func (l *Ledger) Add(s Stream) { l.streams[s.ID] = &s }
 
 // fits reports whether a stream that starts at a given time has room until its
@@ -94,8 +94,8 @@
 }
 
 // roomAt reports whether a stream fits beside the streams that will be running
-// at a given time. An empty engine takes any stream: if the engine is too slow,
-// only that stream suffers.
+// at a given time. The per-token target is not checked for a stream that runs
+// alone: if the engine is too slow, only that stream is slow.
 func (l *Ledger) roomAt(now, at time.Time, s *Stream) bool {
 	batch, bytes, target := 1, s.Bytes, s.PerToken
 	for _, x := range l.streams {
@@ -126,7 +126,8 @@
 }
 
 // Left returns the maximum time until a running stream ends, 0 if the stream is
-// unknown or has not started.
+// unknown or has not started (Duration also covers streams that have not
+// started).
 func (l *Ledger) Left(id string) time.Duration {
 	s, ok := l.streams[id]
 	if !ok || !s.started {
@@ -135,8 +136,8 @@
 	return l.duration(s)
 }
 
-// Duration returns the maximum time that a stream takes once it runs, 0 if the
-// stream is unknown.
+// Duration returns the maximum time for a stream's remaining tokens, whether or
+// not it has started, 0 if the stream is unknown.
 func (l *Ledger) Duration(id string) time.Duration {
 	s, ok := l.streams[id]
 	if !ok {
--- a/pkg/admission/ledger_test.go
+++ b/pkg/admission/ledger_test.go
@@ -25,7 +25,7 @@
 		_, err = l.Reserve(start, 0, 0, Stream{ID: "check", Bytes: 20, Tokens: 5})
 		Expect(err).NotTo(HaveOccurred())
 		_, err = l.Reserve(start, 0, 0, Stream{ID: "long", Bytes: 20, Tokens: 1000})
-		Expect(err).To(HaveOccurred(), "the stream would still run when the survey starts")
+		Expect(err).To(HaveOccurred(), "the stream would still run when the large reservation starts")
 	})
 	It("lets a stream wait for another one to end within its slack", func() {
 		l := newLedger(100, 1)
@@ -100,8 +100,8 @@
 }
 
 var _ = Describe("the estimates of an engine's speed", func() {
-	// Guards against a sidecar that was suspended for seconds, took the gap for
-	// the time of a decode step and refused every stream from then on.
+	// A sidecar that had been suspended for seconds used the gap as the time of
+	// a decode step and refused every later stream.
 	It("ignore the time for which the process was suspended", func() {
 		s := NewStep(20*time.Millisecond, time.Millisecond)
 		for range 50 {
--- a/pkg/admission/queue.go
+++ b/pkg/admission/queue.go
@@ -1,7 +1,6 @@
 // Package admission implements the admission control of a sidecar: which
 // prefills can still meet their deadlines, and which streams fit the engine's
-// memory and batch. It is the only place through which every order for a runner
-// passes. The current time is passed in as an argument.
+// memory and batch. The current time is passed in as an argument.
 package admission
 
 import (
@@ -23,21 +22,22 @@
 	Priority int
 	// Workspace is the workspace that the request belongs to.
 	Workspace string
-	// Paid marks the repetition of work that was lost: such a job is always
-	// admitted and never displaced.
+	// Paid marks a request on which work was already done, also if that work is
+	// repeated because it was lost: such a job is always admitted and never
+	// displaced.
 	Paid bool
 
 	runningSince time.Time
 	running      bool
-	// spent is the estimated engine time that the job has had.
+	// spent is the estimated engine time that was attributed to the job (see
+	// advance).
 	spent time.Duration
 
 	relaxed bool
 	// stuck is set while the engine has no memory for the running job.
 	stuck bool
-	// headroom is how long before its deadline a job must be estimated to
-	// finish when it is admitted, since urgent jobs that arrive later will run
-	// before it.
+	// headroom is the margin before the deadline that admission requires, for
+	// urgent jobs that arrive later and run first.
 	headroom time.Duration
 	// shared is set once another job was on the engine at the same time.
 	shared bool
@@ -71,8 +71,10 @@
 // that it displaced. It fails with *ErrLate when the job or one already
 // admitted would miss its deadline.
 //
-// The displaced job is the longest of those that have not started and would
-// make another job late. This is the rule of Moore and Hodgson (1968), which
+// Jobs are displaced one at a time, up to maxDisplaced. The next one is the
+// longest of those that have not started and contribute to making a job late.
+// It must be longer than the new job by displaceFactor; both lengths are
+// weighted by shareFactors. This is the rule of Moore and Hodgson (1968), which
 // minimizes the number of late jobs on one machine. A displaced job may find
 // room on another runner.
 func (q *Queue) Admit(now time.Time, j Job) (wait time.Duration, displaced []string, err error) {
@@ -126,7 +128,7 @@
 
 // pickDisplaced returns the index of the longest job that a new one may
 // displace, or -1. The jobs of a workspace that has more than its fair share of
-// the queue count as longer by that factor.
+// the queue count as longer by the factor from shareFactors.
 func (q *Queue) pickDisplaced(jobs []*Job, newJob *Job) int {
 	factors := q.shareFactors(newJob)
 	minWeight := displaceFactor * float64(newJob.Tokens) * factors[newJob.Workspace]
@@ -142,8 +144,8 @@
 	return best
 }
 
-// shareFactors returns for each workspace how many times its fair share of the
-// queued work it has, at least 1. The new job is included.
+// shareFactors returns for each workspace the ratio of its queued work to its
+// fair share, at least 1. The new job is included.
 func (q *Queue) shareFactors(newJob *Job) map[string]float64 {
 	work := map[string]float64{newJob.Workspace: float64(newJob.Tokens)}
 	total := float64(newJob.Tokens)
@@ -189,8 +191,8 @@
 }
 
 // advance attributes the engine time since the last call to the most urgent
-// running job, as an engine that honours priorities spends it, and what that
-// job did not need to the next one.
+// running job, and what that job did not need to the next most urgent one. An
+// engine that honours priorities spends its time in this order.
 func (q *Queue) advance(now time.Time) {
 	left := now.Sub(q.last)
 	q.last = now
@@ -211,7 +213,7 @@
 // Next marks the job that should go to the engine now as running and returns
 // it, nil for none. While the engine is busy, a job goes to it only if it is
 // more urgent than all running jobs, since the engine honours priorities. Stuck
-// jobs block no others.
+// jobs don't count as running.
 func (q *Queue) Next(now time.Time) *Job {
 	q.advance(now)
 	i := slices.IndexFunc(q.jobs, func(j *Job) bool { return !j.stuck })
@@ -261,8 +263,9 @@
 	return true
 }
 
-// Deadline returns the deadline by which a job is ordered. It is later than the
-// job's own deadline if that could never be met.
+// Deadline returns the scheduling deadline of a job, by which the queue is
+// ordered. It is later than the deadline passed to Admit if that could never be
+// met.
 func (q *Queue) Deadline(id string) time.Time {
 	for _, j := range q.jobs {
 		if j.ID == id {
@@ -286,8 +289,8 @@
 // Len returns the number of queued and running jobs.
 func (q *Queue) Len() int { return len(q.jobs) }
 
-// Tokens returns the remaining work in tokens that a new job finds: of all
-// jobs, and of the jobs whose deadline is within soon.
+// Tokens returns the remaining work of the queue in tokens: of all jobs, and of
+// the jobs due within the duration soon.
 func (q *Queue) Tokens(now time.Time, soon time.Duration) (all, urgent int) {
 	q.advance(now)
 	for _, j := range q.jobs {
--- a/pkg/admission/speed.go
+++ b/pkg/admission/speed.go
@@ -13,7 +13,7 @@
 	rate float64
 }
 
-// NewSpeed starts from a rate in tokens per second.
+// NewSpeed returns an estimator with an initial rate in tokens per second.
 func NewSpeed(rate float64) *Speed { return &Speed{rate: rate} }
 
 // Observe updates the rate from a prefill that had the engine to itself.
@@ -25,8 +25,8 @@
 }
 
 // outlierFactor is how many times slower than expected an observation may be. A
-// slower one was caused by a suspension of the process or of the machine and
-// says nothing about the engine.
+// slower one was caused by a suspension of the process or of the machine and is
+// no observation of the engine.
 const outlierFactor = 8
 
 // minObservedTokens is the size of the smallest prefill from which the rate can
--- a/pkg/admission/usage.go
+++ b/pkg/admission/usage.go
@@ -14,7 +14,7 @@
 	at  time.Time
 }
 
-// Add records engine time that is spent on the work.
+// Add records engine time for work that is admitted at now, before it runs.
 func (u *Usage) Add(now time.Time, work time.Duration) {
 	u.sum = u.decayed(now) + work
 	u.at = now
--- a/pkg/gateway/access.go
+++ b/pkg/gateway/access.go
@@ -11,8 +11,9 @@
 	"github.com/hopwell/hopwell/pkg/workspace"
 )
 
-// access admits requests by API key and workspace limit. Gateways with sidecars do not report the
-// spending of workspaces to each other, so each enforces an equal share of every limit.
+// access admits requests by API key and workspace limit. Gateways of this package, which use
+// sidecars, do not report the spending of workspaces to each other, so each enforces an equal share
+// of every limit.
 type access struct {
 	quota *quota.Ledger
 
@@ -23,7 +24,8 @@
 	err       error
 }
 
-// limitWindow is the time window over which limits are enforced. No overshoot is allowed.
+// limitWindow is the time window over which limits are enforced. Overshoot and Slack of the
+// allowance stay 0, so no spending beyond the limit is allowed.
 const limitWindow = 8 * time.Second
 
 func newAccess() *access {
@@ -64,8 +66,8 @@
 	return g.access.workspaces(g.Keeper.Document(), g.View(), g.Self.Name)
 }
 
-// Usage returns the recent spending of at most the given number of workspaces at this gateway.
-func (g *Gateway) Usage(most int) []quota.Status { return g.access.quota.Status(most, time.Now()) }
+// Usage returns the recent spending of at most limit workspaces at this gateway.
+func (g *Gateway) Usage(limit int) []quota.Status { return g.access.quota.Status(limit, time.Now()) }
 
 // charge deducts the request's maximum cost from the limit of its workspace. It fails with
 // *workspace.ErrWorkspace, *workspace.ErrCredential or *quota.ErrQuota.
--- a/pkg/gateway/attempt.go
+++ b/pkg/gateway/attempt.go
@@ -12,8 +12,8 @@
 	"github.com/hopwell/hopwell/pkg/wire/wirepb"
 )
 
-// attempt is the state of one attempt at a request. It has a decode branch and, until the KV cache is
-// imported, a prefill branch.
+// attempt is the state of one attempt at a request. It has a decode branch. Until the KV cache is
+// imported, run.source is the branch to the runner that holds it.
 type attempt struct {
 	*run
 	n      int
@@ -56,7 +56,7 @@
 	}
 }
 
-// tryReserve opens a decode branch on up to maxOpens runners, in the order of the policy.
+// tryReserve tries up to maxOpens runners, in the order of the policy, until one admits the decode.
 func (a *attempt) tryReserve(ctx context.Context) error {
 	var last error
 	for range maxOpens {
@@ -101,7 +101,8 @@
 	return err
 }
 
-// shedError returns the *ErrShed for a request for which no runner was found.
+// shedError returns the *ErrShed for a request for which no runner was found. err ended the search,
+// last is the failure of the last runner tried, or nil.
 func (r *run) shedError(err, last error) error {
 	reason := "no_runner"
 	var late *route.ErrLate
@@ -147,7 +148,7 @@
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // maxColocatedTokens is the longest prompt that a decode runner prefills itself. It is about the
-// number of tokens that the runner adds to one step of its streams.
+// number of prompt tokens that an engine computes within one decode step.
 const maxColocatedTokens = 512
 
 // prefill computes the KV cache on a prefill runner and keeps that runner as the source. If no
@@ -200,8 +201,8 @@
 	return a.decode.member
 }
 
-// tryPrefill runs the prefill on one runner. The request may have run from the time the order is
-// sent until the runner reports that it did not start.
+// tryPrefill runs the prefill on one runner. The Open is itself the order to run: once it is sent,
+// the request counts as possibly run, unless the runner reports that it did not start.
 func (a *attempt) tryPrefill(ctx context.Context, p *pairing) error {
 	if err := a.key.acquire(ctx); err != nil {
 		return err
@@ -235,7 +236,7 @@
 	return errors.As(err, &refused) || errors.As(err, &broken) && broken.Never
 }
 
-// withdrawIfNotRun undoes a Send if the runner certainly did not start the order. If the error
+// withdrawIfNotRun undoes life.Send if the runner certainly did not start the order. If the error
 // does not prove it and the branch is open, the sidecar is asked to fence the attempt.
 func (a *attempt) withdrawIfNotRun(err error, b *branch) {
 	// The runner can also refuse after admission, if it drops the job for another one.
@@ -244,8 +245,8 @@
 	}
 }
 
-// awaitExport waits until the prefill is done. If the reserved decode breaks in the meantime, the
-// prefill continues and another decode is reserved afterwards.
+// awaitExport waits until the prefill is done. If the branch of the reserved decode breaks in the
+// meantime, the prefill continues and another decode is reserved afterwards.
 func (a *attempt) awaitExport(ctx context.Context, b *branch) error {
 	var decodeBroken <-chan struct{}
 	if a.decode != nil {
--- a/pkg/gateway/branch.go
+++ b/pkg/gateway/branch.go
@@ -15,8 +15,8 @@
 
 // Timeouts and sizes of a branch.
 const (
-	// openTimeout limits connecting to a sidecar and the wait for its reply to an Open. It also
-	// limits calls to Fence and Probe.
+	// openTimeout limits connecting to a sidecar and the wait for its reply to an Open message. It
+	// also limits calls to Fence and Probe.
 	openTimeout = time.Second
 	// renewalsPerLease is the number of lease renewals per lease duration.
 	renewalsPerLease = 2.5
@@ -108,7 +108,8 @@
 	return b, nil
 }
 
-// addedLoad returns the load that the attempt adds to the runner until the runner's next report.
+// addedLoad returns the load that the attempt adds to the runner until the runner's next load
+// report.
 func (b *branch) addedLoad(o *wirepb.Open) (tokens, streams int, bytes float64) {
 	if b.role == fleet.RolePrefill {
 		return int(o.PromptTokens), 0, 0
@@ -116,11 +117,11 @@
 	return 0, 1, float64(o.KvBytes)
 }
 
-// recordLost records that a runner is unreachable. The argument never is set if the attempt can't
-// have started there.
-func (b *branch) recordLost(err error, never bool) *ErrBroken {
+// recordLost records that a runner is unreachable. neverStarted is true if the attempt certainly
+// did not start there.
+func (b *branch) recordLost(err error, neverStarted bool) *ErrBroken {
 	b.runner.Failed(time.Now(), b.g.Jitter())
-	return &ErrBroken{Instance: b.member.Name, Code: "lost", Never: never, Err: err}
+	return &ErrBroken{Instance: b.member.Name, Code: "lost", Never: neverStarted, Err: err}
 }
 
 // handleOpenReply handles the reply to the Open.
@@ -153,8 +154,9 @@
 	return b.stream.Send(o)
 }
 
-// receive forwards reports until the stream ends. It closes the reports channel last, so that a
-// reader gets every report before it sees the end of the stream.
+// receive forwards reports until the stream ends. It closes the reports channel after the broken
+// channel, and only after the last report was queued, so that a reader of reports receives every
+// report before the end of the stream.
 func (b *branch) receive() {
 	defer close(b.reports)
 	defer close(b.broken)
@@ -229,8 +231,9 @@
 	return err
 }
 
-// close shuts the branch down in the background, in an orderly way: the runner releases the
-// request's resources, and the connection can be reused.
+// close shuts the branch down in the background: it sends a Cancel if the sidecar has not finished,
+// waits up to closeTimeout for the stream to end, and then cancels the stream. The runner thus
+// releases the request's resources, and the connection can be reused.
 func (b *branch) close() {
 	b.once.Do(func() {
 		close(b.quit)
@@ -253,7 +256,7 @@
 	}
 	<-b.broken
 	if !errors.Is(b.err, io.EOF) {
-		b.g.log.Info("branch ended", "request", b.request, "instance", b.member.Name, "err", b.err)
+		b.g.log.Info("stream to sidecar ended", "request", b.request, "instance", b.member.Name, "err", b.err)
 	}
 }
 
@@ -271,7 +274,7 @@
 }
 
 // fence asks the sidecar to ensure that the attempt never starts, and reports whether that is
-// certain. A sidecar with another epoch has no record of the attempt.
+// certain. A sidecar with another epoch has no record of the attempt, so fence then returns false.
 func (b *branch) fence() bool {
 	ctx, cancel := context.WithTimeout(context.Background(), openTimeout)
 	defer cancel()
--- a/pkg/gateway/branch_test.go
+++ b/pkg/gateway/branch_test.go
@@ -40,8 +40,9 @@
 func (discardSink) Head(int, http.Header) {}
 func (discardSink) Body([]byte) error     { return nil }
 
-// The end of a stream must not overtake the reports before it. Under load this happened in one of
-// some hundred calls: the response was complete, but the client got the outcome "unknown".
+// The end of a stream must not overtake the reports before it. Under load this happened in about
+// one of several hundred calls: the response was complete, but the client got the outcome
+// "unknown".
 func TestRelayReadsAllReportsBeforeStreamEnd(t *testing.T) {
 	g := NewWithT(t)
 	n := node.New(node.Options{Self: platform.Instance{Name: "g"}, KV: fake.NewKV(), List: fake.NewList(), Dial: wire.TCP})
--- a/pkg/gateway/choose.go
+++ b/pkg/gateway/choose.go
@@ -19,7 +19,7 @@
 	// subsetSize is the maximum number of candidates per role and model at one gateway.
 	subsetSize = 64
 	// staleAfter is the age of the last confirmation of the configuration after which a gateway
-	// asks peers. Configurations are exchanged about once per second.
+	// asks peers to confirm it. Configurations are exchanged about once per second.
 	staleAfter = 4 * time.Second
 	// confirmPeers is the number of peers that it asks.
 	confirmPeers = 4
@@ -62,8 +62,8 @@
 }
 
 // states returns the states of the candidates. It sets Shunned for runners that refused or failed
-// this request. For runners that are backed off after recent failures it sets Shunned unless no
-// other candidate is left.
+// this request. If all candidates that did not refuse or fail it are backed off after recent
+// failures, it clears Shunned for them.
 func (g *Gateway) states(out []route.State, grants []fleet.Grant, r *run, now time.Time) []route.State {
 	usable := false
 	for _, x := range grants {
@@ -164,8 +164,8 @@
 	probeBatch    = 4
 )
 
-// probe asks the runners whose load is oldest for a new one. It asks only a few at a time, so
-// that the cost does not grow with the fleet.
+// probe asks the runners with the oldest load reports for a new report. It asks only a few at a
+// time, so that the cost does not grow with the fleet.
 func (g *Gateway) probe(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !sleep(ctx, g.jittered(probeInterval)) {
--- a/pkg/gateway/claims.go
+++ b/pkg/gateway/claims.go
@@ -18,7 +18,7 @@
 	claimTimeout = 3 * time.Second
 	// ownerTimeout limits the wait for the gateway that commits the claims of a shard.
 	ownerTimeout = 1200 * time.Millisecond
-	// releaseTimeout limits the retries to release a key that was not used.
+	// releaseTimeout limits the retries to release the key of a request that did not run.
 	releaseTimeout = 5 * time.Minute
 )
 
@@ -57,15 +57,15 @@
 }
 
 // claim claims the key for this request. It fails with *claim.ErrHeld if another request holds the
-// key, and with *ErrShed if the holder can't be determined now. In the latter case it also releases
-// the key, because the claim may have been committed.
+// key, and with *ErrShed if the holder can't be determined now. If claim fails with *ErrShed, it
+// also releases the key, because the claim may have been committed.
 func (c *keyClaim) claim(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	k := claim.NewKey(c.workspace, c.key)
 	holder, err := c.g.claimer(k).Claim(ctx, k, c.id)
 	if err != nil {
-		c.g.log.Info("claim not settled", "request", c.id, "err", err)
+		c.g.log.Info("claim undetermined", "request", c.id, "err", err)
 		c.releaseAsync()
 		return &ErrShed{Reason: "claim", RetryAfter: time.Second}
 	}
@@ -83,7 +83,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 		defer cancel()
 		if err := c.g.Claims.Release(ctx, k, c.id); err != nil {
-			c.g.log.Warn("key not given back", err, "request", c.id)
+			c.g.log.Warn("idempotency key not released", err, "request", c.id)
 		}
 	}()
 }
--- a/pkg/gateway/convert.go
+++ b/pkg/gateway/convert.go
@@ -21,7 +21,8 @@
 }
 
 // receiveLoad records the load that a sidecar reported. It ignores a report with an older epoch
-// than the newest known one. If the sidecar has a newer configuration, the gateway fetches it.
+// than the newest epoch that the gateway recorded for the instance. If the sidecar has a newer
+// configuration, the gateway fetches it.
 func (g *Gateway) receiveLoad(r *route.Runner, m *fleet.Member, l *wirepb.Load) {
 	now := time.Now()
 	if !g.Members.Seen(m.Name, l.Epoch, l.Leaving, now) {
--- a/pkg/gateway/errors.go
+++ b/pkg/gateway/errors.go
@@ -59,13 +59,14 @@
 	return fmt.Sprintf("refused: instance=%s reason=%s", e.Instance, e.Reason)
 }
 
-// ErrBroken reports that a stream with a sidecar ended early.
+// ErrBroken reports that an attempt failed at its sidecar, or that the stream to the sidecar broke
+// or carried no reports for too long.
 type ErrBroken struct {
 	Instance string
 	// Code is the sidecar's failure code, "lost" if the stream broke, or "silent" if the sidecar
-	// stopped sending.
+	// stopped sending reports.
 	Code string
-	// Never is set if the attempt certainly did not start.
+	// If Never is true, the attempt certainly did not start.
 	Never bool
 	Err   error
 }
--- a/pkg/gateway/explain.go
+++ b/pkg/gateway/explain.go
@@ -29,8 +29,8 @@
 
 // Chosen is one choice by the policy.
 type Chosen struct {
-	// Candidates is the number of candidate pairs. Weighed holds the best of them, the chosen one
-	// first, with the terms of the estimate in seconds.
+	// Candidates is the number of candidate pairs. Weighed holds the pairs with the lowest cost,
+	// the chosen one first, with the terms of the estimate in seconds.
 	Candidates int             `json:"candidates"`
 	Weighed    []route.Weighed `json:"weighed"`
 }
--- a/pkg/gateway/generate.go
+++ b/pkg/gateway/generate.go
@@ -21,7 +21,7 @@
 	maxAttempts = 5
 	// maxOpens limits the sidecars tried for one role of an attempt.
 	maxOpens = 4
-	// maxChunkGap is how long a decode that has started may send no report.
+	// maxChunkGap is the longest permitted time between reports of a decode that has started.
 	maxChunkGap = 1500 * time.Millisecond
 	// retryDelay is the base delay before another attempt. startedRetryDelay is the delay before
 	// runners are tried again for a request on which work has started.
@@ -46,7 +46,8 @@
 
 	// excluded holds the instances that refused or failed this request.
 	excluded map[string]bool
-	// source is the branch of the runner that holds the KV cache, while export is set.
+	// source is the branch to the runner that holds the KV cache, and export is that runner's
+	// description of the cache. Both are nil if no runner holds one.
 	source *branch
 	export *wirepb.Exported
 	// stalls counts the stalled transfers from source.
@@ -129,7 +130,8 @@
 	}
 }
 
-// mayRetry returns nil if another attempt is allowed after err, otherwise the request's error.
+// mayRetry returns nil if another attempt is allowed after err, otherwise the error with which the
+// request ends.
 func (r *run) mayRetry(err error) error {
 	var broken *ErrBroken
 	if !errors.As(err, &broken) {
@@ -143,8 +145,8 @@
 }
 
 // started reports whether work for the request was done or may have started. Such a request has
-// priority over new ones: giving it up would waste that work, or the client could no longer be told
-// that the request did not run.
+// priority over new ones: giving it up would waste that work or end the request with an unknown
+// outcome.
 func (r *run) started() bool { return len(r.computed) > 0 || r.life.MayHaveRun() }
 
 // runAttempt makes one attempt.
@@ -198,7 +200,8 @@
 	return nil
 }
 
-// result returns the result of the request and ends its life if err is set.
+// result returns the result of the request. If err is set, it first gives the request up, which
+// sets the outcome.
 func (r *run) result(err error) Result {
 	outcome := r.life.Outcome()
 	if err != nil {
@@ -236,9 +239,9 @@
 // seed returns the sampling seed, which is the same for all attempts of a request.
 func (r *run) seed() uint64 { return xxhash.Sum64String(r.req.ID) }
 
-// timeLeft returns the time until the next token is due. Before the first token, it is what remains
-// of targetFirst. Afterwards, it is what remains of targetPer times MaxTokens, if each of the
-// remaining tokens takes half of targetPer.
+// timeLeft returns the delay that the request can still absorb within its targets. Before the first
+// token, it is what remains of targetFirst. Afterwards, it is targetPer times MaxTokens, less the
+// time since the first token and half of targetPer for each remaining token.
 func (r *run) timeLeft() time.Duration {
 	if r.firstAt.IsZero() {
 		return r.targetFirst - time.Since(r.began)
--- a/pkg/gateway/limits.go
+++ b/pkg/gateway/limits.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// The retry budget: each request adds retriesPerRequest to it, up to maxSavedRetries. It keeps the
-// loss of a failure domain from causing a retry storm.
+// Constants of the retry budget. Each request adds retriesPerRequest to the balance, up to
+// maxSavedRetries. The budget keeps the loss of a failure domain from causing a retry storm.
 const (
 	retriesPerRequest = 0.2
 	maxSavedRetries   = 100
@@ -110,7 +110,7 @@
 
 func newRetryBudget() *retryBudget { return &retryBudget{balance: maxSavedRetries} }
 
-// earn adds the share of a new request to the budget.
+// earn adds retriesPerRequest to the budget for a new request.
 func (b *retryBudget) earn() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/pkg/gateway/metrics.go
+++ b/pkg/gateway/metrics.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// registerGauges registers the gauges. The gauge of open requests returns to 0 at rest.
+// registerGauges registers the gauges. The gauge of open requests is 0 when no request is open.
 func (m *meters) registerGauges(g *Gateway) {
 	m.set.NewGauge("hopwell_gateway_open_requests", func() float64 { return float64(g.limits.Open()) })
 	m.set.NewGauge("hopwell_gateway_revision", func() float64 {
@@ -49,7 +49,8 @@
 	m.set.GetOrCreateCounter(fmt.Sprintf(`hopwell_gateway_refusals_total{reason=%q}`, reason)).Inc()
 }
 
-// recordResult counts a request by its outcome and by the reason why it missed its targets.
+// recordResult counts a request by its outcome and by the reason why it was not completed within
+// its targets.
 func (m *meters) recordResult(r *Result) {
 	cause := missCause(r)
 	m.set.GetOrCreateCounter(fmt.Sprintf(`hopwell_gateway_requests_total{outcome=%q,miss=%q}`, r.Outcome, cause)).Inc()
--- a/pkg/gateway/request.go
+++ b/pkg/gateway/request.go
@@ -21,7 +21,8 @@
 	// NotRepeatable is set by the client. A selector can set it too.
 	NotRepeatable bool
 
-	// charged is the workspace whose limit was charged for the request, cost the amount.
+	// charged is the workspace whose limit was charged for the request. cost is the amount charged,
+	// in the unit of that limit.
 	charged *workspace.Workspace
 	cost    float64
 }
@@ -46,8 +47,9 @@
 	FirstToken, PerToken time.Duration
 	// TargetFirst and TargetPer are the targets that applied.
 	TargetFirst, TargetPer time.Duration
-	// Prefilled counts the prompt tokens computed for the request, Wasted those that were
-	// discarded or computed again.
+	// Prefilled counts the prompt tokens computed for the request. Wasted counts those that did not
+	// contribute to the response: all if the response is incomplete, otherwise those computed after
+	// the first prefill.
 	Prefilled, Wasted int
 	// Attempts is the number of attempts started.
 	Attempts int
--- a/pkg/gateway/service.go
+++ b/pkg/gateway/service.go
@@ -89,7 +89,8 @@
 }
 
 // repeatable reports whether a request that may have run can be sent again. This is so only if
-// neither the client nor the selector forbids it and HTTP defines the method as idempotent.
+// neither the client nor the selector forbids it and HTTP defines the method as idempotent. The
+// claim of an idempotency key depends only on the first two conditions, not on the method.
 func repeatable(req *ServiceRequest, sel *fleet.Selector) bool {
 	if req.NotRepeatable || sel.NotRepeatable {
 		return false
@@ -169,7 +170,8 @@
 	return err
 }
 
-// checkNeverRan determines whether a failed attempt certainly did not run, and records it if so.
+// checkNeverRan determines whether a failed attempt certainly did not run, and records it if so. If
+// the error does not prove it, the sidecar is asked to fence the attempt.
 func (r *serviceRun) checkNeverRan(b *branch, n int, err error) {
 	var broken *ErrBroken
 	if errors.As(err, &broken) && broken.Never || b.fence() {
@@ -177,7 +179,8 @@
 	}
 }
 
-// pickRunner returns the runner with the lowest ratio of calls to batch size.
+// pickRunner returns the runner with the lowest ratio of calls to slots. Runners that are backed
+// off after failures come last.
 func (r *serviceRun) pickRunner() (fleet.Grant, error) {
 	g := r.g
 	now := time.Now()
@@ -204,8 +207,8 @@
 	return *best, nil
 }
 
-// recentFailureLoad is added to the load of runners that failed recently, so that they are
-// chosen last.
+// recentFailureLoad is added to the load of runners that are backed off after failures, so that
+// they are chosen last.
 const recentFailureLoad = 1000
 
 func (r *serviceRun) newOpen(n int) *wirepb.Open {
@@ -260,7 +263,8 @@
 	r.sink.Head(int(h.Status), header)
 }
 
-// body forwards bytes to the client. The request's life counts bytes in place of tokens.
+// body forwards bytes to the client. For plain services, request.Life counts bytes in place of
+// tokens.
 func (r *serviceRun) body(c *wirepb.Chunk, n int) error {
 	ready, err := r.life.Chunk(n, int(c.Offset), len(c.Raw), string(c.Raw))
 	if err != nil || ready == "" {
--- a/pkg/gateway/status.go
+++ b/pkg/gateway/status.go
@@ -14,7 +14,7 @@
 	QueuedTokens float64 `json:"queued_tokens"`
 	PrefillRate  float64 `json:"prefill_rate"`
 	InFlight     int     `json:"in_flight"`
-	// Suspect is set while the runner is backed off after failures.
+	// Suspect is set while the runner is backed off after failures (route.State.Shunned).
 	Suspect bool `json:"suspect"`
 	// AgeMs is the age of the newest report, or -1 if there is none.
 	AgeMs int64 `json:"age_ms"`
--- a/pkg/gateway/stream.go
+++ b/pkg/gateway/stream.go
@@ -32,8 +32,8 @@
 	return a.relay(ctx)
 }
 
-// deliverGenerated delivers the tokens that a decode generated before its handover and that had
-// not arrived at the gateway.
+// deliverGenerated delivers the tokens that the previous decode runner generated before the
+// handover and that the gateway did not receive.
 func (a *attempt) deliverGenerated() error {
 	delivered, text := a.life.Progress()
 	missing := int(a.export.GetOffset()) - delivered
@@ -175,8 +175,8 @@
 	}
 }
 
-// maxRecomputeTokens is the prompt length below which a prompt is computed again without a second
-// transfer. Computing it takes about as long as detecting a stall.
+// maxRecomputeTokens is the prompt length below which a prompt is prefilled again after a stalled
+// transfer, in place of a second transfer. Computing it takes about as long as detecting a stall.
 const maxRecomputeTokens = 3000
 
 // releaseSourceIfBroken releases the source if its branch is broken.
--- a/pkg/request/life.go
+++ b/pkg/request/life.go
@@ -28,9 +28,11 @@
 
 // The phases of an attempt, in order.
 const (
-	// Opened means that the gateway has only asked for admission. Nothing can have run.
+	// Opened means that no order to run was sent, at most a request for admission. Nothing can have
+	// run. For a prefill the Open message is itself the order, so Send is called before it.
 	Opened Phase = iota
-	// Sent means that an order to run was passed to the transport, so the attempt may have run.
+	// Sent means that an order to run is about to be written or was written, so the attempt may
+	// have run.
 	Sent
 	// Closed means that the attempt has ended. Its chunks are dropped.
 	Closed
@@ -65,8 +67,8 @@
 // maxBuffered limits the out-of-order chunks kept per request.
 const maxBuffered = 1024
 
-// NewLife returns the state of a new request. If the request is not repeatable, it is sent to at
-// most one runner that may run it.
+// NewLife returns the state of a new request. If the request is not repeatable, it is not sent
+// again once an attempt may have run.
 func NewLife(id string, repeatable bool) *Life {
 	return &Life{id: id, repeatable: repeatable, buffered: map[int]bufferedChunk{}}
 }
@@ -108,8 +110,8 @@
 	return nil
 }
 
-// Withdraw undoes one Send of an attempt, after the runner reported that it has not started the
-// order and never will.
+// Withdraw undoes one Send of an attempt, after the runner reported that it has not started that
+// order and never will. NeverRan does the same for all orders of the attempt.
 func (l *Life) Withdraw(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -123,7 +125,8 @@
 	}
 }
 
-// NeverRan records that, according to its runner, an attempt has not started and never will.
+// NeverRan records that, according to its runner, an attempt has not started any of its orders and
+// never will. It closes the attempt.
 func (l *Life) NeverRan(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -133,7 +136,8 @@
 	l.attempts[n-1] = attempt{phase: Closed}
 }
 
-// live returns an attempt that is neither superseded nor ended. l.mu must be held.
+// live returns an attempt that is the newest one and not Closed, of a request without an outcome.
+// l.mu must be held.
 func (l *Life) live(n int) (*attempt, error) {
 	if l.outcome != Pending {
 		return nil, &ErrFinished{ID: l.id, Outcome: l.outcome}
@@ -185,7 +189,7 @@
 	return l.takeReady(), nil
 }
 
-// takeReady removes the pending chunks that are next in order and returns their text.
+// takeReady removes the buffered chunks that are next in order and returns their text.
 func (l *Life) takeReady() string {
 	start := len(l.accepted)
 	for {
@@ -199,8 +203,8 @@
 	}
 }
 
-// Progress returns the number of tokens that were released for the client, and their text. A
-// resumed attempt continues after them.
+// Progress returns the number of tokens that Chunk returned for delivery, and their text. A resumed
+// attempt continues after them.
 func (l *Life) Progress() (tokens int, text string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/pkg/request/life_test.go
+++ b/pkg/request/life_test.go
@@ -58,8 +58,8 @@
 	})
 })
 
-// lifeMachine calls a Life at random and keeps a model of what its client received and of which
-// orders runners may have started.
+// lifeMachine calls the methods of a Life in random order and keeps a model of what its client
+// received and of which orders runners may have started.
 type lifeMachine struct {
 	life       *request.Life
 	repeatable bool
@@ -128,7 +128,7 @@
 		return
 	}
 	if m.over {
-		t.Fatalf("ended twice")
+		t.Fatalf("request reached Done twice")
 	}
 	if m.received != m.response {
 		t.Fatalf("done with %q of %q", m.received, m.response)
--- a/pkg/sidecar/assign.go
+++ b/pkg/sidecar/assign.go
@@ -64,7 +64,7 @@
 			return err
 		}
 	}
-	if err := s.checkOrderAllowed(ctx, doc); err != nil {
+	if err := s.checkAssignmentAllowed(ctx, doc); err != nil {
 		return err
 	}
 	if err := s.opt.Engine.Assign(ctx, engine.Fence{Epoch: s.Epoch, Revision: doc.Revision}, want); err != nil {
@@ -75,31 +75,32 @@
 }
 
 // staleAfter is the age of the last confirmation of the configuration above
-// which no assignment is sent to the engine. Peers are asked about every
-// second.
+// which no assignment is sent to the engine. Peers are asked once per second or
+// so.
 const staleAfter = 4 * time.Second
 
-// checkOrderAllowed rejects outdated assignments, in case the engine ignores
-// fencing tokens: those from an old document, from a process that was suspended
-// and has not compared its configuration since, or from a process that has been
-// replaced.
-func (s *Sidecar) checkOrderAllowed(ctx context.Context, doc *fleet.Document) error {
+// checkAssignmentAllowed rejects outdated assignments, in case the engine
+// ignores fencing tokens: those from an old document, from a process that was
+// suspended and has not compared its configuration with its peers' since then,
+// or from a process that has been replaced.
+func (s *Sidecar) checkAssignmentAllowed(ctx context.Context, doc *fleet.Document) error {
 	if s.Keeper.Document().Revision != doc.Revision || s.Keeper.Stale(time.Now(), staleAfter) {
-		return &ErrOrder{Want: "a confirmed newest revision"}
+		return &ErrOrder{Want: "the newest revision, confirmed recently by a peer"}
 	}
 	l, err := s.opt.Engine.Load(ctx)
 	if err != nil {
 		return err
 	}
 	if l.Fence.Epoch > s.Epoch {
-		return &ErrOrder{Want: "no later sidecar"}
+		return &ErrOrder{Want: "a sidecar that was not replaced"}
 	}
 	return nil
 }
 
-// Assignment computes what the engine of the view's only member should run: the
-// assignment of the first selector, in name order, that matches the member.
-// Selectors with role serve are skipped. It returns false when none matches.
+// Assignment computes what the sidecar's own engine should run; rules is a view
+// with only this sidecar's instance as a member. It returns the assignment of
+// the first selector, in name order, that matches the member. Selectors with
+// role serve are skipped. It returns false when none matches.
 func Assignment(rules *fleet.View) (engine.Assignment, bool) {
 	for _, sel := range rules.Work(rules.Members[0]) {
 		if sel.Role == fleet.RoleServe {
--- a/pkg/sidecar/attempt.go
+++ b/pkg/sidecar/attempt.go
@@ -103,7 +103,8 @@
 	return a
 }
 
-// refusal returns why the attempt can't be admitted at all, nil if it can.
+// refusal returns why the attempt can't be admitted, for reasons other than
+// capacity, or nil if there are none.
 func (s *Sidecar) refusal(open *wirepb.Open) *wirepb.Refused {
 	rules := s.rules()
 	refuseWith := func(reason string) *wirepb.Refused {
@@ -185,10 +186,10 @@
 }
 
 // refuse ends an attempt that has not started. The attempt can never start,
-// since only this stream could start it and the stream ends here. The gateway
-// may retry on another stream.
+// since only an order on this stream could start it and the stream ends here.
+// The gateway may retry on another stream.
 func (a *attempt) refuse(r *wirepb.Refused) error {
-	a.s.metrics.refused(r.Reason)
+	a.s.metrics.recordRefusal(r.Reason)
 	a.event(trace.Refused, "role="+a.open.Role+" reason="+r.Reason)
 	return a.send(&wirepb.Report{Load: a.s.load(), Body: &wirepb.Report_Refused{Refused: r}})
 }
@@ -229,14 +230,14 @@
 // cause returns why an attempt's context ended.
 func (a *attempt) cause() error { return context.Cause(a.ctx) }
 
-// lapsed reports whether an error is an expired lease.
-func lapsed(err error) bool {
-	var l *errLapsed
+// isLeaseExpired reports whether an error is an expired lease.
+func isLeaseExpired(err error) bool {
+	var l *errLeaseExpired
 	return errors.As(err, &l)
 }
 
 // Fence implements wirepb.DRPCRunnerServer. Once it has replied that an attempt
-// has not started, the attempt never starts here.
+// has not started, the attempt never starts in this process.
 func (s *Sidecar) Fence(_ context.Context, r *wirepb.FenceRequest) (*wirepb.FenceReply, error) {
 	s.Log.Clock.Meet(r.Clock)
 	started := s.fences.fence(attemptKey(r.RequestId, r.Attempt, r.Role))
--- a/pkg/sidecar/call.go
+++ b/pkg/sidecar/call.go
@@ -23,9 +23,9 @@
 	chunkBytes = 32 << 10
 )
 
-// call forwards one call to the plain runner beside the sidecar. Between the
-// call's admission and its start the gateway may still claim the request's
-// idempotency key.
+// call forwards one call to the plain runner beside the sidecar. A slot is held
+// from the call's admission on, since the gateway may still claim the request's
+// idempotency key before it starts the call.
 func (a *attempt) call() error {
 	if !a.s.acquireSlot() {
 		return a.refuse(&wirepb.Refused{Reason: wire.ReasonFull, RetryAfterUs: callRetryAfter.Microseconds()})
@@ -49,7 +49,7 @@
 		return a.fail(err, mayHaveRun(err))
 	}
 	a.event(trace.Ended, "role=serve")
-	release() // Before a.s.load() counts the slots in use.
+	release() // Must precede a.s.load(), which counts the slots in use.
 	return a.send(&wirepb.Report{Load: a.s.load(), Body: &wirepb.Report_End{End: &wirepb.End{Bytes: uint32(sent)}}})
 }
 
--- a/pkg/sidecar/decode.go
+++ b/pkg/sidecar/decode.go
@@ -12,8 +12,9 @@
 	"github.com/hopwell/hopwell/pkg/wire/wirepb"
 )
 
-// An import counts as stalled when it takes longer than stallFactor times the
-// transfer time at the estimated link rate, and longer than stallMin.
+// Limits on the duration of an import. It counts as stalled when it takes
+// longer than stallFactor times the transfer time at the estimated link rate,
+// and longer than stallMin.
 const (
 	stallFactor = 6
 	stallMin    = 300 * time.Millisecond
@@ -90,7 +91,8 @@
 
 // awaitSlot waits until the engine has room for the stream. Streams start in
 // the order in which their KV caches became ready, but a stream that does not
-// fit yet lets others start before it for bypassTime.
+// fit yet lets others start before it for bypassTime. Streams no longer than
+// shortStream may start before it at any time. In FIFO mode none may.
 func (s *Sidecar) awaitSlot(a *attempt) error {
 	w := &slotWaiter{key: a.key, since: time.Now(), start: make(chan struct{})}
 	s.mu.Lock()
@@ -130,18 +132,18 @@
 // generate runs the decode on the engine and relays its tokens.
 func (a *attempt) generate(start *wirepb.Start) error {
 	a.event(trace.Started, "role=decode")
-	r := &relay{a: a, next: int(a.open.ResumeOffset), last: time.Now(), moved: make(chan engine.Export, 1)}
+	r := &relay{a: a, next: int(a.open.ResumeOffset), last: time.Now(), handedOver: make(chan engine.Export, 1)}
 	done := make(chan struct{})
 	defer close(done)
 	go a.watchHandover(done, r)
 	err := a.s.runDecode(a, a.decodeRequest(start), r)
 	if err == nil {
 		a.event(trace.Ended, "role=decode")
-		a.s.unreserve(a.key) // Before a.s.load() reads the ledger.
+		a.s.unreserve(a.key) // Must precede a.s.load(), which reads the ledger.
 		return a.send(&wirepb.Report{Load: a.s.load(), Body: &wirepb.Report_End{End: &wirepb.End{Tokens: uint32(r.next), Reason: r.reason}}})
 	}
 	if isCode(err, engine.CodeMoved) {
-		return a.awaitMoved(r)
+		return a.awaitHandedOver(r)
 	}
 	a.s.free(a.key)
 	return a.fail(err, true)
--- a/pkg/sidecar/epoch.go
+++ b/pkg/sidecar/epoch.go
@@ -8,8 +8,9 @@
 )
 
 // NextEpoch returns the epoch of a new sidecar, which is higher than that of
-// every earlier process beside the engine. The epoch that the engine reports
-// takes precedence over the clock, which may have been set back.
+// every earlier process beside the engine. The epoch is the time in
+// milliseconds or the engine's epoch + 1, whichever is greater, since the clock
+// may have been set back.
 func NextEpoch(e engine.Engine) uint64 {
 	epoch := uint64(time.Now().UnixMilli())
 	if e == nil {
--- a/pkg/sidecar/errors.go
+++ b/pkg/sidecar/errors.go
@@ -21,7 +21,7 @@
 // gateway.
 func failureCode(ctx context.Context, err error) string {
 	if cause := context.Cause(ctx); cause != nil {
-		if lapsed(cause) {
+		if isLeaseExpired(cause) {
 			return CodeLapsed
 		}
 		return CodeCancelled
--- a/pkg/sidecar/fences.go
+++ b/pkg/sidecar/fences.go
@@ -22,7 +22,7 @@
 	return fences{rotated: time.Now(), current: map[string]bool{}, previous: map[string]bool{}}
 }
 
-// attemptKey identifies the part that a runner has in an attempt of a request.
+// attemptKey identifies a role in an attempt of a request.
 func attemptKey(request string, attempt uint32, role string) string {
 	return fmt.Sprintf("%s/%d/%s", request, attempt, role)
 }
@@ -59,8 +59,8 @@
 	return true
 }
 
-// fence prevents an attempt that has not started from ever starting, and
-// reports whether it has started.
+// fence reports whether the attempt has started. If it has not, fence prevents
+// a later start.
 func (f *fences) fence(key string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/pkg/sidecar/lease.go
+++ b/pkg/sidecar/lease.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// errLapsed is the cause of a context whose lease expired.
-type errLapsed struct {
+// errLeaseExpired is the cause of a context whose lease expired.
+type errLeaseExpired struct {
 	Lease time.Duration
 }
 
 // Error implements error.
-func (e *errLapsed) Error() string { return fmt.Sprintf("lease lapsed: lease=%s", e.Lease) }
+func (e *errLeaseExpired) Error() string { return fmt.Sprintf("lease lapsed: lease=%s", e.Lease) }
 
 // errCancelled is the cause of a context whose gateway cancelled the attempt.
 type errCancelled struct{}
@@ -42,7 +42,7 @@
 	return ctx, l
 }
 
-func (l *lease) lapse() { l.cancel(&errLapsed{Lease: l.length}) }
+func (l *lease) lapse() { l.cancel(&errLeaseExpired{Lease: l.length}) }
 
 // renew extends the lease to its full length from now, unless it has expired.
 func (l *lease) renew() {
--- a/pkg/sidecar/leaving.go
+++ b/pkg/sidecar/leaving.go
@@ -16,8 +16,8 @@
 )
 
 // Leave takes the instance out of service: it accepts no new work from now on.
-// A deadline other than zero is when the instance ends; streams that can't
-// finish before are handed over.
+// deadline is when the instance ends, zero if unknown; streams that can't
+// finish before it are handed over.
 func (s *Sidecar) Leave(deadline time.Time, why string) {
 	if !deadline.IsZero() {
 		s.deadline.Store(deadline.UnixNano())
@@ -44,8 +44,8 @@
 	}
 }
 
-// handoverMargin is the time allowed for a handover and the import by another
-// engine.
+// handoverMargin is the time reserved before the deadline for a handover and
+// the import by another engine.
 const handoverMargin = 3 * time.Second
 
 // handOverUnfinished hands over the streams that will not end before the
--- a/pkg/sidecar/load.go
+++ b/pkg/sidecar/load.go
@@ -32,9 +32,8 @@
 }
 
 const (
-	// loadInterval is the minimum time between two loads that are sent to one
-	// gateway in response to lease renewals, however many streams the gateway
-	// has here.
+	// loadInterval is the minimum time between two load messages to one gateway
+	// in response to lease renewals, however many streams the gateway has here.
 	loadInterval = 500 * time.Millisecond
 	// maxLoadGateways bounds the gateways for which the time of the last load
 	// is recorded.
--- a/pkg/sidecar/metrics.go
+++ b/pkg/sidecar/metrics.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// refused counts a refusal; the reasons are those of package wire.
-func (m *meters) refused(reason string) {
+// recordRefusal counts a refusal; the reasons are those of package wire.
+func (m *meters) recordRefusal(reason string) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`hopwell_sidecar_refused_total{reason=%q}`, reason)).Inc()
 }
 
--- a/pkg/sidecar/prefill.go
+++ b/pkg/sidecar/prefill.go
@@ -22,9 +22,9 @@
 // displaced from the queue.
 const displacedRetryAfter = 500 * time.Millisecond
 
-// fifoTarget is the time to the deadline of every job in FIFO mode. Deadlines
-// then follow the order of arrival: each is later than those of all earlier
-// jobs.
+// fifoTarget is the time from arrival to the deadline of every job in FIFO
+// mode, in place of the request's target. Deadlines then follow the order of
+// arrival: each is later than those of all earlier jobs.
 const fifoTarget = time.Hour
 
 // prefill queues the prompt, computes its KV cache and holds it until the
@@ -79,13 +79,13 @@
 		if !isCode(err, engine.CodeFull) {
 			return x, err
 		}
-		a.s.stuck(a.key, true)
+		a.s.setStuck(a.key, true)
 		select {
 		case <-time.After(fullRetry):
 		case <-a.ctx.Done():
 			return x, a.cause()
 		}
-		a.s.stuck(a.key, false)
+		a.s.setStuck(a.key, false)
 	}
 }
 
@@ -141,7 +141,7 @@
 }
 
 // enqueue admits a prefill to the queue. decision receives true when the
-// prefill may run, and false when others displaced it and it will never run.
+// prefill may run, and false when other prefills displaced it from the queue.
 func (s *Sidecar) enqueue(a *attempt, hashes []uint64, decision chan bool) (time.Duration, error) {
 	tokens := int(a.open.PromptTokens)
 	state := []route.State{{ID: ownID}}
@@ -180,9 +180,9 @@
 	}
 }
 
-// stuck records whether the engine has no memory for a prefill, so that others
+// setStuck records whether the engine has no memory for a prefill, so that others
 // run before it. The record is cleared when the prefill is retried.
-func (s *Sidecar) stuck(key string, stuck bool) {
+func (s *Sidecar) setStuck(key string, stuck bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.queue.Stuck(time.Now(), key, stuck)
--- a/pkg/sidecar/relay.go
+++ b/pkg/sidecar/relay.go
@@ -19,8 +19,8 @@
 	reason string
 	// last is when the previous token arrived or the import ended.
 	last time.Time
-	// moved receives the export of a decode that was handed over.
-	moved chan engine.Export
+	// handedOver receives the export of a decode that was handed over.
+	handedOver chan engine.Export
 }
 
 // imported reports to the gateway that the export is no longer needed.
@@ -59,7 +59,7 @@
 }
 
 // watchHandover makes the engine hand a running decode over when the gateway
-// orders it or the instance ends too soon.
+// orders it or handOverUnfinished selects the stream.
 func (a *attempt) watchHandover(done <-chan struct{}, r *relay) {
 	select {
 	case <-a.handover:
@@ -73,14 +73,14 @@
 		a.s.log.Info("handover refused", "attempt", a.key, "err", err)
 		return
 	}
-	r.moved <- x
+	r.handedOver <- x
 }
 
-// awaitMoved waits for the export of a decode that was handed over, reports it
+// awaitHandedOver waits for the export of a decode that was handed over, reports it
 // to the gateway and holds it.
-func (a *attempt) awaitMoved(r *relay) error {
+func (a *attempt) awaitHandedOver(r *relay) error {
 	select {
-	case x := <-r.moved:
+	case x := <-r.handedOver:
 		a.s.unreserve(a.key)
 		return a.holdExport(x)
 	case <-a.ctx.Done():
--- a/pkg/sidecar/sidecar.go
+++ b/pkg/sidecar/sidecar.go
@@ -70,7 +70,7 @@
 	step       *admission.Step
 	kvPerToken int64
 	// decisions has a channel for each queued prefill, which receives true when
-	// the prefill may run and false when others displaced it.
+	// the prefill may run and false when other prefills displaced it.
 	decisions   map[string]chan bool
 	slotWaiters []*slotWaiter
 	attempts    map[string]*attempt
@@ -78,7 +78,8 @@
 	transfers int
 	// calls counts the slots of a plain runner that are in use.
 	calls int
-	// reported is when each gateway was last sent a load with a renewal.
+	// reported is the time of the last load message sent to each gateway in
+	// response to a lease renewal.
 	reported map[string]time.Time
 	// cached records the contents of the engine's prefix cache.
 	cached *route.Prefixes
@@ -128,7 +129,9 @@
 	wg.Wait()
 }
 
-// rules returns the present configuration with its expressions compiled.
+// rules returns the present configuration with its expressions compiled, as a
+// view whose only member is this sidecar's instance. Assignment depends on
+// that.
 func (s *Sidecar) rules() *fleet.View {
 	doc := s.Keeper.Document()
 	if v := s.compiledRules.Load(); v != nil && v.Doc == doc {
@@ -202,8 +205,8 @@
 // ownID identifies the sidecar's own runner in its record of the prefix cache.
 const ownID = 1
 
-// freeLeftovers frees what the engine holds from before this process. No work
-// is admitted until the engine has responded once.
+// freeLeftovers frees what the engine holds from earlier sidecar processes. No
+// work is admitted until the engine has responded once.
 func (s *Sidecar) freeLeftovers(ctx context.Context) {
 	for ctx.Err() == nil {
 		if s.tryFreeLeftovers(ctx) {
