--- a/pkg/admission/queue.go
+++ b/pkg/admission/queue.go
@@ -72,11 +72,11 @@
 // admitted would miss its deadline.
 //
 // Jobs are displaced one at a time, up to maxDisplaced. The next one is the
-// longest of those that have not started and contribute to making a job late.
-// It must be longer than the new job by displaceFactor; both lengths are
-// weighted by shareFactors. This is the rule of Moore and Hodgson (1968), which
-// minimizes the number of late jobs on one machine. A displaced job may find
-// room on another runner.
+// longest of those that have not started and are due no later than the first
+// late job. Choosing the longest is the rule of Moore and Hodgson (1968), which
+// minimizes the number of late jobs on one machine. Here the job must also be
+// at least displaceFactor times as long as the new one; both lengths are
+// weighted by shareFactors. A displaced job may find room on another runner.
 func (q *Queue) Admit(now time.Time, j Job) (wait time.Duration, displaced []string, err error) {
 	q.advance(now)
 	q.setDeadline(now, &j)
--- a/pkg/gateway/attempt.go
+++ b/pkg/gateway/attempt.go
@@ -86,7 +86,8 @@
 
 // recordFailure records that a runner refused or failed and returns the error; the caller then
 // tries another runner. If the sidecar refused because its configuration is older than this
-// gateway's, the gateway sends it the newer one, and the sidecar stays a candidate.
+// gateway's, the gateway sends it the newer one, and the sidecar stays a candidate. r.retryAfter
+// keeps the shortest Retry-After of all refusals; shedError may raise it.
 func (r *run) recordFailure(ctx context.Context, g fleet.Grant, err error) error {
 	var refused *ErrRefused
 	if errors.As(err, &refused) {
@@ -128,6 +129,8 @@
 	offset, _ := a.life.Progress()
 	e := &p.Estimate
 	d, _ := a.g.Keeper.Digest()
+	// For a prefill, slack is the time until the KV cache must be ready. For a decode, it is the time
+	// for which the start may wait for a slot.
 	slack := a.timeLeft() - seconds(e.Transfer+e.Step+e.Network)
 	if role == fleet.RoleDecode {
 		slack = a.timeLeft() - seconds(e.FirstToken-e.Slot)
--- a/pkg/gateway/choose.go
+++ b/pkg/gateway/choose.go
@@ -88,10 +88,10 @@
 // maxSubsets limits the number of cached subsets per view.
 const maxSubsets = 4096
 
-// subset returns the runners that this gateway considers. Their number is limited so that the
-// gateway's state and its probes do not grow with the fleet. Runners are chosen by rendezvous
-// hashing, an equal share from each failure domain. The choice stays stable as instances join and
-// leave.
+// subset returns the runners that this gateway considers. For prefill, it leaves out runners that
+// also decode, unless there are no others. Their number is limited so that the gateway's state and
+// its probes do not grow with the fleet. Runners are chosen by rendezvous hashing, an equal share
+// from each failure domain. The choice stays stable as instances join and leave.
 func (g *Gateway) subset(view *fleet.View, kind, model string, role fleet.Role) []fleet.Grant {
 	all := view.Grants(kind, model, role)
 	if role == fleet.RolePrefill {
--- a/pkg/gateway/generate.go
+++ b/pkg/gateway/generate.go
@@ -56,6 +56,7 @@
 	computed   []int
 	key        *keyClaim
 	retryAfter time.Duration
+	// attempts counts the calls of runAttempt, which maxAttempts limits.
 	attempts   int
 
 	firstAt, lastAt time.Time
@@ -145,8 +146,8 @@
 }
 
 // started reports whether work for the request was done or may have started. Such a request has
-// priority over new ones: giving it up would waste that work or end the request with an unknown
-// outcome.
+// priority over new ones (route.Request.Paid): giving it up would waste that work or end the
+// request with an unknown outcome.
 func (r *run) started() bool { return len(r.computed) > 0 || r.life.MayHaveRun() }
 
 // runAttempt makes one attempt.
--- a/pkg/gateway/metrics.go
+++ b/pkg/gateway/metrics.go
@@ -49,8 +49,7 @@
 	m.set.GetOrCreateCounter(fmt.Sprintf(`hopwell_gateway_refusals_total{reason=%q}`, reason)).Inc()
 }
 
-// recordResult counts a request by its outcome and by the reason why it was not completed within
-// its targets.
+// recordResult counts a request by its outcome and by the reason why it is not Good.
 func (m *meters) recordResult(r *Result) {
 	cause := missCause(r)
 	m.set.GetOrCreateCounter(fmt.Sprintf(`hopwell_gateway_requests_total{outcome=%q,miss=%q}`, r.Outcome, cause)).Inc()
@@ -63,7 +62,7 @@
 	}
 }
 
-// missCause returns why a response does not count as goodput, or "" if it does.
+// missCause returns why a response is not Good, or "" if it is.
 func missCause(r *Result) string {
 	var shed *ErrShed
 	var gone *ErrCallerGone
--- a/pkg/gateway/service.go
+++ b/pkg/gateway/service.go
@@ -76,6 +76,7 @@
 	began := time.Now()
 	err := r.loop(ctx)
 	res := Result{Outcome: r.life.Outcome(), Err: err, Attempts: r.life.Attempts(), RetryAfter: r.retryAfter}
+	// For plain services, FirstToken holds the total time of the request.
 	res.FirstToken = time.Since(began)
 	res.TargetFirst, res.TargetPer = sel.Targets()
 	if err != nil {
@@ -123,6 +124,7 @@
 		if last = err; r.headSent || !r.mayRetry(err) {
 			return err
 		}
+		// The first retry is not charged to the retry budget.
 		if try > 0 && !r.g.budget.spend() {
 			break
 		}
