--- a/pkg/gateway/generate.go
+++ b/pkg/gateway/generate.go
@@ -57,7 +57,7 @@
 	key        *keyClaim
 	retryAfter time.Duration
 	// attempts counts the calls of runAttempt, which maxAttempts limits.
-	attempts   int
+	attempts int
 
 	firstAt, lastAt time.Time
 	finishReason    string
--- a/pkg/sidecar/assign.go
+++ b/pkg/sidecar/assign.go
@@ -98,9 +98,9 @@
 }
 
 // Assignment computes what the sidecar's own engine should run; rules is a view
-// with only this sidecar's instance as a member. It returns the assignment of
+// with only this sidecar's instance as a member. The result is the assignment of
 // the first selector, in name order, that matches the member. Selectors with
-// role serve are skipped. It returns false when none matches.
+// role serve are skipped. Assignment returns false when none matches.
 func Assignment(rules *fleet.View) (engine.Assignment, bool) {
 	for _, sel := range rules.Work(rules.Members[0]) {
 		if sel.Role == fleet.RoleServe {
