--- a/pkg/gateway/branch.go
+++ b/pkg/gateway/branch.go
@@ -256,7 +256,7 @@
 	}
 	<-b.broken
 	if !errors.Is(b.err, io.EOF) {
-		b.g.log.Info("stream to sidecar ended", "request", b.request, "instance", b.member.Name, "err", b.err)
+		b.g.log.Info("branch ended", "request", b.request, "instance", b.member.Name, "err", b.err)
 	}
 }
 
--- a/pkg/gateway/claims.go
+++ b/pkg/gateway/claims.go
@@ -65,7 +65,7 @@
 	k := claim.NewKey(c.workspace, c.key)
 	holder, err := c.g.claimer(k).Claim(ctx, k, c.id)
 	if err != nil {
-		c.g.log.Info("claim undetermined", "request", c.id, "err", err)
+		c.g.log.Info("claim not settled", "request", c.id, "err", err)
 		c.releaseAsync()
 		return &ErrShed{Reason: "claim", RetryAfter: time.Second}
 	}
@@ -83,7 +83,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 		defer cancel()
 		if err := c.g.Claims.Release(ctx, k, c.id); err != nil {
-			c.g.log.Warn("idempotency key not released", err, "request", c.id)
+			c.g.log.Warn("key not given back", err, "request", c.id)
 		}
 	}()
 }
--- a/pkg/sidecar/assign.go
+++ b/pkg/sidecar/assign.go
@@ -85,14 +85,14 @@
 // or from a process that has been replaced.
 func (s *Sidecar) checkAssignmentAllowed(ctx context.Context, doc *fleet.Document) error {
 	if s.Keeper.Document().Revision != doc.Revision || s.Keeper.Stale(time.Now(), staleAfter) {
-		return &ErrOrder{Want: "the newest revision, confirmed recently by a peer"}
+		return &ErrOrder{Want: "a confirmed newest revision"}
 	}
 	l, err := s.opt.Engine.Load(ctx)
 	if err != nil {
 		return err
 	}
 	if l.Fence.Epoch > s.Epoch {
-		return &ErrOrder{Want: "a sidecar that was not replaced"}
+		return &ErrOrder{Want: "no later sidecar"}
 	}
 	return nil
 }
