--- a/pkg/admin/admin.go
+++ b/pkg/admin/admin.go
@@ -1,5 +1,6 @@
-// Package admin implements the admin port of a process: health, metrics, the timeline,
-// explanations of routing decisions, and changes of the configuration. It is a separate
+// Package admin implements the admin port of a process: health, metrics, the events
+// of the process (timeline), usage, explanations of routing decisions, changes of the
+// configuration, and planned stops. It is a separate
 // port, which must be reachable from the operators' network only, since it has no
 // authentication.
 package admin
@@ -57,7 +58,8 @@
 	Drain func(deadline time.Time)
 }
 
-// Status is what a process reports of itself and of the members that it knows.
+// Status is what a process reports of itself and of the instances in its
+// member list.
 type Status struct {
 	Instance string    `json:"instance"`
 	Role     string    `json:"role"`
@@ -81,7 +83,8 @@
 	// new work.
 	Evacuated bool         `json:"evacuated,omitempty"`
 	Labels    fleet.Labels `json:"labels"`
-	Work      []string     `json:"work"`
+	// Work lists the names of the selectors that match the instance.
+	Work []string `json:"work"`
 	// Load is reported by gateways only.
 	Load *gateway.RunnerLoad `json:"load,omitempty"`
 }
@@ -201,8 +204,8 @@
 	Kind string `json:"kind"`
 }
 
-// change applies an operator's change. With ?dry_run=1 it only returns the effect that
-// the change would have.
+// change applies an operator's change. With a non-empty dry_run parameter, such as
+// ?dry_run=1, it only returns the effect that the change would have.
 func (h *Handler) change(w http.ResponseWriter, r *http.Request) {
 	var c fleet.Change
 	if err := json.NewDecoder(io.LimitReader(r.Body, maxChangeBytes)).Decode(&c); err != nil {
@@ -304,8 +307,8 @@
 	}
 }
 
-// drain starts the process's planned stop. ?deadline=30s is the time until its instance
-// is stopped.
+// drain starts the process's planned stop. ?deadline=30s is the time from now until
+// the instance of the process is stopped.
 func (h *Handler) drain(w http.ResponseWriter, r *http.Request) {
 	var deadline time.Time
 	if s := r.URL.Query().Get("deadline"); s != "" {
--- a/pkg/decisionlog/decisionlog.go
+++ b/pkg/decisionlog/decisionlog.go
@@ -1,8 +1,8 @@
 // Package decisionlog writes one line of key=value pairs for each decision that
 // concerns a request or changes the state that the process acts on. Writing never
 // blocks: lines wait in a bounded buffer. A line is dropped and counted if the buffer
-// is full or the rate limit of its kind is reached. Lines of failed requests and of the
-// process are dropped last.
+// is full or the rate limit of its kind is reached. When the buffer
+// fills, lines of failed requests and of the process are dropped last.
 package decisionlog
 
 import (
--- a/pkg/decisionlog/decisionlog_bench_test.go
+++ b/pkg/decisionlog/decisionlog_bench_test.go
@@ -11,7 +11,8 @@
 	l := New("front-zone-a-1", io.Discard)
 	defer l.Close(time.Second)
 	for b.Loop() {
-		// Resets the rate limit, so that no line is dropped because of it.
+		// Resets the line count of the window and prevents the window's end, so that the rate
+		// limit drops no line.
 		l.windowStart = time.Now().Add(time.Hour)
 		l.counts[KindDone] = 0
 		l.Write(KindDone, "request_end", F("request", "13fc8ec49aa82a74"), F("route", "r-yevzqfr"), F("service", "kaba98a"), F("version", uint64(2)),
--- a/pkg/decisionlog/parse.go
+++ b/pkg/decisionlog/parse.go
@@ -47,8 +47,8 @@
 // maxLine is the longest line that Read accepts, in bytes.
 const maxLine = 1 << 20
 
-// Read returns the decision log lines of a text, sorted by time. It ignores any prefix of
-// these lines, and all other lines.
+// Read returns the decision log lines of a text, sorted by time. It ignores text
+// before time= on these lines, and all other lines.
 func Read(r io.Reader) ([]Line, error) {
 	var out []Line
 	scan := bufio.NewScanner(r)
--- a/pkg/decisionlog/story.go
+++ b/pkg/decisionlog/story.go
@@ -11,20 +11,21 @@
 // that may have affected it.
 type Explanation struct {
 	ID string
-	// Lines are the lines of the request, Context those about the state of its processes,
-	// their runners and their dependencies.
+	// Lines are the lines of the request. Context are the lines about the state of the processes
+	// that handled it, of its runners, and of the dependencies of these processes.
 	Lines, Context []Line
 	// Outcome and Cause describe how the request ended and why.
 	Outcome, Cause string
 }
 
-// contextBefore is how far back from a request's end lines are included in its context.
+// contextBefore is the time before a request's end from which lines are included in its context.
 const contextBefore = 10 * time.Second
 
 // ErrNoRequest reports that a log has no line about a request.
 type ErrNoRequest struct {
 	ID string
-	// Lines is how many lines were read, LeftOut how many of them report dropped lines.
+	// Lines is the number of lines read, LeftOut the number of reports of dropped lines among
+	// them.
 	Lines, LeftOut int
 }
 
@@ -54,7 +55,8 @@
 }
 
 // collectContext selects the lines about the state of the request's processes and runners.
-// Of the configurations it takes only the one that the request was served with.
+// Of the config lines, it selects only the one for the version that the request was served
+// with.
 func (s *Explanation) collectContext(lines []Line) {
 	var processes, runners []string
 	for i := range s.Lines {
--- a/pkg/delta/delta.go
+++ b/pkg/delta/delta.go
@@ -48,7 +48,7 @@
 	return min(len(value), maxChunk)
 }
 
-// Encode returns the delta that makes after from before.
+// Encode returns the delta that turns the value before into the value after.
 func Encode(before, after []byte) []byte {
 	offsets := map[uint64]int{}
 	for at := 0; at < len(before); {
@@ -76,8 +76,8 @@
 }
 
 // encoder builds a delta, and merges adjacent operations of the same kind. An operation begins with
-// the uvarint n*2 or n*2+1. The first is followed by n literal bytes. The second copies n bytes of the
-// earlier value and is followed by the uvarint of their offset there.
+// the uvarint n*2 or n*2+1. n*2 is followed by n literal bytes. n*2+1 copies n bytes of the earlier
+// value and is followed by the uvarint of their offset in that value.
 type encoder struct {
 	out, literal         []byte
 	copyFrom, copyLength int
--- a/pkg/httpd/callers.go
+++ b/pkg/httpd/callers.go
@@ -22,8 +22,8 @@
 	discardTimeout = 5 * time.Second
 )
 
-// ListenCallers serves clients with net/http, the closest equivalent of nbhttp. nbhttp
-// reads the whole body before it calls the handler, and closes the connection if the body
+// ListenCallers serves clients (the callers of the settings) with net/http, the closest
+// equivalent of nbhttp, instead of with nbhttp itself. nbhttp reads the whole body before it calls the handler, and closes the connection if the body
 // is too large, so that the client gets a reset instead of a response. With net/http the
 // handler decides how much to read, and the rest of the body is discarded after the
 // response, up to maxDiscard.
--- a/pkg/httpd/httpd_test.go
+++ b/pkg/httpd/httpd_test.go
@@ -15,8 +15,8 @@
 func TestHTTPD(t *testing.T) { spectest.Run(t, "httpd") }
 
 var _ = Describe("a client that disconnects", func() {
-	// serve starts a server whose handler sends the time until its request's context was
-	// cancelled.
+	// serve starts a server whose handler sends to the returned channel how long it took until
+	// the request's context was cancelled.
 	serve := func(write func(http.ResponseWriter)) (*Server, chan time.Duration) {
 		cancelled := make(chan time.Duration, 1)
 		s, err := Listen("127.0.0.1:0", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/pkg/logs/logs.go
+++ b/pkg/logs/logs.go
@@ -1,6 +1,6 @@
 // Package logs writes hopwell's logs through klog, one line of key=value pairs
 // per event. Each layer of the program has its own logger, which is enabled by a
-// command-line flag.
+// command-line flag or by the settings.
 package logs
 
 import (
@@ -56,8 +56,7 @@
 // AdoptLibrary redirects the messages of the HTTP library (nbio) to the http layer.
 var AdoptLibrary = sync.OnceFunc(func() { logging.SetLogger(libraryLogger{For(LayerHTTP)}) })
 
-// Enable enables the layers of a comma-separated list. It fails with
-// *ErrLayer.
+// Enable enables the layers of a comma-separated list. It fails with *ErrLayer.
 func Enable(list string) error {
 	if list == "" {
 		return nil
--- a/pkg/losses/losses.go
+++ b/pkg/losses/losses.go
@@ -1,7 +1,8 @@
 // Package losses finds lost requests and their causes in the decision logs of all
-// processes, by time window: which generations and lookups were not answered in time,
-// which prompts were computed in vain, and the load of the engines. A generation is a
-// request to a model engine, a lookup one to a plain runner.
+// processes, by time window: which generations and lookups were lost, which prompt tokens
+// were wasted, and the load of the engines. A request is lost if it was not served in time,
+// for any reason. A generation is a request to a model engine, a lookup one to a plain
+// runner.
 package losses
 
 import (
@@ -13,15 +14,15 @@
 	"github.com/hopwell/hopwell/pkg/decisionlog"
 )
 
-// Cause is why a request was not answered in time.
+// Cause is the reason why a request was not served in time.
 type Cause string
 
-// The causes. A request has one cause, the first that applies.
+// The causes. A request has one cause.
 const (
-	// InTime: answered in time, not lost.
+	// InTime: served in time, not lost.
 	InTime Cause = "in_time"
-	// GatewayLost: the log of the gateway has no end of the request, since the gateway ended
-	// while it served the request.
+	// GatewayLost: the log of the gateway has no request_end line for a request that began to
+	// decode, presumably since the gateway ended while it served the request.
 	GatewayLost Cause = "gateway_lost"
 	// ClientGone: the client closed the connection.
 	ClientGone Cause = "client_gone"
@@ -61,7 +62,7 @@
 	// LateFirst: the first event of a generation, or the whole response of a lookup, came
 	// later than the route's target.
 	LateFirst Cause = "late_first"
-	// LongPause: a pause between two events was longer than the route's limit for it.
+	// LongPause: a pause between two events was longer than the route's target (gap).
 	LongPause Cause = "long_pause"
 )
 
@@ -76,7 +77,8 @@
 	// Arrived is the time of arrival by the gateway's clock.
 	Arrived time.Time
 	Cause   Cause
-	// Why is the gateway's error, or else a summary of its log line.
+	// Why is the error that the gateway logged for the request, or a summary of the request's
+	// log line if there is none.
 	Why string
 }
 
@@ -98,8 +100,8 @@
 	Prefill, Decode, Changing int
 	// Reserved is the reserved share of the decode engines' memory, as a mean over the engines.
 	Reserved float64
-	// Waiting is the number of requests that wait for engine memory at all gateways, PrefillTokens
-	// the number of prompt tokens queued at prefill engines.
+	// Waiting is the number of requests at all gateways that wait for engine memory, as this
+	// gateway logged it. PrefillTokens is the number of prompt tokens queued at prefill engines.
 	Waiting, PrefillTokens int
 }
 
--- a/pkg/losses/plot.go
+++ b/pkg/losses/plot.go
@@ -53,7 +53,7 @@
 	return err
 }
 
-// paletteColor returns color i of n. Colors repeat if n exceeds the palette.
+// paletteColor returns color i of the palette. Colors repeat if n exceeds the palette.
 func paletteColor(i, n int) color.Color {
 	palette := []color.RGBA{
 		{0x4c, 0x78, 0xa8, 0xff}, {0xe4, 0x57, 0x56, 0xff}, {0xf5, 0x8b, 0x1f, 0xff}, {0xb7, 0x9a, 0x20, 0xff}, {0x72, 0xb7, 0xb2, 0xff},
--- a/pkg/losses/window.go
+++ b/pkg/losses/window.go
@@ -87,7 +87,7 @@
 	return r
 }
 
-// window returns the window that contains a time, nil if that is before the start. It adds
+// window returns the window that contains a time, nil for a time before the start. It adds
 // windows as needed.
 func (r *Report) window(at time.Time) *Window {
 	n := int(at.Sub(r.Start) / r.Length)
--- a/pkg/opclient/opclient.go
+++ b/pkg/opclient/opclient.go
@@ -71,7 +71,8 @@
 	return &Client{list: platform.NewClient(platformURL), adminAddresses: adminAddresses, http: &http.Client{}}
 }
 
-// Processes returns the admin addresses of all processes, gateways first.
+// Processes returns all processes, sorted by role and name, so that gateways are first. If the
+// client has admin addresses, it returns the processes with these addresses, in their order.
 func (c *Client) Processes(ctx context.Context) ([]platform.Instance, error) {
 	if len(c.adminAddresses) > 0 {
 		var out []platform.Instance
@@ -169,7 +170,7 @@
 }
 
 // Timeline returns the events of all processes in causal order. silent lists the
-// processes that returned no events because of an error.
+// processes whose events could not be read: they didn't respond, or responded with an error.
 func (c *Client) Timeline(ctx context.Context, f trace.Filter) (events []trace.Event, silent []string, err error) {
 	q := url.Values{}
 	if f.Request != "" {
@@ -289,7 +290,8 @@
 // Error implements error.
 func (e *ErrUnknownInstance) Error() string { return fmt.Sprintf("no such instance: name=%q", e.Name) }
 
-// Progress lists the processes in which a revision is not yet known to be in force.
+// Progress lists the processes that have an older revision and those whose revision could not
+// be read.
 type Progress struct {
 	// Behind lists the processes that have an older revision.
 	Behind []string
@@ -299,7 +301,7 @@
 	Total int
 }
 
-// Await polls and calls report each time, until every process that responds has the
+// Await polls the status of all processes and calls report each time, until every process that responds has the
 // revision or the context ends.
 func (c *Client) Await(ctx context.Context, revision uint64, report func(Progress)) error {
 	for {
--- a/pkg/progress/progress.go
+++ b/pkg/progress/progress.go
@@ -1,4 +1,4 @@
-// Package progress limits how long a call may pass without progress, instead of its total time. A
+// Package progress limits the time that a call may go on without progress, instead of its total time. A
 // call with a long response is not aborted as long as parts of the response keep arriving.
 //
 // A limit on the total time fails when many processes share a link. All their calls time out
@@ -20,11 +20,12 @@
 	context.Context
 }
 
-// Err implements context.Context. After the limit without progress it returns
+// Err implements context.Context. After the time limit without progress it returns
 // context.DeadlineExceeded, as after a timeout.
 func (s idleContext) Err() error { return context.Cause(s.Context) }
 
-// WithIdleTimeout returns a context that ends with context.DeadlineExceeded if Note is not called for the limit.
+// WithIdleTimeout returns a context that ends with context.DeadlineExceeded when the
+// time limit has passed without a call of Note.
 func WithIdleTimeout(ctx context.Context, limit time.Duration) (context.Context, context.CancelFunc) {
 	inner, cancel := context.WithCancelCause(ctx)
 	timer := time.AfterFunc(limit, func() { cancel(context.DeadlineExceeded) })
--- a/pkg/routetable/routetable.go
+++ b/pkg/routetable/routetable.go
@@ -11,7 +11,7 @@
 	"github.com/hopwell/hopwell/pkg/workspace"
 )
 
-// Kind classifies a route's requests by whether they may be repeated.
+// Kind is the kind of a route's requests. It determines whether they may be repeated.
 type Kind string
 
 // The kinds of routes.
@@ -47,7 +47,7 @@
 	Priority int
 	// Targets are the services that share the route's requests.
 	Targets []Target
-	// MaxAttempts limits the attempts at one request, each at a runner.
+	// MaxAttempts limits the number of times that one request is sent to a runner.
 	MaxAttempts int
 	// Resumable streams that break off may be resumed at another runner.
 	Resumable bool
@@ -87,9 +87,10 @@
 	// PrefillRetention is how long a prefill engine keeps a prompt's KV cache for the decode
 	// engine to fetch.
 	PrefillRetention time.Duration
-	// MaxHold is the longest time that an engine keeps a hold.
+	// MaxHold is the longest time that an engine keeps a hold (a reservation of its memory for
+	// a request).
 	MaxHold time.Duration
-	// StageChangeTime is how long a stage change takes.
+	// StageChangeTime is how long a stage change (from prefill to decode or back) takes.
 	StageChangeTime time.Duration
 	// TokensPerEvent is the largest number of tokens in one event of a stream.
 	TokensPerEvent int
@@ -101,8 +102,8 @@
 	// MaxConnections limits the connections to one runner from all gateways together;
 	// 0 for no limit.
 	MaxConnections int
-	// ColdPerSecond limits the requests per second to one cold runner from all gateways together;
-	// 0 for no limit.
+	// ColdPerSecond limits the requests per second from all gateways together to one runner that
+	// started recently (a cold runner); 0 for no limit.
 	ColdPerSecond float64
 	// Engine is nil for a service of plain runners.
 	Engine *Engine
--- a/pkg/upstream/pool.go
+++ b/pkg/upstream/pool.go
@@ -22,7 +22,8 @@
 	// announced is the keep-alive timeout that the runner last sent on this connection, negative
 	// if it sent none. Some runners send it in the first response only.
 	announced time.Duration
-	// since is when the connection became idle, until when it must no longer be reused.
+	// since is the time at which the connection became idle. It must not be reused from the
+	// time until.
 	until, since time.Time
 	// idleFor is how long the connection was idle before its last use.
 	idleFor time.Duration
@@ -72,7 +73,8 @@
 	return k
 }
 
-// HasIdle reports whether there is an idle connection to an address.
+// HasIdle reports whether there is an idle connection to an address. It is false if all of its
+// connections are in use.
 func (c *Client) HasIdle(address string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/pkg/upstream/sockets.go
+++ b/pkg/upstream/sockets.go
@@ -10,14 +10,15 @@
 )
 
 const (
-	// userTimeout is how long sent data may stay unacknowledged before the connection is
-	// closed: a connection may go silent for good, without a reset, while new connections
-	// work. The platform's links delay packets by half a second in bad periods.
+	// userTimeout is how long sent data may stay unacknowledged before the kernel closes the
+	// connection. All packets of one connection may be lost permanently, without a reset, while
+	// new connections work. The value exceeds the delay of half a second that packets have on
+	// the platform's links in bad periods.
 	userTimeout = 1500 * time.Millisecond
-	// keepAliveIdle is how long no data must have arrived on a connection in use before it is
-	// probed, keepAliveInterval how long the reply to the probe may take. The kernel counts both
-	// in whole seconds. A stream on a silent connection thus breaks after 2 s, the shortest time
-	// for which its client waits. No probes are sent while data arrives.
+	// keepAliveIdle is the time without received data after which a connection in use is probed,
+	// keepAliveInterval the time limit for the reply to the probe. The kernel counts both in
+	// whole seconds. A stream on a connection that loses all packets thus breaks after 2 s, the
+	// shortest time for which a client of a stream waits. No probes are sent while data arrives.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
 )
--- a/pkg/upstream/upstream.go
+++ b/pkg/upstream/upstream.go
@@ -30,9 +30,9 @@
 	// read. Longer bodies are written in chunks of this size while the response is read.
 	inlineBody = 32 << 10
 	// writeTimeout limits each write to a runner: the head, or one chunk of the body. It is
-	// several times longer than the retransmission of a lost packet takes. A body that
-	// the runner doesn't read counts against the gateway's memory, and its client waits in
-	// vain.
+	// several times longer than the retransmission of a lost packet takes. Without the limit,
+	// a body that the runner doesn't read would occupy the gateway's memory, and the client
+	// that sent it would wait without a response.
 	writeTimeout = 3 * time.Second
 	// idleMargin is how long before the runner's keep-alive timeout the gateway stops
 	// using an idle connection.
@@ -136,8 +136,8 @@
 }
 
 // Response is a response whose body is read by the caller. Close ends the
-// exchange. Before the end of the body it closes the connection, which tells the
-// runner that no client waits for the response any longer.
+// exchange. If Close is called before the end of the body, it closes the connection, so that
+// the runner detects that no client waits for the response any longer.
 type Response struct {
 	*http.Response
 	done func(complete bool)
@@ -285,7 +285,7 @@
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
 
-// read returns the response to r and the number of responses to other requests before it.
+// read returns the response to r and the number of responses to earlier requests before it.
 func (k *conn) read(r *Request) (*http.Response, int, error) {
 	req := &http.Request{Method: r.Method}
 	for surplus, interim := 0, 0; ; {
--- a/pkg/upstream/upstream_test.go
+++ b/pkg/upstream/upstream_test.go
@@ -290,7 +290,7 @@
 }
 
 // A second response to the first request arrives before the response to the second request. It
-// must be skipped, and the connection closed after the right response.
+// must be skipped, and the connection closed after the response to the second request.
 func TestSurplusResponseIsSkipped(t *testing.T) {
 	g := NewWithT(t)
 	s := serve(t, func(n int, c net.Conn, in *bufio.Reader) {
