--- a/cmd/hopwell/cmds/status.go
+++ b/cmd/hopwell/cmds/status.go
@@ -11,8 +11,8 @@
 	"github.com/hopwell/hopwell/pkg/opclient"
 )
 
-// anyStatus returns the status that the first gateway reports, or another process's if
-// no gateway responds.
+// anyStatus returns the status of the first process that responds. Gateways are queried
+// first.
 func anyStatus(cmd *cobra.Command, o *options) (*admin.Status, error) {
 	results, err := o.client().Status(cmd.Context())
 	if err != nil {
--- a/cmd/hopwell/cmds/workspace.go
+++ b/cmd/hopwell/cmds/workspace.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	// keyBytes is the randomness of a key: 256 bits.
+	// keyBytes is the number of random bytes in a key (256 bits).
 	keyBytes = 32
 	// keyPrefix distinguishes the keys of hopwell from those of other systems.
 	keyPrefix = "hw-"
--- a/cmd/hopwelld/cmds/ingress.go
+++ b/cmd/hopwelld/cmds/ingress.go
@@ -27,7 +27,7 @@
 			if variable != "" {
 				file = os.Getenv(variable)
 			}
-			// Signals are handled before the settings are loaded, since an unhandled signal
+			// Signals are registered before the settings are loaded, since an unregistered signal
 			// ends the process.
 			signals := make(chan os.Signal, 4)
 			signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
@@ -52,7 +52,7 @@
 }
 
 // serveIngress handles signals and changes of the settings file until the planned stop
-// is over. A second stop signal ends it at once.
+// is over. A second stop signal ends the planned stop at once.
 func serveIngress(p *process.Ingress, file string, signals <-chan os.Signal) {
 	poll := time.NewTicker(settingsPollInterval)
 	defer poll.Stop()
