--- a/cmd/hopwell/cmds/change.go
+++ b/cmd/hopwell/cmds/change.go
@@ -29,7 +29,7 @@
 
 // add registers the flags on a command.
 func (f *changeFlags) add(cmd *cobra.Command) {
-	cmd.Flags().BoolVar(&f.dryRun, "dry-run", false, "only show which instances would gain or lose which work")
+	cmd.Flags().BoolVar(&f.dryRun, "dry-run", false, "only show which instances would gain or lose which selectors")
 	cmd.Flags().BoolVar(&f.force, "force", false, "allow a change that leaves a request kind without a runner")
 	cmd.Flags().DurationVar(&f.wait, "wait", 0, "maximum time to wait until the change is in force in all processes (default no waiting)")
 	cmd.Flags().StringVar(&f.id, "id", "", "ID of the change; a change whose ID was already applied has no further effect (default a new ID)")
--- a/cmd/hopwell/cmds/logs.go
+++ b/cmd/hopwell/cmds/logs.go
@@ -15,7 +15,7 @@
 func newWhy(o *options) *cobra.Command {
 	return &cobra.Command{
 		Use:   "why REQUEST-ID [LOG-FILE...]",
-		Short: "Explain from the logs how a request was served and why it ended",
+		Short: "Explain from the logs how a request was served and with which outcome",
 		Long:  "Print the events of one request in all processes in order, and the cause of its end,\nfrom the logs of `hopwelld ingress`. Without files, the logs are read from standard\ninput. Other lines in the files are ignored.",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
--- a/cmd/hopwell/cmds/losses.go
+++ b/cmd/hopwell/cmds/losses.go
@@ -24,11 +24,11 @@
 	var f lossFlags
 	cmd := &cobra.Command{
 		Use:   "losses [LOG-FILE...]",
-		Short: "Show lost requests per time window and cause, from the logs",
-		Long: "Show for each time window which generations and lookups were lost and why, which prompts\n" +
+		Short: "Show requests that were not served in time, per time window and cause, from the logs",
+		Long: "Show for each time window which generations (requests to model engines) and lookups\n(requests to plain runners) were lost, that is, not served in time, and why, which prompts\n" +
 			"were computed in vain, and how full the engines were, from the logs of\n`hopwelld ingress`. Without files, the logs are read from standard input. --worst lists\n" +
 			"the lost requests of the worst windows, --at those of one window; `hopwell why` explains\na single request. -o svg draws the windows. The logs must include what processes wrote\n" +
-			"before they lost power: a request that was decoding and has no end counts as lost with\nits gateway.",
+			"before they lost power: a request that began to decode and has no request_end\nline gets the cause gateway_lost.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			lines, err := readLogs(cmd.InOrStdin(), args)
 			if err != nil {
--- a/cmd/hopwell/cmds/ops.go
+++ b/cmd/hopwell/cmds/ops.go
@@ -24,12 +24,12 @@
 			return err
 		},
 	}
-	cmd.Flags().DurationVar(&deadline, "deadline", 0, "time until the instance is stopped; streams that would not finish by then move to another runner")
+	cmd.Flags().DurationVar(&deadline, "deadline", 0, "time until the instance is stopped (default no deadline); streams that would not finish by then move to another runner")
 	return cmd
 }
 
 func newCheck() *cobra.Command {
-	var kind string
+	var role string
 	cmd := &cobra.Command{
 		Use:   "check FILE",
 		Short: "Check a settings file",
@@ -47,10 +47,10 @@
 				}
 				data = []byte(text)
 			}
-			if kind == "" {
-				kind = config.Kind(data)
+			if role == "" {
+				role = config.Kind(data)
 			}
-			switch kind {
+			switch role {
 			case "gateway":
 				_, err = config.ParseGateway(args[0], data)
 			case "sidecar":
@@ -58,15 +58,15 @@
 			case "ingress":
 				_, err = config.ParseIngress(args[0], data)
 			default:
-				err = &errInput{What: "role=" + kind, Expected: "gateway, sidecar or ingress"}
+				err = &errInput{What: "role=" + role, Expected: "gateway, sidecar or ingress"}
 			}
 			if err != nil {
 				return err
 			}
-			_, err = fmt.Fprintf(cmd.OutOrStdout(), "%s: settings are valid, role=%s\n", args[0], kind)
+			_, err = fmt.Fprintf(cmd.OutOrStdout(), "%s: settings are valid, role=%s\n", args[0], role)
 			return err
 		},
 	}
-	cmd.Flags().StringVar(&kind, "role", "", "gateway, sidecar or ingress (default derived from the keys of the file)")
+	cmd.Flags().StringVar(&role, "role", "", "gateway, sidecar or ingress (default derived from the keys of the file)")
 	return cmd
 }
--- a/cmd/hopwell/cmds/root.go
+++ b/cmd/hopwell/cmds/root.go
@@ -54,7 +54,7 @@
 	f := root.PersistentFlags()
 	f.StringVar(&o.platform, "platform", platformURL(), "base URL of the platform, which serves the instance list ($"+envPlatform+")")
 	f.StringSliceVar(&o.admin, "admin", nil, "admin addresses of the processes to use instead of the instance list")
-	f.StringVarP(&o.format, "output", "o", formatText, "output format: text or json")
+	f.StringVarP(&o.format, "output", "o", formatText, "output format: text or json; chrome for timeline, svg for losses")
 	root.AddCommand(newLabel(&o), newSelector(&o), newWorkspace(&o), newDomain(&o), newStatus(&o), newExplain(&o), newTimeline(&o), newWhy(&o), newLosses(&o), newDrain(&o), newCheck())
 	root.AddCommand(clidocs.New(root))
 	return root
--- a/cmd/hopwell/cmds/status.go
+++ b/cmd/hopwell/cmds/status.go
@@ -11,8 +11,8 @@
 	"github.com/hopwell/hopwell/pkg/opclient"
 )
 
-// anyStatus returns the status of the first process that responds. Gateways are queried
-// first.
+// anyStatus returns the status of the first process, in the order of the results, that
+// responded. Gateways are the first in this order.
 func anyStatus(cmd *cobra.Command, o *options) (*admin.Status, error) {
 	results, err := o.client().Status(cmd.Context())
 	if err != nil {
@@ -43,7 +43,7 @@
 func newStatus(o *options) *cobra.Command {
 	return &cobra.Command{
 		Use:   "status",
-		Short: "Show role, failure domain, state, revision, load and work of all processes",
+		Short: "Show role, failure domain, state, revision, load and selectors of all processes",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			results, err := o.client().Status(cmd.Context())
--- a/cmd/hopwell/cmds/why.go
+++ b/cmd/hopwell/cmds/why.go
@@ -16,7 +16,7 @@
 func newExplain(o *options) *cobra.Command {
 	return &cobra.Command{
 		Use:   "explain REQUEST-ID",
-		Short: "Explain how the runners of a request were chosen and why the others were not",
+		Short: "Explain, from the gateway that served a request, how its runners were chosen and why the others were not",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			e, err := o.client().Explain(cmd.Context(), args[0])
@@ -85,7 +85,7 @@
 	cmd := &cobra.Command{
 		Use:   "timeline [LOG-FILE...]",
 		Short: "Show the events of all processes in causal order",
-		Long:  "Show the events of all processes in causal order. It follows the messages between\nthe processes, since the clocks of instances may differ. -o chrome writes a file\nfor a browser's trace viewer. With --from-logs, the events are read from log files\nof `hopwelld ingress`, or from standard input, and are ordered by the clocks of the\nprocesses.",
+		Long:  "Show the events of all processes in causal order. The order is that of the\nmessages between the processes, since the clocks of instances may differ. -o chrome\nwrites the format of a browser's trace viewer. With --from-logs, the events are read\nfrom log files of `hopwelld ingress`, or from standard input, and are ordered by the\nclocks of the processes.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if fromLogs {
 				return o.timelineOfLogs(cmd, args, f)
@@ -106,7 +106,7 @@
 	cmd.Flags().BoolVar(&fromLogs, "from-logs", false, "read log files instead of querying the processes")
 	cmd.Flags().StringVar(&f.Request, "request", "", "only events of this request")
 	cmd.Flags().StringVar(&f.Instance, "instance", "", "only events of or about this instance")
-	cmd.Flags().DurationVar(&since, "since", 0, "only events that are not older than this")
+	cmd.Flags().DurationVar(&since, "since", 0, "only events that are not older than this; not with --from-logs")
 	return cmd
 }
 
--- a/cmd/hopwell/cmds/workspace.go
+++ b/cmd/hopwell/cmds/workspace.go
@@ -29,8 +29,8 @@
 	cmd := &cobra.Command{
 		Use:   "workspace",
 		Short: "Show and change workspaces, their keys and limits",
-		Long: "Workspaces share a fleet. As soon as one exists, every request needs the key of a workspace, as\n" +
-			"`Authorization: Bearer KEY`. `workspace key add` creates a key and shows it once; only its\ndigest is stored.",
+		Long: "Workspaces share a fleet. As soon as one exists, every request to a route that is not\npublic needs the key of a workspace, as `Authorization: Bearer KEY`. `workspace key add`\n" +
+			"creates a key and shows it once; only its digest is stored.",
 	}
 	key := &cobra.Command{Use: "key", Short: "Add and revoke keys"}
 	key.AddCommand(newKeyAdd(o), newKeyRevoke(o))
@@ -80,8 +80,8 @@
 	cmd := &cobra.Command{
 		Use:   "set NAME",
 		Short: "Add a workspace, or change its limit and priority",
-		Long: "Add a workspace, or change the values of one that the flags set; its keys stay. If another\n" +
-			"operator changes the same workspace in the meantime, the command fails with a conflict and\nchanges nothing.",
+		Long: "Add a workspace, or change those values of an existing one that are given by flags. Its keys\n" +
+			"remain. If another operator changes the same workspace in the meantime, the command fails\nwith a conflict and changes nothing.",
 		Example: "  hopwell workspace set lexicon --rate 60000 --burst 60000 --wait 5s",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -109,9 +109,9 @@
 	f.add(cmd)
 	cmd.Flags().StringVar(&unit, "unit", string(workspace.Tokens), "what the limit counts: tokens or requests")
 	cmd.Flags().Float64Var(&set.Rate, "rate", 0, "units per second that the workspace may use at all gateways together; 0 for no limit")
-	cmd.Flags().Float64Var(&set.Burst, "burst", 0, "units that it may use at once in addition to the rate")
+	cmd.Flags().Float64Var(&set.Burst, "burst", 0, "units above the rate that it may use in a burst")
 	cmd.Flags().Float64Var(&set.PlainTokens, "plain-tokens", 0, "tokens charged for a request that has no token count")
-	cmd.Flags().IntVar(&priority, "priority", 0, "priority of its requests, 0 is the highest (default the priority of the selectors)")
+	cmd.Flags().IntVar(&priority, "priority", 0, "priority of its requests, 0 is the highest (default the priority of the selector that the request matches)")
 	return cmd
 }
 
@@ -210,7 +210,7 @@
 func newWorkspaceUsage(o *options) *cobra.Command {
 	return &cobra.Command{
 		Use:   "usage",
-		Short: "Show what each gateway spent for recent workspaces since it started, and what is left",
+		Short: "Show for each gateway the units used by recently active workspaces since the gateway started, and the units available",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			usage, err := o.client().Usage(cmd.Context())
--- a/cmd/hopwelld/cmds/demo_ingress.go
+++ b/cmd/hopwelld/cmds/demo_ingress.go
@@ -36,7 +36,7 @@
 		Long: "Run ingresses in front of fakes of the platform's store, of model engines and of\n" +
 			"plain runners in one process on loopback, with clients that send requests all the\n" +
 			"time. The state is printed every few seconds and served as text at the address of\n" +
-			"--view. Faults are injected at random, or by POST /faults/FAULT?target=NAME&for=5s there.",
+			"--view. With --faults, faults are injected at random.\nPOST /faults/FAULT?target=NAME&for=5s at that address injects one.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGINT, syscall.SIGTERM)
--- a/cmd/hopwelld/cmds/ingress.go
+++ b/cmd/hopwelld/cmds/ingress.go
@@ -20,7 +20,7 @@
 	var file, variable string
 	cmd := &cobra.Command{
 		Use:   "ingress",
-		Short: "Run an ingress in front of engines that control admission themselves",
+		Short: "Run an ingress in front of runners that control admission themselves",
 		Long:  "Run an ingress, which serves the routes of the settings in front of runners that\ncontrol admission themselves and have no sidecars. SIGTERM starts a planned stop, a\nsecond SIGTERM stops the process at once. SIGHUP reloads the settings; they are also\nreloaded when the file changes.",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
--- a/pkg/decisionlog/story.go
+++ b/pkg/decisionlog/story.go
@@ -57,17 +57,17 @@
 // collectContext selects the lines about the state of the request's processes and runners.
 // Of the config lines, it selects only the one for the version that the request was served
 // with.
-func (s *Explanation) collectContext(lines []Line) {
+func (e *Explanation) collectContext(lines []Line) {
 	var processes, runners []string
-	for i := range s.Lines {
-		processes = append(processes, s.Lines[i].Process)
+	for i := range e.Lines {
+		processes = append(processes, e.Lines[i].Process)
 		for _, key := range []string{"runner", "decode", "prefill"} {
-			if r := s.Lines[i].Get(key); r != "" {
+			if r := e.Lines[i].Get(key); r != "" {
 				runners = append(runners, r)
 			}
 		}
 	}
-	last := &s.Lines[len(s.Lines)-1]
+	last := &e.Lines[len(e.Lines)-1]
 	end, version := last.Time, last.Get("version")
 	for i := range lines {
 		l := &lines[i]
@@ -79,7 +79,7 @@
 		}
 		about := l.Get("runner")
 		if l.Kind == KindProcess || l.Kind == KindState && (about == "" || slices.Contains(runners, about)) {
-			s.Context = append(s.Context, *l)
+			e.Context = append(e.Context, *l)
 		}
 	}
 }
@@ -88,40 +88,40 @@
 var causeEvents = []string{"store_lost", "runner_leaving", "runner_gone", "runner_leaving_told", "runner_pause_begins"}
 
 // summarize sets Outcome and Cause.
-func (s *Explanation) summarize() {
-	last := &s.Lines[len(s.Lines)-1]
+func (e *Explanation) summarize() {
+	last := &e.Lines[len(e.Lines)-1]
 	if last.Event != "request_end" {
-		s.Outcome = "not ended in this log"
-		s.Cause = "the process ended, or its last lines were dropped; last step " + last.Event
+		e.Outcome = "not ended in this log"
+		e.Cause = "the process ended, its last lines were dropped, or the request is still in progress; last step " + last.Event
 		return
 	}
-	s.Outcome = last.Get("outcome") + ", status " + last.Get("status") + ", after " + last.Get("took")
-	s.Cause = last.Get("error")
-	if s.Cause == "" {
-		s.Cause = "none: the runner's response was forwarded"
+	e.Outcome = last.Get("outcome") + ", status " + last.Get("status") + ", after " + last.Get("took")
+	e.Cause = last.Get("error")
+	if e.Cause == "" {
+		e.Cause = "none: the runner's response was forwarded"
 	}
-	for i := range s.Lines[:len(s.Lines)-1] {
-		if l := &s.Lines[i]; l.Kind == KindFailed {
-			s.Cause += fmt.Sprintf("\n  before that, at %s: %s at %s: %s", l.Get("at"), l.Event, l.Get("runner"), l.Get("error"))
+	for i := range e.Lines[:len(e.Lines)-1] {
+		if l := &e.Lines[i]; l.Kind == KindFailed {
+			e.Cause += fmt.Sprintf("\n  before that, at %s: %s at %s: %s", l.Get("at"), l.Event, l.Get("runner"), l.Get("error"))
 		}
 	}
-	for i := range s.Context {
-		if l := &s.Context[i]; slices.Contains(causeEvents, l.Event) {
-			s.Cause += "\n  meanwhile: " + l.String()
+	for i := range e.Context {
+		if l := &e.Context[i]; slices.Contains(causeEvents, l.Event) {
+			e.Cause += "\n  meanwhile: " + l.String()
 		}
 	}
 }
 
 // Write writes the explanation as text for people.
-func (s *Explanation) Write(w io.Writer) {
-	fmt.Fprintf(w, "request %s\noutcome %s\ncause   %s\n\nway:\n", s.ID, s.Outcome, s.Cause)
-	for i := range s.Lines {
-		fmt.Fprintln(w, "  "+s.Lines[i].String())
+func (e *Explanation) Write(w io.Writer) {
+	fmt.Fprintf(w, "request %s\noutcome %s\ncause   %s\n\nsteps:\n", e.ID, e.Outcome, e.Cause)
+	for i := range e.Lines {
+		fmt.Fprintln(w, "  "+e.Lines[i].String())
 	}
-	if len(s.Context) > 0 {
+	if len(e.Context) > 0 {
 		fmt.Fprintf(w, "\nstate changes and events in its processes in the %s before its end:\n", contextBefore)
 	}
-	for i := range s.Context {
-		fmt.Fprintln(w, "  "+s.Context[i].String())
+	for i := range e.Context {
+		fmt.Fprintln(w, "  "+e.Context[i].String())
 	}
 }
--- a/pkg/losses/losses.go
+++ b/pkg/losses/losses.go
@@ -139,7 +139,7 @@
 		l.Requests = append(l.Requests, Request{
 			ID: line.Get("request"), Process: line.Process, Service: line.Get("service"), Generation: true,
 			Arrived: line.Time.Add(-l.duration(line, "at")), Cause: GatewayLost,
-			Why: "no end in the log; decoding at " + line.Get("runner") + " since " + line.Time.Format("15:04:05.000"),
+			Why: "no request_end line in the log; decoding at " + line.Get("runner") + " since " + line.Time.Format("15:04:05.000"),
 		})
 	}
 	slices.SortFunc(l.Requests, func(a, b Request) int {
--- a/pkg/losses/losses_test.go
+++ b/pkg/losses/losses_test.go
@@ -69,7 +69,7 @@
 	r := newReport(t, sample)
 	var out strings.Builder
 	g.Expect(r.Write(&out)).To(Succeed())
-	g.Expect(out.String()).To(ContainSubstring("1 fields could not be read"))
+	g.Expect(out.String()).To(ContainSubstring("1 fields could not be parsed"))
 	g.Expect(out.String()).To(MatchRegexp(`all\s+7\s+1\s+0.14`))
 }
 
--- a/pkg/losses/text.go
+++ b/pkg/losses/text.go
@@ -12,7 +12,7 @@
 func (r *Report) Write(w io.Writer) error {
 	fmt.Fprintf(w, "from %s, windows of %s, requests by time of arrival on the gateways' clocks\n", r.Start.Format("15:04:05.000"), r.Length)
 	if n := r.log.Malformed; n > 0 {
-		fmt.Fprintf(w, "%d fields could not be read and count as 0\n", n)
+		fmt.Fprintf(w, "%d fields could not be parsed and count as 0\n", n)
 	}
 	out := tabwriter.NewWriter(w, 0, 8, 2, ' ', tabwriter.AlignRight)
 	r.writeCounts(out, "GENERATIONS", func(w *Window) *Count { return &w.Generations })
@@ -88,7 +88,7 @@
 
 // WriteLost lists the lost requests of a window with their arrival times and causes.
 func (r *Report) WriteLost(w io.Writer, window Window) error {
-	fmt.Fprintf(w, "\nlost requests that arrived in the %s from %s\n", r.Length, window.From)
+	fmt.Fprintf(w, "\nlost requests that arrived in the window of %s that starts at %s\n", r.Length, window.From)
 	out := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 	for _, q := range r.Lost(window) {
 		kind := "lookup"
--- a/pkg/opclient/usage.go
+++ b/pkg/opclient/usage.go
@@ -6,7 +6,7 @@
 	"github.com/hopwell/hopwell/pkg/admin"
 )
 
-// Usage returns the usage of workspaces at all gateways.
+// Usage returns the usage of workspaces at all gateways that respond.
 func (c *Client) Usage(ctx context.Context) ([]admin.Usage, error) {
 	results, err := queryAll[[]admin.Usage](ctx, c, admin.PathUsage)
 	if err != nil {
--- a/pkg/routetable/routetable_test.go
+++ b/pkg/routetable/routetable_test.go
@@ -31,7 +31,7 @@
 	g.Expect(table.Match("c.example", "/x/")).To(BeNil())
 }
 
-func TestInvalidRouteNamesField(t *testing.T) {
+func TestErrorOfInvalidRouteHasField(t *testing.T) {
 	g := NewWithT(t)
 	for field, invalidate := range map[string]func(*Route){
 		"path prefix": func(r *Route) { r.PathPrefix = "x" },
--- a/pkg/upstream/forgetful.go
+++ b/pkg/upstream/forgetful.go
@@ -21,25 +21,26 @@
 	expires time.Time
 }
 
-// limit returns how long a connection to an address may be idle before reuse.
-func (f idleLimits) limit(address string, now time.Time) time.Duration {
-	if r, ok := f[address]; ok && now.Before(r.expires) {
+// limit returns how long a connection to an address may be idle before reuse. It returns the
+// maximum duration if there is no limit.
+func (l idleLimits) limit(address string, now time.Time) time.Duration {
+	if r, ok := l[address]; ok && now.Before(r.expires) {
 		return r.limit
 	}
 	return time.Duration(1<<63 - 1)
 }
 
 // record lowers the limit after a request failed on a connection that had been idle for idleFor.
-func (f idleLimits) record(address string, idleFor time.Duration, now time.Time) {
-	limit := min(f.limit(address, now), time.Duration(idleLimitFactor*float64(idleFor)))
-	f[address] = idleLimit{limit: limit, expires: now.Add(idleLimitTTL)}
+func (l idleLimits) record(address string, idleFor time.Duration, now time.Time) {
+	limit := min(l.limit(address, now), time.Duration(idleLimitFactor*float64(idleFor)))
+	l[address] = idleLimit{limit: limit, expires: now.Add(idleLimitTTL)}
 }
 
 // sweep removes expired limits.
-func (f idleLimits) sweep(now time.Time) {
-	for address, r := range f {
+func (l idleLimits) sweep(now time.Time) {
+	for address, r := range l {
 		if !now.Before(r.expires) {
-			delete(f, address)
+			delete(l, address)
 		}
 	}
 }
--- a/pkg/upstream/upstream_test.go
+++ b/pkg/upstream/upstream_test.go
@@ -413,14 +413,14 @@
 
 func TestContextCancellationClosesConnection(t *testing.T) {
 	g := NewWithT(t)
-	read, gone := make(chan struct{}), make(chan struct{})
+	read, closed := make(chan struct{}), make(chan struct{})
 	s := serve(t, func(_ int, _ net.Conn, in *bufio.Reader) {
 		if _, err := http.ReadRequest(in); err != nil {
 			return
 		}
 		close(read)
 		_, _ = io.Copy(io.Discard, in)
-		close(gone)
+		close(closed)
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
@@ -429,5 +429,5 @@
 	}()
 	_, err := newClient().Do(ctx, s.address, &Request{Method: "GET", Target: "/", Host: "h"})
 	g.Expect(err).To(HaveOccurred())
-	g.Eventually(gone, "20s").Should(BeClosed())
+	g.Eventually(closed, "20s").Should(BeClosed())
 }
