--- a/cmd/hopwelld/cmds/ingress.go
+++ b/cmd/hopwelld/cmds/ingress.go
@@ -20,14 +20,14 @@
 	var file, variable string
 	cmd := &cobra.Command{
 		Use:   "ingress",
-		Short: "Run an ingress in front of engines that control admission themselves",
+		Short: "Run an ingress in front of runners that control admission themselves",
 		Long:  "Run an ingress, which serves the routes of the settings in front of runners that\ncontrol admission themselves and have no sidecars. SIGTERM starts a planned stop, a\nsecond SIGTERM stops the process at once. SIGHUP reloads the settings; they are also\nreloaded when the file changes.",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			if variable != "" {
 				file = os.Getenv(variable)
 			}
-			// Signals are handled before the settings are loaded, since an unhandled signal
+			// Signals are registered before the settings are loaded, since an unregistered signal
 			// ends the process.
 			signals := make(chan os.Signal, 4)
 			signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
@@ -52,7 +52,7 @@
 }
 
 // serveIngress handles signals and changes of the settings file until the planned stop
-// is over. A second stop signal ends it at once.
+// is over. A second stop signal ends the planned stop at once.
 func serveIngress(p *process.Ingress, file string, signals <-chan os.Signal) {
 	poll := time.NewTicker(settingsPollInterval)
 	defer poll.Stop()
