--- a/pkg/claim/claim.go
+++ b/pkg/claim/claim.go
@@ -1,6 +1,6 @@
-// Package claim ensures that the idempotency key of a request that must not be
-// repeated is claimed by at most one request in the fleet, across gateways,
-// crashes and outages. Claims are stored in the platform's key-value service.
+// Package claim ensures that at most one of all requests with the same idempotency
+// key runs in the fleet, across gateways, crashes and outages, if the requests must
+// not be repeated. Claims are stored in the platform's key-value service.
 // They are written in groups, so that the write rate does not grow with the
 // traffic. All claims of a shard are committed by compare-and-swap on the shard's
 // single head key, so they stay correct with concurrent writers.
@@ -18,7 +18,8 @@
 const (
 	// Shards is the number of head keys. It must be the same in all processes.
 	Shards = 4
-	// Keep is the time for which a key stays claimed.
+	// Keep is the minimum time for which a key stays claimed. Claims expire only
+	// in sealed blocks.
 	Keep = time.Hour
 	// Interval is the minimum time between the starts of two group commits of
 	// one shard: 4 shards write at most 40 times per second.
@@ -53,10 +54,10 @@
 type Claimer interface {
 	// Claim claims the key for the request unless another request holds it, and
 	// returns the holder. After *ErrUnsettled the claim may have been committed.
-	Claim(ctx context.Context, k Key, request string) (holder string, err error)
+	Claim(ctx context.Context, k Key, requestID string) (holder string, err error)
 	// Release releases a key that the request holds. The caller must be certain
 	// that the request did not run and never will.
-	Release(ctx context.Context, k Key, request string) error
+	Release(ctx context.Context, k Key, requestID string) error
 }
 
 // Store claims keys in the key-value service.
@@ -74,15 +75,15 @@
 }
 
 // Claim implements Claimer.
-func (s *Store) Claim(ctx context.Context, k Key, request string) (string, error) {
-	return s.shards[k.Shard()].submit(ctx, op{key: k, request: request})
+func (s *Store) Claim(ctx context.Context, k Key, requestID string) (string, error) {
+	return s.shards[k.Shard()].submit(ctx, op{key: k, requestID: requestID})
 }
 
 // Release implements Claimer. It retries until it succeeds or the context ends,
-// so that a release outlasts an outage of the key-value service.
-func (s *Store) Release(ctx context.Context, k Key, request string) error {
+// so that a release succeeds after an outage of the key-value service.
+func (s *Store) Release(ctx context.Context, k Key, requestID string) error {
 	for {
-		_, err := s.shards[k.Shard()].submit(ctx, op{key: k, request: request, release: true})
+		_, err := s.shards[k.Shard()].submit(ctx, op{key: k, requestID: requestID, release: true})
 		if err == nil {
 			return nil
 		}
--- a/pkg/claim/claim_test.go
+++ b/pkg/claim/claim_test.go
@@ -55,7 +55,7 @@
 }
 
 // checkHolder checks the holder that a claim returned. Once a response has named
-// the holder of a key, it must not change. Before that, the holder must be the
+// the holder of a key, the holder must not change. Before that, the holder must be the
 // request itself or one whose claim has an unknown outcome.
 func (m *claimMachine) checkHolder(t *rapid.T, k Key, id, got string) {
 	if have := m.holder[k]; have != "" {
--- a/pkg/claim/shard.go
+++ b/pkg/claim/shard.go
@@ -21,10 +21,10 @@
 
 // op is a claim or release that waits to be committed.
 type op struct {
-	key     Key
-	request string
-	release bool
-	reply   chan result
+	key       Key
+	requestID string
+	release   bool
+	reply     chan result
 }
 
 type result struct {
@@ -124,9 +124,9 @@
 }
 
 // tryCommit applies a group to the cached head and writes the result by
-// compare-and-swap. A group that changes nothing needs no write. Two results need
-// a head that was just read, since another process may have changed it: that
-// another request holds a key, and that a release has nothing to remove.
+// compare-and-swap. A group that changes nothing needs no write. Before
+// it reports that another request holds a key, or that a release found nothing to
+// remove, it reads the head again, since another process may have changed it.
 func (s *shard) tryCommit(group []op) ([]result, error) {
 	fresh := s.head == nil
 	if fresh {
@@ -135,8 +135,8 @@
 		}
 	}
 	next := proto.Clone(s.head).(*wirepb.ClaimHead)
-	results, changed, refused := s.applyAll(next, group)
-	if refused && !fresh {
+	results, changed, needsFreshHead := s.applyAll(next, group)
+	if needsFreshHead && !fresh {
 		s.head = nil
 		return s.tryCommit(group)
 	}
@@ -151,18 +151,19 @@
 	return results, s.swap(next)
 }
 
-// applyAll applies a group to a head. Refused reports whether any key was held by
-// another request, or any release found nothing to remove.
-func (s *shard) applyAll(head *wirepb.ClaimHead, group []op) (results []result, changed, refused bool) {
+// applyAll applies a group to a head. NeedsFreshHead reports whether any key was
+// held by another request, or any release found nothing to remove. These results are
+// valid only for a head that was just read.
+func (s *shard) applyAll(head *wirepb.ClaimHead, group []op) (results []result, changed, needsFreshHead bool) {
 	results = make([]result, len(group))
 	for i, o := range group {
 		holder, wrote := s.apply(head, o)
 		results[i].holder = holder
 		changed = changed || wrote
 		nothingReleased := o.release && !wrote
-		refused = refused || nothingReleased || holder != "" && holder != o.request
+		needsFreshHead = needsFreshHead || nothingReleased || holder != "" && holder != o.requestID
 	}
-	return results, changed, refused
+	return results, changed, needsFreshHead
 }
 
 // apply applies one operation to a head. Wrote reports whether it modified the
@@ -173,7 +174,7 @@
 		if Key(e.Key) != o.key {
 			continue
 		}
-		if o.release && e.RequestId == o.request {
+		if o.release && e.RequestId == o.requestID {
 			head.Entries = append(head.Entries[:i:i], head.Entries[i+1:]...)
 			return "", true
 		}
@@ -187,8 +188,8 @@
 	if o.release {
 		return "", false
 	}
-	head.Entries = append(head.Entries, &wirepb.ClaimEntry{Key: o.key[:], RequestId: o.request, Unix: time.Now().Unix()})
-	return o.request, true
+	head.Entries = append(head.Entries, &wirepb.ClaimEntry{Key: o.key[:], RequestId: o.requestID, Unix: time.Now().Unix()})
+	return o.requestID, true
 }
 
 // seal moves the older entries of a head to a new block and drops blocks older
--- a/pkg/config/config_test.go
+++ b/pkg/config/config_test.go
@@ -14,7 +14,7 @@
 func TestConfig(t *testing.T) { spectest.Run(t, "config") }
 
 var _ = Describe("settings", func() {
-	It("accept the annotated defaults", func() {
+	It("are accepted in the form of the annotated defaults", func() {
 		_, err := ParseGateway("g.yaml", []byte(GatewayDefault))
 		Expect(err).NotTo(HaveOccurred())
 		_, err = ParseSidecar("s.yaml", []byte(SidecarDefault))
--- a/pkg/config/ingress.go
+++ b/pkg/config/ingress.go
@@ -20,8 +20,8 @@
 	Peers   string `yaml:"peers"`
 }
 
-// RetryBudget bounds how many requests of a service all gateways together send to a second runner:
-// in each Window, the fraction Share of the requests plus Slack requests.
+// RetryBudget bounds the retries of a service's requests on a second runner, summed over all
+// gateways: in each Window, the fraction Share of the requests plus Slack requests.
 type RetryBudget struct {
 	Share  float64        `yaml:"share"`
 	Slack  float64        `yaml:"slack"`
@@ -38,8 +38,8 @@
 	EvacuateWithin fleet.Duration `yaml:"evacuate_within"`
 }
 
-// Bound returns the shortest of these times. If w.FailClosed is set, it also includes
-// w.RevokeWithin.
+// Bound returns the shortest time limit in c, or w.RevokeWithin if w.FailClosed is set and that
+// is shorter.
 func (c *Changes) Bound(w Workspaces) time.Duration {
 	bound := min(c.ConfigWithin.D(), c.DrainWithin.D(), c.EvacuateWithin.D())
 	if w.FailClosed {
@@ -57,15 +57,16 @@
 
 // Workspaces sets how strictly the keys and limits of workspaces are enforced.
 type Workspaces struct {
-	// FailClosed makes the gateway refuse requests whose key may have been revoked: when its
-	// configuration was last confirmed to match the store longer ago than RevokeWithin allows.
+	// FailClosed makes the gateway refuse requests whose key may have been revoked: those that
+	// arrive when the last confirmation that the gateway's configuration matches the store is older
+	// than RevokeWithin.
 	FailClosed   bool           `yaml:"fail_closed"`
 	RevokeWithin fleet.Duration `yaml:"revoke_within"`
 	Quota        Quota          `yaml:"quota"`
 }
 
-// Quota is how much more than its limit a workspace may use in a window, at all gateways
-// together.
+// Quota is the tolerance above a workspace's limit: how much more than the limit the workspace may
+// use in a window, at all gateways together.
 type Quota struct {
 	Window fleet.Duration `yaml:"window"`
 	// Overshoot is a fraction of what the limit allows in the window. Slack is an additional
@@ -84,7 +85,8 @@
 	IdleTime     fleet.Duration `yaml:"idle_time"`
 }
 
-// Ingress is the settings file of `hopwelld ingress`.
+// Ingress is the settings file of `hopwelld ingress`. An ingress is the gateway that this command
+// runs; "gateways" in this file are all such processes.
 type Ingress struct {
 	Instance Instance `yaml:"instance"`
 	// Regions maps each failure domain to its region.
@@ -167,7 +169,7 @@
 }
 
 // minChangeBound is the shortest time limit that Changes accepts. A limit below
-// relay.ShortestBound is met only as long as no relay is lost.
+// relay.ShortestBound is met only as long as no gateway that relays changes to others fails.
 const minChangeBound = 100 * time.Millisecond
 
 func (c *Changes) check() *invalidField {
--- a/pkg/config/load.go
+++ b/pkg/config/load.go
@@ -56,7 +56,7 @@
 	return ParseGateway(file, data)
 }
 
-// ParseGateway parses and checks a gateway's settings. file is the name in errors.
+// ParseGateway parses and checks a gateway's settings. file is the file name to report in errors.
 func ParseGateway(file string, data []byte) (*Gateway, error) {
 	var g Gateway
 	must(yaml.Unmarshal([]byte(GatewayDefault), &g))
@@ -76,7 +76,7 @@
 	return ParseSidecar(file, data)
 }
 
-// ParseSidecar parses and checks a sidecar's settings. file is the name in errors.
+// ParseSidecar parses and checks a sidecar's settings. file is the file name to report in errors.
 func ParseSidecar(file string, data []byte) (*Sidecar, error) {
 	var s Sidecar
 	must(yaml.Unmarshal([]byte(SidecarDefault), &s))
@@ -153,7 +153,7 @@
 	Cause any
 }
 
-// Error implements error.
+// Error returns the text for ErrSettings.Expected.
 func (e *errParser) Error() string { return fmt.Sprintf("readable YAML (%v)", e.Cause) }
 
 // decodeYAML calls the YAML library and converts its panics to errors. The library panics on
@@ -167,7 +167,8 @@
 	return yaml.NewDecoder(bytes.NewReader(data), yaml.Strict()).Decode(into)
 }
 
-// locateValue sets the position and field of e to those of the first key with the value text.
+// locateValue sets the position and field of e to those of the first key whose value is
+// text.
 func (e *ErrSettings) locateValue(data []byte, text string) {
 	for _, t := range lexer.Tokenize(string(data)) {
 		if t.Value != text || t.Prev == nil || t.Prev.Prev == nil {
@@ -208,8 +209,8 @@
 	return nil
 }
 
-// ParseSelectors parses a list of selectors strictly. file is the name in errors. The values are
-// not checked here but when the change is applied.
+// ParseSelectors parses a list of selectors strictly. file is the file name to report in errors. The
+// values are not checked here but by fleet.Document.Apply.
 func ParseSelectors(file string, data []byte) ([]fleet.Selector, error) {
 	var list []fleet.Selector
 	return list, decode(file, data, &list)
--- a/pkg/config/settings.go
+++ b/pkg/config/settings.go
@@ -8,7 +8,8 @@
 )
 
 // Instance gives the name, location and labels of the instance that a process
-// runs on. They come from the settings only.
+// runs on. A process takes these values for itself from its settings only, not from
+// the platform's instance list.
 type Instance struct {
 	Name   string            `yaml:"name"`
 	Domain string            `yaml:"domain"`
@@ -54,10 +55,10 @@
 	Log      string         `yaml:"log"`
 }
 
-// Guesses are the initial values of what a sidecar measures later: PrefillRate
-// in tokens per second, and the time of a decode step, which is StepBase plus
-// StepSlope per stream. LinkRate, the rate in bytes per second at which KV
-// caches leave the engine, is not measured.
+// Guesses are assumed values. A sidecar replaces all of them but LinkRate by
+// measurements. PrefillRate is in tokens per second. The time of a decode step is
+// StepBase plus StepSlope per stream. LinkRate is the rate in bytes per second at
+// which KV caches leave the engine.
 type Guesses struct {
 	PrefillRate float64        `yaml:"prefill_rate"`
 	StepBase    fleet.Duration `yaml:"step_base"`
--- a/pkg/engine/engine.go
+++ b/pkg/engine/engine.go
@@ -60,7 +60,7 @@
 	// Source is the KV cache to import. If nil, the engine runs the prefill itself.
 	Source *Export `json:"source,omitempty"`
 	// Generated is the response so far and Offset its length in tokens. The first
-	// token returned continues it.
+	// new token follows Generated.
 	Generated string `json:"generated,omitempty"`
 	Offset    int    `json:"offset,omitempty"`
 	// MaxTokens limits the length of the whole response, including Offset.
@@ -178,5 +178,6 @@
 }
 
 // PrefillTime is the time after which an engine frees an export that was not
-// imported. The requirements say only that it is "kept for only a few seconds".
+// imported. The users' requirements state only that an export is "kept for only a
+// few seconds".
 const PrefillTime = 5 * time.Second
--- a/pkg/engine/errors.go
+++ b/pkg/engine/errors.go
@@ -33,7 +33,8 @@
 	return fmt.Sprintf("engine refused: code=%s detail=%q", e.Code, e.Detail)
 }
 
-// ErrUnreachable reports that no complete response of a runner arrived.
+// ErrUnreachable reports that no usable response of a runner arrived: none, an
+// incomplete or a malformed one.
 type ErrUnreachable struct {
 	// Address is the address of the runner.
 	Address string
--- a/pkg/engine/http.go
+++ b/pkg/engine/http.go
@@ -26,7 +26,8 @@
 	PathAssign   = "/engine/assign"
 )
 
-// Step is one line of the response to a decode.
+// Step is one line of the response to a decode. It is not a decode step of the
+// engine's batch.
 type Step struct {
 	// Imported is set on the line that reports the import of the KV cache.
 	Imported bool `json:"imported,omitempty"`
@@ -47,7 +48,7 @@
 const maxLineBytes = 1 << 20
 
 // Client implements Engine over a model engine's HTTP API. It uses net/http,
-// because nbhttp's client returns a response only when it is complete.
+// because the client of package nbhttp, which the servers use, returns a response only when it is complete.
 type Client struct {
 	base string
 	http *http.Client
--- a/pkg/fleet/document.go
+++ b/pkg/fleet/document.go
@@ -48,9 +48,11 @@
 type Change struct {
 	// ID is unique to the change; sending the change again has no further effect.
 	ID string `json:"id"`
-	// Base is the revision that the change was made from.
+	// Base is the revision of the document that the operator read before making the
+	// change.
 	Base uint64 `json:"base"`
-	// SetLabels sets labels by instance; an empty value removes one.
+	// SetLabels sets labels by instance. An empty value removes the label, also one
+	// that the platform set.
 	SetLabels map[string]Labels `json:"set_labels,omitempty"`
 	// Apply adds or replaces selectors, Delete removes them by name.
 	Apply  []Selector `json:"apply,omitempty"`
@@ -140,9 +142,10 @@
 	return 0, false
 }
 
-// Apply returns the next document. A change with an older base is rebased if
+// Apply returns the next document. A change with an older base is applied to d if
 // nothing that it touches was written since its base. Otherwise Apply returns
-// *ErrConflict, with both values if Recent covers the base. If the change ID was
+// *ErrConflict, with the current and the requested value of the item if Recent
+// covers the base. If the change ID was
 // accepted before, Apply returns d itself. Other errors are *ErrSelector,
 // *ErrMatch, *ErrLabel, *ErrUnknownSelector, *workspace.ErrWorkspace,
 // *ErrUnknownWorkspace and *ErrDomain.
--- a/pkg/fleet/errors.go
+++ b/pkg/fleet/errors.go
@@ -48,10 +48,11 @@
 // ErrConflict reports that a change can't be rebased: another change wrote the
 // same item after the change's base, or Document.Recent does not cover the base.
 type ErrConflict struct {
-	// Base is the revision that the change was made from, Revision the current one.
+	// Base is the revision of the document that the operator read before making the
+	// change, Revision the current one.
 	Base, Revision uint64
-	// Touched is the item that both changes write. It is empty if Base is too old to
-	// tell, or newer than Revision.
+	// Touched is the item that both changes write. It is empty if Document.Recent does
+	// not cover Base, or if Base is newer than Revision.
 	Touched string
 	// By is the ID of the other change.
 	By string
--- a/pkg/fleet/fleet_test.go
+++ b/pkg/fleet/fleet_test.go
@@ -58,6 +58,7 @@
 		}
 		return out
 	}
+	// leaving also returns true for an instance that is not a member.
 	leaving := func(m *fleet.Membership, name string) bool {
 		for _, in := range m.Members() {
 			if in.Name == name {
@@ -66,7 +67,7 @@
 		}
 		return true
 	}
-	It("marks a responding instance that a plausible list omits as leaving", func() {
+	It("marks an instance as leaving if a plausible list omits it, even if it responds", func() {
 		m := fleet.NewMembership()
 		m.Observe(list("a", "b", "c"), now)
 		m.Seen("a", 1, false, now)
@@ -151,12 +152,14 @@
 	m.apply(t, c, in+"/"+key, value, base)
 }
 
-func (m *docMachine) apply(t *rapid.T, c *fleet.Change, what, value string, base *fleet.Document) {
+// apply applies a change of one label. The item is INSTANCE/KEY; both names have one
+// byte.
+func (m *docMachine) apply(t *rapid.T, c *fleet.Change, item, value string, base *fleet.Document) {
 	next, err := m.doc.Apply(c)
-	touched := base.Labels[what[:1]][what[2:]] != m.doc.Labels[what[:1]][what[2:]]
+	changedSince := base.Labels[item[:1]][item[2:]] != m.doc.Labels[item[:1]][item[2:]]
 	var conflict *fleet.ErrConflict
-	if touched && !errors.As(err, &conflict) {
-		t.Fatalf("%s changed since revision %d, but the change was accepted", what, base.Revision)
+	if changedSince && !errors.As(err, &conflict) {
+		t.Fatalf("%s changed since revision %d, but the change was accepted", item, base.Revision)
 	}
 	if err != nil {
 		return
@@ -166,7 +169,7 @@
 	}
 	m.doc = next
 	m.history = append(m.history, next)
-	m.labels[what] = value
+	m.labels[item] = value
 }
 
 // repeat applies an accepted change again, as a sender does after a lost response.
--- a/pkg/fleet/labels.go
+++ b/pkg/fleet/labels.go
@@ -51,8 +51,8 @@
 	return strings.ContainsRune("-_./:", r)
 }
 
-// ValidInstance reports whether s is valid as the name of an instance, failure
-// domain or region.
+// ValidInstance reports whether s is valid as the name of a location: an instance,
+// a failure domain or a region. Unlike other names it contains no slash.
 func ValidInstance(s string) bool { return validName(s) && !strings.Contains(s, "/") }
 
 // ValidLabel reports whether key and value are valid for a label in an instance's
--- a/pkg/fleet/membership.go
+++ b/pkg/fleet/membership.go
@@ -10,7 +10,8 @@
 // Time limits of the membership rules.
 const (
 	// MissingGrace is how long an instance may get new work after the last list
-	// that showed it, even if it still responds.
+	// that showed it, even if it still responds. The limit does not apply to an
+	// instance that responds while the lists are implausible.
 	MissingGrace = 3 * time.Second
 	// AnswerGrace is how long after its last response an instance counts as alive.
 	AnswerGrace = 10 * time.Second
@@ -122,7 +123,8 @@
 
 // Seen records a response of an instance. An epoch older than the newest one
 // seen belongs to a process that was replaced: Seen then returns false, and the
-// caller must not use the response. A newer epoch belongs to a new process, to
+// caller must not use the response. Seen returns true for an instance that is not a
+// member. A newer epoch belongs to a new process, to
 // which an earlier report of leaving does not apply.
 func (m *Membership) Seen(name string, epoch uint64, leaving bool, now time.Time) bool {
 	m.mu.Lock()
@@ -159,7 +161,7 @@
 }
 
 // Change returns the number of membership changes so far. Callers rebuild a View
-// only if it differs.
+// only if the number has changed since they built it.
 func (m *Membership) Change() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/pkg/fleet/selector.go
+++ b/pkg/fleet/selector.go
@@ -44,7 +44,7 @@
 	// NotRepeatable marks requests that must run at most once.
 	NotRepeatable bool `yaml:"not_repeatable,omitempty" json:"not_repeatable,omitempty"`
 	// Priority orders request kinds when capacity is short; higher values are
-	// served first.
+	// served first. Workspace.Priority has the opposite order.
 	Priority int `yaml:"priority,omitempty" json:"priority,omitempty"`
 }
 
--- a/pkg/fleet/view.go
+++ b/pkg/fleet/view.go
@@ -67,8 +67,8 @@
 }
 
 // Grants returns a grant for each member that may serve requests of a kind and
-// model in a role, in name order. It leaves out members that are leaving or in an
-// evacuated domain. The caller must not change the result.
+// model in a role, in name order. It leaves out members that are not sidecars, are
+// leaving or are in an evacuated domain. The caller must not change the result.
 func (v *View) Grants(kind, model string, role Role) []Grant {
 	key := grantKey{kind, model, role}
 	v.mu.RLock()
@@ -91,8 +91,8 @@
 
 // PrefillOnly returns grants for the members that may prefill requests of a kind
 // and model but not decode them. If there are none, it returns all members that
-// may prefill. Members with both roles prefill only for requests that they decode
-// themselves, when the prefill-only members have no capacity in time.
+// may prefill. The gateway uses a member with both roles for prefill only if no
+// prefill-only member has capacity in time, and then decodes on the same member.
 func (v *View) PrefillOnly(kind, model string) []Grant {
 	return v.Grants(kind, model, rolePrefillOnly)
 }
@@ -142,7 +142,7 @@
 }
 
 // preferredSelector returns the first selector for requests of a kind, model and role
-// whose index passes. A selector for the kind itself takes precedence over one for
+// for whose index passes returns true. A selector for the kind itself takes precedence over one for
 // AnyKind.
 func (d *Document) preferredSelector(kind, model string, role Role, passes func(i int) bool) *Selector {
 	var wildcard *Selector
@@ -184,9 +184,9 @@
 // Evacuated reports whether a member's failure domain is evacuated.
 func (v *View) Evacuated(m *Member) bool { return v.Doc.evacuated(m.Domain) }
 
-// Check compares the views before and after a change. It returns *ErrNoRunner if
-// a selector of before has a kind, model and role for which before grants a member
-// and after grants none.
+// Check compares the views before and after a change. It returns *ErrNoRunner if a
+// kind, model and role of a selector in the first view had a grant there and has
+// none in the second view.
 func Check(before, after *View) error {
 	for i := range before.Doc.Selectors {
 		s := &before.Doc.Selectors[i]
--- a/pkg/fleet/workspace.go
+++ b/pkg/fleet/workspace.go
@@ -14,12 +14,13 @@
 	Name string `json:"name"`
 	// Keys are the digests of the workspace's keys, in hex. The keys themselves are not stored.
 	Keys []string `json:"keys"`
-	// Priority ranks the workspace's requests, 0 first; if absent, the selectors' priority
-	// applies.
+	// Priority ranks the workspace's requests: smaller values are served first, unlike
+	// Selector.Priority. Gateways order requests by Selector.Priority only.
 	Priority *int `json:"priority,omitempty"`
 	// Unit is "tokens" or "requests". Rate is how many units the workspace may use per
 	// second, 0 for no limit. Burst is how many more it may use at once. PlainTokens is the
-	// cost of a request without a number of tokens, in tokens.
+	// cost, in tokens, of a request that states neither the length of its prompt nor the
+	// maximum length of its response.
 	Unit        workspace.Unit `json:"unit"`
 	Rate        float64        `json:"rate"`
 	Burst       float64        `json:"burst"`
@@ -51,7 +52,7 @@
 	return workspace.NewDirectory(list)
 }
 
-// convert returns w as a workspace of a directory. Errors are *workspace.ErrWorkspace.
+// convert converts w to the type of package workspace. Errors are *workspace.ErrWorkspace.
 func (w *Workspace) convert() (workspace.Workspace, error) {
 	out := workspace.Workspace{
 		Name: w.Name, Priority: w.Priority,
--- a/pkg/gossip/agent.go
+++ b/pkg/gossip/agent.go
@@ -61,8 +61,8 @@
 }
 
 // watch watches the document in the key-value service, with exponential backoff
-// during an outage. Backoff is enough, since the first process that reaches the
-// service again pushes a new document to its peers.
+// during an outage. A long backoff does not delay changes much, since the first
+// process that reaches the service again pushes a new document to its peers.
 func (a *Agent) watch(ctx context.Context) {
 	var version uint64
 	retry := watchRetry
@@ -78,8 +78,8 @@
 	}
 }
 
-// offer offers a document to the keeper and confirms the present one unless the
-// offer fails.
+// offer offers a document to the keeper. Unless the offer fails, it then records the
+// time as that of the last comparison.
 func (a *Agent) offer(data []byte) {
 	if _, err := a.keeper.Offer(data); err != nil {
 		a.log.Warn("document refused", err)
@@ -132,15 +132,15 @@
 // exchangePeriodically exchanges with one random peer about every
 // exchangeInterval. Until the process has a document, it exchanges with
 // bootstrapPeers peers four times as often. A process that starts during an outage
-// thus gets the newest document that any of them has.
+// thus gets the newest document of the peers that it reached.
 func (a *Agent) exchangePeriodically(ctx context.Context) {
 	for ctx.Err() == nil {
 		n := 1
-		if _, known := a.keeper.Digest(); !known {
+		if _, hasDocument := a.keeper.Digest(); !hasDocument {
 			n = bootstrapPeers
 		}
 		a.Push(ctx, n)
-		if _, known := a.keeper.Digest(); !known {
+		if _, hasDocument := a.keeper.Digest(); !hasDocument {
 			a.sleep(ctx, exchangeInterval/4)
 			continue
 		}
@@ -157,7 +157,8 @@
 }
 
 // Exchange compares revisions with one peer. The side with the older document
-// receives the newer one.
+// receives the newer one. It makes up to two calls to the peer: the first sends our
+// digest, the second sends our document if that is newer.
 func (a *Agent) Exchange(ctx context.Context, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -184,11 +185,11 @@
 	if document != nil {
 		a.offer(document)
 	}
-	mine, known := a.keeper.Digest()
-	if known && mine.Revision > theirs.Revision {
+	mine, hasDocument := a.keeper.Digest()
+	if hasDocument && mine.Revision > theirs.Revision {
 		return mine, a.keeper.Encoded()
 	}
-	if known && mine == theirs {
+	if hasDocument && mine == theirs {
 		a.keeper.Confirm(time.Now())
 	}
 	return mine, nil
--- a/pkg/gossip/change.go
+++ b/pkg/gossip/change.go
@@ -20,7 +20,8 @@
 // compare-and-swap, pushes the new document to peers, and then returns. After a
 // lost response it reads the document again and searches it for the change's ID.
 //
-// It returns the errors of fleet.Document.Apply, of check and of the key-value
+// Check decides on the documents before and after the change; an error rejects the
+// change. Change returns the errors of fleet.Document.Apply, of check and of the key-value
 // service, and *ErrUnsettled if it is unknown whether the change took effect.
 func (a *Agent) Change(ctx context.Context, c *fleet.Change, check func(before, after *fleet.Document) error) (*fleet.Document, error) {
 	mayHaveCommitted := false
@@ -29,8 +30,8 @@
 		if try > 0 {
 			a.sleep(ctx, changeBackoff<<min(try, 4))
 		}
-		next, wrote, err := a.tryChange(ctx, c, check)
-		mayHaveCommitted = mayHaveCommitted || wrote
+		next, mayHaveWritten, err := a.tryChange(ctx, c, check)
+		mayHaveCommitted = mayHaveCommitted || mayHaveWritten
 		if err == nil {
 			return next, nil
 		}
@@ -51,9 +52,9 @@
 	return errors.As(err, &down) || platform.IsConflict(err)
 }
 
-// tryChange makes one attempt to read, change and swap the document. Wrote reports
-// whether a swap was sent that may have taken effect.
-func (a *Agent) tryChange(ctx context.Context, c *fleet.Change, check func(before, after *fleet.Document) error) (next *fleet.Document, wrote bool, err error) {
+// tryChange makes one attempt to read, change and swap the document. MayHaveWritten
+// reports whether a swap was sent that may have taken effect.
+func (a *Agent) tryChange(ctx context.Context, c *fleet.Change, check func(before, after *fleet.Document) error) (next *fleet.Document, mayHaveWritten bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	v, err := a.kv.Get(ctx, DocumentKey)
--- a/pkg/gossip/keeper.go
+++ b/pkg/gossip/keeper.go
@@ -60,7 +60,7 @@
 }
 
 // Confirm records that the present document was compared with the key-value
-// service or a peer at that time.
+// service or a peer at the time now.
 func (k *Keeper) Confirm(now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -68,8 +68,8 @@
 }
 
 // Stale reports whether there is no document, or the last comparison is older than
-// limit. The process may then have been suspended or partitioned, and should not
-// act on its document.
+// limit. The process may then have been suspended or partitioned, so callers
+// must not act on its document.
 func (k *Keeper) Stale(now time.Time, limit time.Duration) bool {
 	k.mu.RLock()
 	defer k.mu.RUnlock()
--- a/pkg/httpapi/api.go
+++ b/pkg/httpapi/api.go
@@ -125,15 +125,15 @@
 
 // requestInfo holds the request ID and what the headers of a request state.
 type requestInfo struct {
-	id, kind, workspace, key string
-	notRepeatable            bool
+	id, kind, workspace, idempotencyKey string
+	notRepeatable                       bool
 	// authenticated is set if the workspace comes from a valid API key.
 	authenticated bool
 }
 
-// identify reads the headers of a request. If API keys are in force, the key
-// determines the workspace. It fails with *errRequest or, if API keys are in force,
-// *workspace.ErrCredential.
+// identify reads the headers of a request. If API keys are in force, the API key
+// determines the workspace. It fails with *errRequest, the error of
+// gateway.Workspaces or, if API keys are in force, *workspace.ErrCredential.
 func (a *API) identify(r *http.Request) (requestInfo, error) {
 	c, err := readHeaders(r)
 	if err != nil {
@@ -158,7 +158,7 @@
 func readHeaders(r *http.Request) (requestInfo, error) {
 	c := requestInfo{
 		id:   uuid.NewString(),
-		kind: r.Header.Get(HeaderKind), workspace: r.Header.Get(HeaderWorkspace), key: r.Header.Get(HeaderKey),
+		kind: r.Header.Get(HeaderKind), workspace: r.Header.Get(HeaderWorkspace), idempotencyKey: r.Header.Get(HeaderKey),
 	}
 	switch v := strings.ToLower(r.Header.Get(HeaderRepeatable)); v {
 	case "", "yes", "true":
@@ -176,7 +176,7 @@
 	if len(c.kind) > maxNameBytes || len(c.workspace) > maxNameBytes {
 		return c, badRequest(HeaderKind+", "+HeaderWorkspace, "expected at most 128 bytes")
 	}
-	if len(c.key) > maxKeyBytes {
+	if len(c.idempotencyKey) > maxKeyBytes {
 		return c, badRequest(HeaderKey, "expected at most 256 bytes")
 	}
 	return c, nil
--- a/pkg/httpapi/errors.go
+++ b/pkg/httpapi/errors.go
@@ -57,6 +57,7 @@
 	case errors.As(err, &credential):
 		a.set(http.StatusUnauthorized, "invalid_request_error", "invalid_api_key")
 	case errors.As(err, &quotaErr):
+		// The error type names the exceeded unit, as in the OpenAI API.
 		a.set(http.StatusTooManyRequests, string(quotaErr.Limit.Unit), "rate_limit_exceeded")
 		a.retryAfter = max(quotaErr.After, time.Millisecond)
 	case errors.As(err, &bad):
--- a/pkg/httpapi/generate.go
+++ b/pkg/httpapi/generate.go
@@ -9,7 +9,8 @@
 	"github.com/hopwell/hopwell/pkg/openai"
 )
 
-// job is a generation request in the form that both endpoints share.
+// job is a generation request in the form that /v1/completions and
+// /v1/chat/completions share.
 type job struct {
 	model, prompt, user string
 	maxTokens, n        int
@@ -24,8 +25,8 @@
 	// chunk returns one event of a streamed response; reason is empty except in
 	// the last chunk.
 	chunk(m meta, text, reason string, first bool) any
-	// usage returns the event with the token counts, which ends a stream if the
-	// client set include_usage.
+	// usage returns the event with the token counts. It is the last event before
+	// [DONE] if the client set include_usage.
 	usage(m meta, u openai.Usage) any
 }
 
@@ -95,7 +96,7 @@
 	}
 	req := &gateway.Request{
 		ID: c.id, Workspace: c.workspace, Kind: c.kind, Model: j.model, Prompt: j.prompt,
-		MaxTokens: j.maxTokens, Key: c.key, NotRepeatable: c.notRepeatable,
+		MaxTokens: j.maxTokens, Key: c.idempotencyKey, NotRepeatable: c.notRepeatable,
 	}
 	s := &responseSink{w: w, job: &j, meta: meta{id: c.id, model: j.model, created: created()}}
 	res := a.g.Generate(r.Context(), req, s)
--- a/pkg/httpapi/service.go
+++ b/pkg/httpapi/service.go
@@ -39,7 +39,7 @@
 	res := a.g.Call(r.Context(), &gateway.ServiceRequest{
 		ID: c.id, Workspace: c.workspace, Kind: c.kind, Service: r.PathValue("name"),
 		Method: r.Method, Path: path, Header: header, Body: body,
-		Key: c.key, NotRepeatable: c.notRepeatable,
+		Key: c.idempotencyKey, NotRepeatable: c.notRepeatable,
 	}, s)
 	s.end(&res)
 }
@@ -56,7 +56,8 @@
 }
 
 // serviceSink writes a service's response. It buffers the body and sends it when
-// it is complete, so that a client never takes a part for the whole.
+// it is complete, so that a client never mistakes a truncated body for a
+// complete one.
 type serviceSink struct {
 	w      http.ResponseWriter
 	id     string
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -1,5 +1,5 @@
-// Package node holds what all hopwell processes share, gateways and sidecars: an
-// identity, the newest configuration, a view of the fleet, connections to other
+// Package node contains the parts that every hopwell process has, gateway or sidecar:
+// an identity, the newest configuration, a view of the fleet, connections to other
 // processes, a time line, and the server for calls from other processes.
 package node
 
@@ -46,8 +46,9 @@
 
 // Node is the part of a process that does not depend on its role.
 type Node struct {
-	Self    platform.Instance
-	Epoch   uint64
+	Self  platform.Instance
+	Epoch uint64
+	// Log is the time line.
 	Log     *trace.Log
 	Keeper  *gossip.Keeper
 	Agent   *gossip.Agent
--- a/pkg/node/peers.go
+++ b/pkg/node/peers.go
@@ -51,7 +51,8 @@
 }
 
 // Claim implements wirepb.DRPCPeerServer. This process commits or releases claims
-// on behalf of others, so that many claims share one write to the store.
+// on behalf of others, so that many claims share one write to the
+// key-value service.
 func (p PeerServer) Claim(ctx context.Context, r *wirepb.ClaimRequest) (*wirepb.ClaimReply, error) {
 	if len(r.Key) != len(claim.Key{}) {
 		return &wirepb.ClaimReply{Error: "bad key length"}, nil
--- a/pkg/openai/types.go
+++ b/pkg/openai/types.go
@@ -79,7 +79,8 @@
 	return nil
 }
 
-// part decodes one element of such an array: a string or a text part.
+// part decodes one element of an array that Text is decoded from: a string or a text
+// part.
 func part(data []byte) (string, error) {
 	var s string
 	if json.Unmarshal(data, &s) == nil {
--- a/pkg/platform/http.go
+++ b/pkg/platform/http.go
@@ -36,7 +36,7 @@
 }
 
 // NewClient returns a client of the platform at a base URL. It uses net/http
-// because nbhttp's client can't cancel a watch that is waiting for a change.
+// because the client of package nbhttp, which the servers use, can't cancel a watch that is waiting for a change.
 func NewClient(base string) *Client {
 	return &Client{base: base, http: &http.Client{}}
 }
@@ -80,7 +80,7 @@
 	return resp, data, nil
 }
 
-// unexpectedStatus returns the error for a response that reports no success.
+// unexpectedStatus returns the error for a response with an unexpected status.
 func unexpectedStatus(service, op string, resp *http.Response, data []byte) error {
 	return &ErrUnavailable{Service: service, Op: op, Err: &errStatus{Status: resp.StatusCode, Body: string(data)}}
 }
--- a/pkg/platform/platform.go
+++ b/pkg/platform/platform.go
@@ -34,8 +34,8 @@
 	// is at another version. With a ttl above 0 the value is under a lease of that
 	// time and is deleted when the lease expires.
 	Swap(ctx context.Context, key string, version uint64, data []byte, ttl time.Duration) (uint64, error)
-	// Watch waits until the key's version is above after, for at most wait, and
-	// returns the value at that time.
+	// Watch waits until the key's version is above the version after, for at most
+	// wait, and returns the value at that time.
 	Watch(ctx context.Context, key string, after uint64, wait time.Duration) (Value, error)
 }
 
@@ -60,8 +60,8 @@
 	Admin string `json:"admin"`
 	// Labels are set by the platform when the instance starts.
 	Labels map[string]string `json:"labels,omitempty"`
-	// Leaving is set once the owner has reclaimed the instance; it is stopped at
-	// Deadline.
+	// Leaving is set once the provider reclaims the instance. The provider stops the
+	// instance at Deadline.
 	Leaving  bool      `json:"leaving,omitempty"`
 	Deadline time.Time `json:"deadline,omitzero"`
 }
@@ -75,7 +75,8 @@
 
 // Weights is the platform's weight store. It is rate-limited.
 type Weights interface {
-	// Fetch makes a model's weights available for loading. It fails with
+	// Fetch makes a model's weights available for loading on the caller's instance. It
+	// fails with
 	// *ErrThrottled if the rate limit is exceeded.
 	Fetch(ctx context.Context, model, version, adapter string) error
 }
--- a/pkg/realtest/cost_test.go
+++ b/pkg/realtest/cost_test.go
@@ -55,7 +55,7 @@
 }
 
 // BenchmarkIdle measures an idle fleet: CPU share, bytes read and written and
-// memory per process, and the rate of calls to the key-value service.
+// memory per process, and the rate of calls to the key-value service in the last span.
 func BenchmarkIdle(b *testing.B) {
 	for _, n := range []int{3, 30, 100} {
 		b.Run(fmt.Sprintf("processes=%d", n), func(b *testing.B) {
@@ -96,15 +96,15 @@
 // openRate is the rate at which streams are opened, per second.
 const openRate = 400
 
-// readStreams opens n streams and reads them to their end. It calls opened for each
-// stream: with true after the first token, or with false at the end of a stream
+// readStreams opens n streams and reads them to their end. It calls settled for
+// each stream: with true after the first token, or with false at the end of a stream
 // without tokens. It returns the number of tokens read.
-func readStreams(f *Fleet, n, tokens int, opened func(ok bool)) int {
+func readStreams(f *Fleet, n, tokens int, settled func(ok bool)) int {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: n}}
 	total := make(chan int, n)
 	for i := range n {
 		time.Sleep(time.Second / openRate)
-		go func() { total <- readStream(client, f, i, tokens, opened) }()
+		go func() { total <- readStream(client, f, i, tokens, settled) }()
 	}
 	sum := 0
 	for range n {
@@ -113,11 +113,11 @@
 	return sum
 }
 
-func readStream(client *http.Client, f *Fleet, i, tokens int, opened func(ok bool)) int {
+func readStream(client *http.Client, f *Fleet, i, tokens int, settled func(ok bool)) int {
 	n := 0
 	defer func() {
 		if n == 0 {
-			opened(false)
+			settled(false)
 		}
 	}()
 	body := fmt.Sprintf(`{"model":%q,"prompt":"stream %d","max_tokens":%d,"stream":true}`, demo.Model, i, tokens)
@@ -130,7 +130,7 @@
 	for lines.Scan() {
 		if strings.HasPrefix(lines.Text(), "data: {") {
 			if n++; n == 1 {
-				opened(true)
+				settled(true)
 			}
 		}
 	}
--- a/pkg/realtest/real_test.go
+++ b/pkg/realtest/real_test.go
@@ -101,7 +101,7 @@
 		GinkgoHelper()
 		Eventually(f.Held).WithTimeout(testTimeout).WithPolling(20 * time.Millisecond).Should(BeZero())
 	}
-	streamingDecode := func() string {
+	sidecarWithStream := func() string {
 		for _, name := range []string{"decode-1", "decode-2"} {
 			if f.Engines[name].KVUsed() > 0 {
 				return name
@@ -132,7 +132,7 @@
 			prompt := "sidecar " + sig.String()
 			s := openStream(f.Daemons["gateway-2"].Callers, prompt, 200)
 			Expect(s.next()).To(BeTrue())
-			sidecar := streamingDecode()
+			sidecar := sidecarWithStream()
 			Expect(f.Signal(sidecar, sig)).To(Succeed())
 			Expect(s.rest()).To(Equal(fake.Answer(prompt, 200)))
 			Expect(s.done).To(BeTrue())
@@ -145,7 +145,7 @@
 	It("completes open streams when a gateway and a sidecar shut down on SIGTERM", func() {
 		s := openStream(f.Daemons["gateway-1"].Callers, "planned", 150)
 		Expect(s.next()).To(BeTrue())
-		sidecar := streamingDecode()
+		sidecar := sidecarWithStream()
 		Expect(f.Signal("gateway-1", syscall.SIGTERM)).To(Succeed())
 		Expect(f.Signal(sidecar, syscall.SIGTERM)).To(Succeed())
 		Expect(s.rest()).To(Equal(fake.Answer("planned", 150)))
--- a/pkg/realtest/realtest.go
+++ b/pkg/realtest/realtest.go
@@ -38,6 +38,7 @@
 	KV      *fake.KV
 	List    *fake.List
 	Engines map[string]*fake.Engine
+	// Orders is the fake plain service.
 	Orders  *fake.Service
 	Daemons map[string]*Daemon
 	Client  *opclient.Client
@@ -67,7 +68,8 @@
 	return fmt.Sprintf("build failed: cause=%v output=%s", e.Err, e.Output)
 }
 
-// Size is the number of processes of each kind in a fleet, and their configuration.
+// Size describes a fleet: the number of processes of each kind, the engines and the
+// initial configuration.
 type Size struct {
 	Gateways, Prefills, Decodes, Services int
 	// Engine is the speed and the memory of every engine.
--- a/pkg/route/baselines.go
+++ b/pkg/route/baselines.go
@@ -13,7 +13,7 @@
 }
 
 // nextUsable advances the counter and returns the index of the first usable
-// candidate from there on, or -1 if there is none.
+// candidate (not Shunned) from there on, or -1 if there is none.
 func nextUsable(all []State, last *atomic.Uint64) int {
 	n := int(last.Add(1) % uint64(max(len(all), 1)))
 	for i := range all {
@@ -43,8 +43,8 @@
 
 // CacheAware implements the rule of "sgl-model-gateway and cache-aware routing"
 // (SGLang manual, edition 2026.10). It selects the runner with the longest prefix
-// match if the match rate is above 0.3, and the least loaded runner otherwise or
-// when the load is imbalanced.
+// match if the cached share of the prompt is above 0.3, and the least loaded runner
+// otherwise or when the load is imbalanced.
 type CacheAware struct{}
 
 // Thresholds of the CacheAware rule, from the SGLang manual.
--- a/pkg/route/errors.go
+++ b/pkg/route/errors.go
@@ -14,7 +14,8 @@
 // Error implements error.
 func (e *ErrNoRunner) Error() string { return fmt.Sprintf("no runner: role=%s", e.Role) }
 
-// ErrLate reports that no pair of runners can meet the targets.
+// ErrLate reports that no pair of runners comes within shedFactor times the target
+// for the first token.
 type ErrLate struct {
 	// Estimate is the estimated time to the first token with the best pair and
 	// Target the requested one, in seconds.
@@ -26,8 +27,8 @@
 	return fmt.Sprintf("no pair meets the target: estimate=%.3fs target=%.3fs", e.Estimate, e.Target)
 }
 
-// RetryAfter returns the delay after which a retry may succeed: the time by
-// which the estimate exceeds the target.
+// RetryAfter returns a guess of the delay after which a retry may succeed: the time
+// by which the estimate exceeds the target.
 func (e *ErrLate) RetryAfter() time.Duration {
 	return time.Duration(max(e.Estimate-e.Target, 0) * float64(time.Second))
 }
--- a/pkg/route/hopwell.go
+++ b/pkg/route/hopwell.go
@@ -10,7 +10,8 @@
 	"github.com/hopwell/hopwell/pkg/admission"
 )
 
-// Penalties of the cost function, and the bound on the pairs it is computed for.
+// Penalties of the cost function, and the maximum number of candidates for whose
+// pairs it is computed.
 const (
 	// shortlist is the maximum number of prefill candidates, and of decode
 	// candidates, that are combined into pairs.
@@ -64,7 +65,8 @@
 	return c, nil
 }
 
-// score appends the candidates with the lowest cost to out, at most shortlist.
+// score returns up to shortlist usable candidates (not Shunned) with the lowest cost,
+// in the memory of out, which must be empty.
 func score(out []scored, all []State, cost func(*State) float64) []scored {
 	for i := range all {
 		if all[i].Shunned {
@@ -183,7 +185,9 @@
 	c.Weighed[at] = Weighed{Prefill: s.Prefills[p].Name, Decode: s.Decodes[d].Name, Estimate: e}
 }
 
-// estimate computes the expected times and the cost of a pair.
+// estimate computes the expected times and the cost of a pair. The cost adds
+// decodeCost without its slot wait, because FirstToken already contains the slot
+// wait. The network delay of the decode runner counts in both.
 func estimate(r *Request, p, d *State) Estimate {
 	e := Estimate{PerToken: stepTime(d), Step: stepTime(d), Cached: p.Cached}
 	if !r.Exported {
--- a/pkg/route/policy.go
+++ b/pkg/route/policy.go
@@ -1,9 +1,8 @@
 package route
 
 // Policy selects a pair of runners from the candidates in a Scratch. Choose
-// returns *ErrNoRunner or *ErrLate on failure. Implementations are safe for concurrent use
-// as long as concurrent calls use different
-// Scratches.
+// returns *ErrNoRunner or *ErrLate on failure. Implementations are safe for
+// concurrent use as long as concurrent calls use different Scratches.
 type Policy interface {
 	Choose(r *Request, s *Scratch) (Choice, error)
 }
@@ -34,8 +33,8 @@
 	return nil, &ErrPolicy{Name: name}
 }
 
-// lowestCost returns the index of the candidate with the lowest cost that is not
-// excluded, or -1 if there is none.
+// lowestCost returns the index of the usable candidate with the lowest cost, or -1
+// if there is none. A candidate is usable if it is not Shunned.
 func lowestCost(all []State, cost func(*State) float64) int {
 	best, bestCost := -1, 0.0
 	for i := range all {
--- a/pkg/route/prefixes.go
+++ b/pkg/route/prefixes.go
@@ -63,16 +63,17 @@
 
 func (p *Prefixes) shard(block uint64) *prefixShard { return &p.shards[block%prefixShards] }
 
-// Add records that a prompt with these blocks was sent to a runner.
-func (p *Prefixes) Add(blocks []uint64, runner int) {
+// Add records that a prompt with these blocks was sent to a runner, which is
+// identified by its State.ID.
+func (p *Prefixes) Add(blocks []uint64, runnerID int) {
 	for _, b := range blocks {
-		p.update(b, func(h *holderSet) { h.add(int32(runner)) })
+		p.update(b, func(h *holderSet) { h.add(int32(runnerID)) })
 	}
 }
 
 // Evicted records that a runner evicted a block from its prefix cache.
-func (p *Prefixes) Evicted(block uint64, runner int) {
-	p.update(block, func(h *holderSet) { h.remove(int32(runner)) })
+func (p *Prefixes) Evicted(block uint64, runnerID int) {
+	p.update(block, func(h *holderSet) { h.remove(int32(runnerID)) })
 }
 
 func (p *Prefixes) update(block uint64, change func(*holderSet)) {
@@ -102,8 +103,8 @@
 }
 
 // Fill sets Cached of each candidate to the number of tokens in the leading
-// blocks that the runner probably has cached, at most promptTokens-1. It stops
-// at the first block that no candidate has.
+// blocks that the runner probably has cached, at most promptTokens-1. Cached must be
+// 0 before the call. Fill stops at the first block that no candidate has.
 func (p *Prefixes) Fill(blocks []uint64, blockTokens, promptTokens int, all []State) {
 	for n, b := range blocks {
 		h := p.find(b)
--- a/pkg/route/route_test.go
+++ b/pkg/route/route_test.go
@@ -62,7 +62,7 @@
 		_, err := Hopwell{}.Choose(smallRequest(), s)
 		Expect(err).NotTo(HaveOccurred())
 	})
-	ginkgo.It("sheds a request if every pair misses the target by far", func() {
+	ginkgo.It("rejects a request if every pair misses the target by far", func() {
 		s := scratch(2, 1)
 		for i := range s.Prefills {
 			s.Prefills[i].Queued, s.Prefills[i].Urgent = 50000, 50000
--- a/pkg/route/state.go
+++ b/pkg/route/state.go
@@ -25,8 +25,8 @@
 	// Exported is set if the KV cache is already computed. Its holder is then
 	// the only prefill candidate.
 	Exported bool
-	// Paid is set if rejecting the request would waste work already done. Such
-	// a request is not shed.
+	// Paid is set if work was already done for the request, which a rejection would
+	// waste. It does not refer to a payment. Such a request is not shed.
 	Paid bool
 	// Now is the time of the choice.
 	Now time.Time
@@ -35,7 +35,8 @@
 // State is the gateway's view of one runner at the time of a choice.
 type State struct {
 	// ID is the runner's number in this gateway's Tracker. Hash is the hash of
-	// Name and the same on all gateways. Name is the instance.
+	// Name and the same on all gateways. Name is the name of the
+	// runner's instance.
 	ID   int
 	Hash uint64
 	Name string
@@ -85,7 +86,7 @@
 	Cached int
 }
 
-// Weighed is one candidate pair with its estimate, for `hopwell explain`.
+// Weighed is one pair that the policy rated, with its estimate, for `hopwell explain`.
 type Weighed struct {
 	Prefill, Decode string
 	Estimate        Estimate
--- a/pkg/route/tracker.go
+++ b/pkg/route/tracker.go
@@ -135,8 +135,8 @@
 // Name returns the name of the runner's instance.
 func (r *Runner) Name() string { return r.name }
 
-// Reported stores a sidecar's report. A report shows that the runner is alive,
-// so it also ends the backoff after failures.
+// Reported stores a sidecar's report. A report shows that the sidecar is
+// reachable, so it also ends the backoff after failures.
 func (r *Runner) Reported(p Report, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -152,7 +152,8 @@
 	return now.Sub(r.reportedAt)
 }
 
-// Sent records work that this gateway sent after the last report.
+// Sent records work that this gateway sent after the last report: prefill tokens,
+// decode streams, and the bytes of KV memory that they need.
 func (r *Runner) Sent(tokens int, streams int, bytes float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -179,8 +180,8 @@
 	r.failures++
 }
 
-// backoff returns a wait that doubles with each failure. The jitter, in [0, 1),
-// scales it between half and all of its value.
+// backoff returns a wait that doubles with each failure, times (1+jitter)/2. The
+// jitter is in [0, 1).
 func backoff(failures int, jitter float64) time.Duration {
 	wait := min(backoffMin<<min(failures, 8), backoffMax)
 	return wait/2 + time.Duration(jitter*float64(wait/2))
--- a/pkg/trace/event.go
+++ b/pkg/trace/event.go
@@ -16,7 +16,7 @@
 	Received     Type = "received"      // A gateway received a request.
 	Chosen       Type = "chosen"        // A gateway chose runners.
 	Claimed      Type = "claimed"       // A request's idempotency key was claimed.
-	Opened       Type = "opened"        // A sidecar was asked to admit an attempt.
+	Opened       Type = "opened"        // A gateway asked a sidecar to open an attempt.
 	Admitted     Type = "admitted"      // The sidecar admitted the attempt.
 	Refused      Type = "refused"       // The sidecar refused the attempt.
 	Started      Type = "started"       // Work was started on the runner.
@@ -27,20 +27,20 @@
 	Failed       Type = "failed"        // An attempt failed.
 	Lapsed       Type = "lapsed"        // A lease expired.
 	Freed        Type = "freed"         // Engine memory was freed.
-	Fenced       Type = "fenced"        // A request ID was fenced: it may no longer start here.
+	Fenced       Type = "fenced"        // A request ID was fenced: it may no longer start on this runner.
 	Finished     Type = "finished"      // The final outcome of a request was set.
 	Gone         Type = "gone"          // The client disconnected.
 	Revision     Type = "revision"      // A configuration revision came into force.
 	Leaving      Type = "leaving"       // An instance is about to leave.
 	Drained      Type = "drained"       // A process finished its open work.
-	Assigned     Type = "assigned"      // An engine took an assignment.
+	Assigned     Type = "assigned"      // An engine accepted an assignment.
 	ProcessStart Type = "process_start" // A process started.
 )
 
 // Event is one entry of the time line.
 type Event struct {
-	// Clock is the logical time: it is above that of all events that this one can
-	// depend on.
+	// Clock is the logical time. It is greater than the Clock of every event that may
+	// have caused this one.
 	Clock uint64 `json:"clock"`
 	// Wall is the process's wall clock time; Mono is the time since the log was
 	// created, in microseconds.
--- a/pkg/wire/reasons.go
+++ b/pkg/wire/reasons.go
@@ -1,6 +1,6 @@
 package wire
 
-// Reasons with which sidecars refuse an attempt, and which gateways act on.
+// Reasons for refusing an attempt. Sidecars send them, gateways act on them.
 const (
 	// ReasonLeaving means that the instance is leaving and accepts no new work.
 	ReasonLeaving = "leaving"
