--- a/pkg/claim/claim.go
+++ b/pkg/claim/claim.go
@@ -19,7 +19,7 @@
 	// Shards is the number of head keys. It must be the same in all processes.
 	Shards = 4
 	// Keep is the minimum time for which a key stays claimed. Claims expire only
-	// in sealed blocks.
+	// in sealed blocks, Keep after the newest claim of the block.
 	Keep = time.Hour
 	// Interval is the minimum time between the starts of two group commits of
 	// one shard: 4 shards write at most 40 times per second.
--- a/pkg/claim/shard.go
+++ b/pkg/claim/shard.go
@@ -124,8 +124,8 @@
 }
 
 // tryCommit applies a group to the cached head and writes the result by
-// compare-and-swap. A group that changes nothing needs no write. Before
-// it reports that another request holds a key, or that a release found nothing to
+// compare-and-swap. A group that changes nothing needs no write. Before tryCommit
+// reports that another request holds a key, or that a release found nothing to
 // remove, it reads the head again, since another process may have changed it.
 func (s *shard) tryCommit(group []op) ([]result, error) {
 	fresh := s.head == nil
--- a/pkg/config/ingress.go
+++ b/pkg/config/ingress.go
@@ -115,7 +115,7 @@
 	return ParseIngress(file, data)
 }
 
-// ParseIngress parses and checks an ingress's settings. file is the name in errors.
+// ParseIngress parses and checks an ingress's settings. file is the file name to report in errors.
 func ParseIngress(file string, data []byte) (*Ingress, error) {
 	var c Ingress
 	must(yaml.Unmarshal([]byte(IngressDefault), &c))
--- a/pkg/config/load.go
+++ b/pkg/config/load.go
@@ -209,8 +209,8 @@
 	return nil
 }
 
-// ParseSelectors parses a list of selectors strictly. file is the file name to report in errors. The
-// values are not checked here but by fleet.Document.Apply.
+// ParseSelectors parses a list of selectors strictly. file is the file name to report in errors.
+// The values are not checked here but by fleet.Document.Apply.
 func ParseSelectors(file string, data []byte) ([]fleet.Selector, error) {
 	var list []fleet.Selector
 	return list, decode(file, data, &list)
--- a/pkg/config/settings.go
+++ b/pkg/config/settings.go
@@ -8,8 +8,8 @@
 )
 
 // Instance gives the name, location and labels of the instance that a process
-// runs on. A process takes these values for itself from its settings only, not from
-// the platform's instance list.
+// runs on. A process takes its own name, domain and region from its settings only,
+// not from the platform's instance list.
 type Instance struct {
 	Name   string            `yaml:"name"`
 	Domain string            `yaml:"domain"`
--- a/pkg/engine/http.go
+++ b/pkg/engine/http.go
@@ -48,7 +48,8 @@
 const maxLineBytes = 1 << 20
 
 // Client implements Engine over a model engine's HTTP API. It uses net/http,
-// because the client of package nbhttp, which the servers use, returns a response only when it is complete.
+// because the client of package nbhttp, which the servers use, returns a response
+// only when it is complete.
 type Client struct {
 	base string
 	http *http.Client
--- a/pkg/fleet/membership.go
+++ b/pkg/fleet/membership.go
@@ -124,8 +124,8 @@
 // Seen records a response of an instance. An epoch older than the newest one
 // seen belongs to a process that was replaced: Seen then returns false, and the
 // caller must not use the response. Seen returns true for an instance that is not a
-// member. A newer epoch belongs to a new process, to
-// which an earlier report of leaving does not apply.
+// member. A newer epoch belongs to a new process, to which an earlier report of
+// leaving does not apply.
 func (m *Membership) Seen(name string, epoch uint64, leaving bool, now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/pkg/fleet/view.go
+++ b/pkg/fleet/view.go
@@ -91,8 +91,9 @@
 
 // PrefillOnly returns grants for the members that may prefill requests of a kind
 // and model but not decode them. If there are none, it returns all members that
-// may prefill. The gateway uses a member with both roles for prefill only if no
-// prefill-only member has capacity in time, and then decodes on the same member.
+// may prefill. If there are some, the gateway uses a member with both roles for
+// prefill only if no prefill-only member has capacity in time, and then decodes on
+// the same member.
 func (v *View) PrefillOnly(kind, model string) []Grant {
 	return v.Grants(kind, model, rolePrefillOnly)
 }
@@ -142,8 +143,8 @@
 }
 
 // preferredSelector returns the first selector for requests of a kind, model and role
-// for whose index passes returns true. A selector for the kind itself takes precedence over one for
-// AnyKind.
+// for whose index passes returns true. A selector for the kind itself takes
+// precedence over one for AnyKind.
 func (d *Document) preferredSelector(kind, model string, role Role, passes func(i int) bool) *Selector {
 	var wildcard *Selector
 	for i := range d.Selectors {
--- a/pkg/gossip/change.go
+++ b/pkg/gossip/change.go
@@ -21,8 +21,8 @@
 // lost response it reads the document again and searches it for the change's ID.
 //
 // Check decides on the documents before and after the change; an error rejects the
-// change. Change returns the errors of fleet.Document.Apply, of check and of the key-value
-// service, and *ErrUnsettled if it is unknown whether the change took effect.
+// change. Change returns the errors of fleet.Document.Apply, of check and of the
+// key-value service, and *ErrUnsettled if it is unknown whether the change took effect.
 func (a *Agent) Change(ctx context.Context, c *fleet.Change, check func(before, after *fleet.Document) error) (*fleet.Document, error) {
 	mayHaveCommitted := false
 	var last error
--- a/pkg/platform/http.go
+++ b/pkg/platform/http.go
@@ -36,7 +36,8 @@
 }
 
 // NewClient returns a client of the platform at a base URL. It uses net/http
-// because the client of package nbhttp, which the servers use, can't cancel a watch that is waiting for a change.
+// because the client of package nbhttp, which the servers use, can't cancel a watch
+// that is waiting for a change.
 func NewClient(base string) *Client {
 	return &Client{base: base, http: &http.Client{}}
 }
--- a/pkg/route/errors.go
+++ b/pkg/route/errors.go
@@ -15,7 +15,7 @@
 func (e *ErrNoRunner) Error() string { return fmt.Sprintf("no runner: role=%s", e.Role) }
 
 // ErrLate reports that no pair of runners comes within shedFactor times the target
-// for the first token.
+// for the first token, or times the first-token time of an idle pair if that is longer.
 type ErrLate struct {
 	// Estimate is the estimated time to the first token with the best pair and
 	// Target the requested one, in seconds.
--- a/pkg/route/tracker.go
+++ b/pkg/route/tracker.go
@@ -24,8 +24,8 @@
 	backoffMax = 8 * time.Second
 )
 
-// stallBackoff is the minimum time without new prefills for a runner whose link
-// stalled.
+// stallBackoff is the minimum time without new work, in any role, for a runner whose
+// link stalled.
 const stallBackoff = time.Second
 
 // Values assumed for a runner until its first report.
@@ -188,7 +188,7 @@
 }
 
 // Stalled records that a transfer from the runner made no progress, and starts a
-// backoff during which the runner gets no new prefills.
+// backoff during which State sets Shunned, whatever the role of the runner.
 func (r *Runner) Stalled(now time.Time, jitter float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pkg/trace/event.go
+++ b/pkg/trace/event.go
@@ -27,7 +27,7 @@
 	Failed       Type = "failed"        // An attempt failed.
 	Lapsed       Type = "lapsed"        // A lease expired.
 	Freed        Type = "freed"         // Engine memory was freed.
-	Fenced       Type = "fenced"        // A request ID was fenced: it may no longer start on this runner.
+	Fenced       Type = "fenced"        // A request ID was fenced: it may no longer start on the runner.
 	Finished     Type = "finished"      // The final outcome of a request was set.
 	Gone         Type = "gone"          // The client disconnected.
 	Revision     Type = "revision"      // A configuration revision came into force.
