--- a/pkg/config/ingress.go
+++ b/pkg/config/ingress.go
@@ -95,15 +95,16 @@
 	// Seeds are addresses of other gateways. A process that starts while the store does not
 	// respond queries them instead. Only the hosts are used, because all gateways listen for
 	// peers on the same port.
-	Seeds       []string       `yaml:"seeds"`
-	Listen      IngressListen  `yaml:"listen"`
-	RetryBudget RetryBudget    `yaml:"retry_budget"`
-	Changes     Changes        `yaml:"changes"`
-	ColdRunners ColdRunners    `yaml:"cold_runners"`
-	Workspaces  Workspaces     `yaml:"workspaces"`
-	Lease       fleet.Duration `yaml:"lease"`
-	Limits      IngressLimits  `yaml:"limits"`
-	Drain       Drain          `yaml:"drain"`
+	Seeds       []string      `yaml:"seeds"`
+	Listen      IngressListen `yaml:"listen"`
+	RetryBudget RetryBudget   `yaml:"retry_budget"`
+	Changes     Changes       `yaml:"changes"`
+	ColdRunners ColdRunners   `yaml:"cold_runners"`
+	Workspaces  Workspaces    `yaml:"workspaces"`
+	// Lease is how long the right to control engines lasts without a renewal.
+	Lease  fleet.Duration `yaml:"lease"`
+	Limits IngressLimits  `yaml:"limits"`
+	Drain  Drain          `yaml:"drain"`
 }
 
 // LoadIngress reads and checks an ingress's settings file.
--- a/pkg/config/settings.go
+++ b/pkg/config/settings.go
@@ -45,14 +45,17 @@
 
 // Gateway is the settings file of `hopwelld gateway`.
 type Gateway struct {
-	Instance Instance       `yaml:"instance"`
-	Platform string         `yaml:"platform"`
-	Listen   Listen         `yaml:"listen"`
-	Policy   string         `yaml:"policy"`
-	Lease    fleet.Duration `yaml:"lease"`
-	Limits   Limits         `yaml:"limits"`
-	Drain    Drain          `yaml:"drain"`
-	Log      string         `yaml:"log"`
+	Instance Instance `yaml:"instance"`
+	Platform string   `yaml:"platform"`
+	Listen   Listen   `yaml:"listen"`
+	// Policy is the name of the routing policy of package route.
+	Policy string `yaml:"policy"`
+	// Lease is how long a runner holds memory for this gateway without a renewal.
+	Lease  fleet.Duration `yaml:"lease"`
+	Limits Limits         `yaml:"limits"`
+	Drain  Drain          `yaml:"drain"`
+	// Log lists the layers to log, separated by commas.
+	Log string `yaml:"log"`
 }
 
 // Guesses are assumed values. A sidecar replaces all of them but LinkRate by
@@ -72,11 +75,15 @@
 	Platform string   `yaml:"platform"`
 	Listen   Listen   `yaml:"listen"`
 	// Engine or Service is the runner's URL; exactly one is set.
-	Engine    string  `yaml:"engine"`
-	Service   string  `yaml:"service"`
-	Slots     int     `yaml:"slots"`
+	Engine  string `yaml:"engine"`
+	Service string `yaml:"service"`
+	// Slots is the maximum number of concurrent calls to a plain service.
+	Slots int `yaml:"slots"`
+	// Admission is "deadline" to admit only what can still meet its targets, or "fifo"
+	// to admit everything.
 	Admission string  `yaml:"admission"`
 	Guesses   Guesses `yaml:"guesses"`
 	Drain     Drain   `yaml:"drain"`
-	Log       string  `yaml:"log"`
+	// Log lists the layers to log, separated by commas.
+	Log string `yaml:"log"`
 }
