--- a/pkg/config/settings.go
+++ b/pkg/config/settings.go
@@ -8,7 +8,8 @@
 )
 
 // Instance gives the name, location and labels of the instance that a process
-// runs on. They come from the settings only.
+// runs on. A process takes its own name, domain and region from its settings only,
+// not from the platform's instance list.
 type Instance struct {
 	Name   string            `yaml:"name"`
 	Domain string            `yaml:"domain"`
@@ -44,20 +45,23 @@
 
 // Gateway is the settings file of `hopwelld gateway`.
 type Gateway struct {
-	Instance Instance       `yaml:"instance"`
-	Platform string         `yaml:"platform"`
-	Listen   Listen         `yaml:"listen"`
-	Policy   string         `yaml:"policy"`
-	Lease    fleet.Duration `yaml:"lease"`
-	Limits   Limits         `yaml:"limits"`
-	Drain    Drain          `yaml:"drain"`
-	Log      string         `yaml:"log"`
+	Instance Instance `yaml:"instance"`
+	Platform string   `yaml:"platform"`
+	Listen   Listen   `yaml:"listen"`
+	// Policy is the name of the routing policy of package route.
+	Policy string `yaml:"policy"`
+	// Lease is how long a runner holds memory for this gateway without a renewal.
+	Lease  fleet.Duration `yaml:"lease"`
+	Limits Limits         `yaml:"limits"`
+	Drain  Drain          `yaml:"drain"`
+	// Log lists the layers to log, separated by commas.
+	Log string `yaml:"log"`
 }
 
-// Guesses are the initial values of what a sidecar measures later: PrefillRate
-// in tokens per second, and the time of a decode step, which is StepBase plus
-// StepSlope per stream. LinkRate, the rate in bytes per second at which KV
-// caches leave the engine, is not measured.
+// Guesses are assumed values. A sidecar replaces all of them but LinkRate by
+// measurements. PrefillRate is in tokens per second. The time of a decode step is
+// StepBase plus StepSlope per stream. LinkRate is the rate in bytes per second at
+// which KV caches leave the engine.
 type Guesses struct {
 	PrefillRate float64        `yaml:"prefill_rate"`
 	StepBase    fleet.Duration `yaml:"step_base"`
@@ -71,11 +75,15 @@
 	Platform string   `yaml:"platform"`
 	Listen   Listen   `yaml:"listen"`
 	// Engine or Service is the runner's URL; exactly one is set.
-	Engine    string  `yaml:"engine"`
-	Service   string  `yaml:"service"`
-	Slots     int     `yaml:"slots"`
+	Engine  string `yaml:"engine"`
+	Service string `yaml:"service"`
+	// Slots is the maximum number of concurrent calls to a plain service.
+	Slots int `yaml:"slots"`
+	// Admission is "deadline" to admit only what can still meet its targets, or "fifo"
+	// to admit everything.
 	Admission string  `yaml:"admission"`
 	Guesses   Guesses `yaml:"guesses"`
 	Drain     Drain   `yaml:"drain"`
-	Log       string  `yaml:"log"`
+	// Log lists the layers to log, separated by commas.
+	Log string `yaml:"log"`
 }
