--- a/experiment/outcome.go
+++ b/experiment/outcome.go
@@ -21,11 +21,12 @@
 	ByClass map[string]float64
 	// Others is the share of good responses of all workspaces except the flooding one.
 	Others float64
-	// Prefilled and Wasted count prompt tokens. Gone is the part of Wasted whose client
-	// disconnected or lost its response with its gateway.
+	// Prefilled and Wasted count prompt tokens. Gone is the part of Wasted that
+	// belongs to requests whose client disconnected or lost its response with its gateway.
 	Prefilled, Wasted, Gone int
-	// Recovery is the time from the fault until the remaining engines reach their full
-	// goodput, or -1 if they do not reach it.
+	// Recovery is the time from the fault until goodput stays at recoveredShare of its value
+	// before the fault, scaled by the remaining capacity. It is 0 without a fault, and -1 if
+	// goodput is still too low at the end of the load.
 	Recovery time.Duration
 	// NotRun, Unknown and Late count the requests that were not good. Left counts the
 	// clients that disconnected on their own.
@@ -39,7 +40,7 @@
 	KVReads, KVWrites float64
 }
 
-// classOf returns the request kind of a call, which names its class.
+// classOf returns the class of a call, which is named by its request kind.
 func classOf(c *fleettest.Call) string {
 	if c.Service != nil {
 		return c.Service.Kind
--- a/experiment/run.go
+++ b/experiment/run.go
@@ -31,7 +31,8 @@
 // Scene is a load with an optional fault.
 type Scene struct {
 	Name string
-	// Load is the request rate as a share of the deployment's capacity. Flood is the
+	// Load is the request rate as a share of the deployment's capacity, unlike Deployment.Load,
+	// which returns the arrivals. Flood is the
 	// share of the requests that come from one workspace.
 	Load, Flood float64
 	// Fault injects the fault; nil means no fault.
@@ -101,8 +102,8 @@
 	time.Sleep(time.Until(began.Add(length + drainTime)))
 }
 
-// send sends the i-th request to the gateway for i, as a load balancer in front of the
-// gateways would.
+// send sends the i-th request. It spreads the requests round-robin over the gateways, as a
+// load balancer in front of them would.
 func (r *Run) send(ctx context.Context, a *Arrival, i int) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/pkg/demo/demo.go
+++ b/pkg/demo/demo.go
@@ -261,7 +261,7 @@
 const (
 	// firstPort and portRange are the start and the size of the port range of FreePorts. The
 	// range lies below the system's ephemeral ports, because an outgoing connection
-	// could otherwise occupy a port while the process that owns it restarts.
+	// could otherwise take the port of a process while that process restarts.
 	firstPort, portRange = 12000, 16000
 	// portTries bounds the number of ports tried per requested port.
 	portTries = 200
@@ -270,8 +270,8 @@
 	portStride = 397
 )
 
-// portCounter counts the ports tried, so that no port is returned twice before the process
-// that it was allocated for listens on it. Its start depends on the process ID, so that
+// portCounter counts the ports tried, so that FreePorts doesn't return a port again within
+// one process: a returned port looks free until its user listens on it. The start depends on the process ID, so that
 // processes start at different ports.
 var portCounter atomic.Uint32
 
--- a/pkg/fake/engine.go
+++ b/pkg/fake/engine.go
@@ -27,8 +27,8 @@
 	LinkRate float64
 	// ExportTTL is the time after which an export is freed.
 	ExportTTL time.Duration
-	// ReportLag delays load reports and cache events. Every EventGap-th event is
-	// lost; 0 loses none.
+	// ReportLag delays load reports and cache events. Every EventGap-th cache event
+	// is lost; 0 loses none.
 	ReportLag time.Duration
 	EventGap  uint64
 	// ChecksFence makes the engine refuse assignments with an older fencing token.
@@ -64,13 +64,13 @@
 	// Prefilled counts the prompt tokens that were computed, Cached those that were
 	// found in the prefix cache.
 	Prefilled, Cached int64
-	// Wasted counts prefilled tokens whose export was never imported, or whose
-	// work ended before the export.
+	// Wasted counts the prompt tokens computed in prefills that ended before their
+	// export, or whose export was removed without having been imported.
 	Wasted int64
 	// Decoded counts the generated tokens.
 	Decoded int64
-	// Wrong counts resumed streams whose Generated text was not the start of the
-	// response to their prompt.
+	// Wrong counts resumed streams whose engine.Decode.Generated was not the start
+	// of the response to their prompt.
 	Wrong int
 }
 
@@ -110,7 +110,7 @@
 	cached int
 	blocks []uint64
 	bytes  int64
-	// local is set for the prefill of a decode call without a source.
+	// local is set for the prefill of a decode call that has no KV cache to import.
 	local    bool
 	finished chan error
 }
@@ -211,8 +211,8 @@
 	}
 }
 
-// SetReports sets the delay of load reports and cache events. Every gap-th event
-// is lost; 0 loses none.
+// SetReports sets the delay of load reports and cache events. Every gap-th cache
+// event is lost; 0 loses none.
 func (e *Engine) SetReports(lag time.Duration, gap uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/pkg/fake/engine_http.go
+++ b/pkg/fake/engine_http.go
@@ -29,16 +29,16 @@
 	}))
 	mux.HandleFunc("GET "+engine.PathHeld, func(w http.ResponseWriter, r *http.Request) {
 		v, err := e.Held(r.Context())
-		reply(w, v, err)
+		respond(w, v, err)
 	})
 	mux.HandleFunc("GET "+engine.PathLoad, func(w http.ResponseWriter, r *http.Request) {
 		v, err := e.Load(r.Context())
-		reply(w, v, err)
+		respond(w, v, err)
 	})
 	mux.HandleFunc("GET "+engine.PathEvents, func(w http.ResponseWriter, r *http.Request) {
 		after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 		v, err := e.Events(r.Context(), after)
-		reply(w, v, err)
+		respond(w, v, err)
 	})
 	mux.HandleFunc("POST "+engine.PathDecode, func(w http.ResponseWriter, r *http.Request) { serveDecode(e, w, r) })
 	return mux
@@ -54,11 +54,11 @@
 			return
 		}
 		v, err := do(r, body)
-		reply(w, v, err)
+		respond(w, v, err)
 	}
 }
 
-func reply(w http.ResponseWriter, v any, err error) {
+func respond(w http.ResponseWriter, v any, err error) {
 	if err != nil {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		v = toEngineError(err)
--- a/pkg/fake/engine_steps.go
+++ b/pkg/fake/engine_steps.go
@@ -96,7 +96,8 @@
 	d.tokens <- t
 }
 
-// trimReports drops load reports that are older than the one that Load returns.
+// trimReports drops load reports that Load can no longer return: all before the
+// newest one that is older than the report lag.
 // The caller holds the lock.
 func (e *Engine) trimReports() {
 	old := time.Now().Add(-e.spec.ReportLag)
--- a/pkg/fake/list.go
+++ b/pkg/fake/list.go
@@ -65,7 +65,7 @@
 	l.down = down
 }
 
-// SetLag sets the age of the list that Instances returns.
+// SetLag makes Instances return the list as it was the lag before.
 func (l *List) SetLag(lag time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/pkg/fake/service.go
+++ b/pkg/fake/service.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Service is a plain service that counts the runs of each call, by the call's
-// body.
+// Service is a plain service that counts calls by their body. Calls with equal
+// bodies count as runs of one call.
 type Service struct {
 	// Delay is the duration of a call.
 	Delay time.Duration
--- a/pkg/fleettest/caller.go
+++ b/pkg/fleettest/caller.go
@@ -21,8 +21,8 @@
 	// Began and Ended are the start and the end of the call. Left is the time when
 	// the client disconnected, zero if it did not.
 	Began, Ended, Left time.Time
-	// Result is the result that the gateway returned. If Lost is set, the gateway
-	// had crashed and its client did not receive the result.
+	// Result is the result that the gateway returned. If Lost is set, the client
+	// did not receive it because the gateway had crashed.
 	Result gateway.Result
 	Lost   bool
 	// Text is the text that the client received, Answers the number of complete
@@ -60,7 +60,8 @@
 	})
 }
 
-// Order sends a request for a plain service to a gateway and waits for its end.
+// Order sends a request for a plain service, such as the order confirmation of
+// NewOrder, to a gateway and waits for its end.
 func (f *Fleet) Order(ctx context.Context, p *Process, req *gateway.ServiceRequest) *Call {
 	return f.call(ctx, p, &Call{ID: req.ID, Service: req}, func(ctx context.Context, s *sink) gateway.Result {
 		return p.Gateway.Call(ctx, req, s)
--- a/pkg/fleettest/chaos.go
+++ b/pkg/fleettest/chaos.go
@@ -96,7 +96,7 @@
 	return c.F.Judge(c.Record)
 }
 
-// quiescence is the time that the fleet rests after the last request and fault.
+// quiescence is the time that a run waits after the last request and fault.
 // At its end no engine may hold memory for a request and no process may have an
 // old revision.
 const quiescence = 12 * time.Second
@@ -121,7 +121,7 @@
 	}
 }
 
-// context returns a context that a cancel burst may cancel.
+// context returns a context that cancelHalf may cancel.
 func (c *Chaos) context() context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	c.mu.Lock()
@@ -206,7 +206,7 @@
 
 func pick(all []*Process, n int) *Process { return all[n%len(all)] }
 
-// recordCutOff records that other processes cannot reach a process from now on.
+// recordCutOff records the time from which other processes cannot reach a process.
 func (c *Chaos) recordCutOff(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/pkg/fleettest/fleet.go
+++ b/pkg/fleettest/fleet.go
@@ -125,8 +125,8 @@
 	return f
 }
 
-// startupTime is the time in which the processes of a new fleet learn of one
-// another and of the first configuration.
+// startupTime is the time in which the processes of a new fleet discover one
+// another and receive the first configuration.
 const startupTime = 4 * time.Second
 
 func (f *Fleet) addEngine(name string, i int, pool string, spec fake.Spec) {
--- a/pkg/fleettest/gated.go
+++ b/pkg/fleettest/gated.go
@@ -7,8 +7,8 @@
 	"github.com/hopwell/hopwell/pkg/fake"
 )
 
-// gated is an engine behind its sidecar's process. Once the process has crashed,
-// its remaining goroutines can no longer reach the engine, and the engine
+// gated wraps the engine of a simulated sidecar process. After a simulated crash,
+// goroutines of the sidecar that still run can't reach the engine, and the engine
 // continues its work: the worst state that a crash can leave behind.
 type gated struct {
 	*fake.Engine
--- a/pkg/fleettest/judge.go
+++ b/pkg/fleettest/judge.go
@@ -63,15 +63,16 @@
 	Calls []*Call
 	// Planned contains the names of the processes whose stop was planned.
 	Planned map[string]bool
-	// Left maps each leaving instance to the time since which it is known to be
-	// leaving.
+	// Left maps each leaving instance to the time at which the test announced that
+	// it leaves.
 	Left map[string]time.Time
 	// Accepted maps each revision to the time when it was accepted.
 	Accepted map[uint64]time.Time
 	// Held are samples of engine memory, from Watch.
 	Held []Sample
-	// CutOff maps each process that a fault cut off to the time of the fault. The
-	// time limit of a crashed gateway applies to its requests and engine memory.
+	// CutOff maps each process that a fault cut off to the time of the fault. Engine
+	// memory for requests of such a gateway, or on such an instance, may be held as
+	// long as after a crash of the gateway: DefaultLease + freeBound.
 	CutOff map[string]time.Time
 }
 
@@ -97,7 +98,7 @@
 func (f *Fleet) Judge(r *Record) []Violation {
 	var out []Violation
 	out = append(out, f.judgeMemory(r)...)
-	out = append(out, judgeAnswers(r)...)
+	out = append(out, judgeResponses(r)...)
 	out = append(out, f.judgeRuns(r)...)
 	out = append(out, f.judgeLeaving(r)...)
 	out = append(out, f.judgeStops(r)...)
@@ -106,7 +107,7 @@
 }
 
 // judgeMemory checks the samples against the ends of the requests, and that the
-// engines with a live sidecar hold no memory now.
+// engines with a live sidecar hold no memory at the end of the run.
 func (f *Fleet) judgeMemory(r *Record) []Violation {
 	var out []Violation
 	freeBy := map[string]time.Time{}
@@ -119,7 +120,7 @@
 			by = later(by, cut.Add(gateway.DefaultLease+freeBound))
 		}
 		if ok && s.At.After(by) && !f.crashedBefore(s.Instance, s.At) {
-			out = append(out, Violation{NoMemoryForGone, fmt.Sprintf("%s holds memory for %s %s past the time limit", s.Instance, s.Work, s.At.Sub(by))})
+			out = append(out, Violation{NoMemoryForGone, fmt.Sprintf("%s holds memory for work %s, %s after the time limit", s.Instance, s.Work, s.At.Sub(by))})
 		}
 	}
 	for name, e := range f.Engines {
@@ -226,7 +227,7 @@
 		for n := revision; n <= newest; n++ {
 			if when, ok := seen[n]; ok {
 				if took := when.Sub(later(at, startedAt)); took > inForceBound {
-					out = append(out, Violation{ChangeInForce, fmt.Sprintf("%s applied revision %d after %s", p.Entry.Name, revision, took)})
+					out = append(out, Violation{ChangeInForce, fmt.Sprintf("%s applied revision %d %s after its acceptance or the start of the process", p.Entry.Name, revision, took)})
 				}
 				break
 			}
--- a/pkg/fleettest/judge_runs.go
+++ b/pkg/fleettest/judge_runs.go
@@ -10,8 +10,8 @@
 	"github.com/hopwell/hopwell/pkg/trace"
 )
 
-// judgeAnswers checks the response that each client received.
-func judgeAnswers(r *Record) []Violation {
+// judgeResponses checks the response that each client received.
+func judgeResponses(r *Record) []Violation {
 	var out []Violation
 	for _, c := range r.Calls {
 		if c.Answers > 1 {
@@ -101,15 +101,15 @@
 		}
 		for _, e := range p.Node.Log.Events(trace.Filter{}) {
 			if e.Type == trace.Started && e.Wall.After(since.Add(leaveBound)) && !admittedBefore(p, e, since.Add(leaveBound)) {
-				out = append(out, Violation{LeavingGetsNothing, fmt.Sprintf("%s began on %s %s after it was leaving", e.Request, p.Entry.Name, e.Wall.Sub(since))})
+				out = append(out, Violation{LeavingGetsNothing, fmt.Sprintf("%s began on %s, %s after the instance started to leave", e.Request, p.Entry.Name, e.Wall.Sub(since))})
 			}
 		}
 	}
 	return out
 }
 
-// admittedBefore reports whether the attempt of a start event was admitted before
-// a time, in which case it is not new work.
+// admittedBefore reports whether the attempt that a start event belongs to was
+// admitted before a time, in which case it is not new work.
 func admittedBefore(p *Process, started trace.Event, by time.Time) bool {
 	for _, e := range p.Node.Log.Events(trace.Filter{Request: started.Request}) {
 		if e.Type == trace.Admitted && e.Attempt == started.Attempt && e.Wall.Before(by) {
--- a/pkg/fleettest/judge_test.go
+++ b/pkg/fleettest/judge_test.go
@@ -189,8 +189,8 @@
 	spec := DefaultSpec()
 	spec.WrapKV = func(kv platform.KV) platform.KV { return kvWithoutWatches{kv} }
 	expectViolation(t, ChangeInForce, spec, func(f *Fleet, r *Record) {
-		// Without watches, a process that is cut off from its peers learns of no
-		// change.
+		// Without watches, a process that is cut off from its peers receives a
+		// change only at the end of a watch.
 		f.Net.Freeze("decode-1")
 		doc, err := f.Change(&fleet.Change{ID: "c", SetLabels: map[string]fleet.Labels{"decode-1": {"rack": "7"}}})
 		if err == nil {
--- a/pkg/fleettest/network.go
+++ b/pkg/fleettest/network.go
@@ -76,25 +76,25 @@
 	}
 }
 
-// reach waits while traffic between two addresses is frozen, as a SYN to a frozen
-// host does.
+// reach waits while traffic between two addresses is frozen, as a TCP
+// connect to a host that drops all packets does.
 func (n *Network) reach(ctx context.Context, from, to string) error {
 	for {
-		gate := n.gate(from, to)
-		if gate == nil {
+		freezeEnd := n.freezeEnd(from, to)
+		if freezeEnd == nil {
 			return nil
 		}
 		select {
-		case <-gate:
+		case <-freezeEnd:
 		case <-ctx.Done():
 			return &errNetwork{What: "no response from " + to}
 		}
 	}
 }
 
-// gate returns a channel that is closed at the end of the freeze that holds up
+// freezeEnd returns a channel that is closed at the end of the freeze that holds up
 // traffic from one address to another, or nil if the traffic is not frozen.
-func (n *Network) gate(from, to string) chan struct{} {
+func (n *Network) freezeEnd(from, to string) chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if ch := n.frozen[from]; ch != nil {
@@ -221,9 +221,9 @@
 // Read implements net.Conn.
 func (c *conn) Read(p []byte) (int, error) {
 	for {
-		if gate := c.n.gate(c.remote, c.local); gate != nil {
+		if freezeEnd := c.n.freezeEnd(c.remote, c.local); freezeEnd != nil {
 			select {
-			case <-gate:
+			case <-freezeEnd:
 			case <-c.in.wake:
 				if c.in.isClosed() {
 					return 0, io.EOF
--- a/pkg/fleettest/promises_test.go
+++ b/pkg/fleettest/promises_test.go
@@ -223,7 +223,7 @@
 	})
 }
 
-func TestLeavingLabelStopsWorkOnInstanceWithinSeconds(t *testing.T) {
+func TestLeavingLabelStopsWorkOnInstanceWithinLeaveBound(t *testing.T) {
 	scenario(t, DefaultSpec(), func(g *WithT, f *Fleet, r *Record) {
 		doc, err := f.Change(&fleet.Change{ID: "out", SetLabels: map[string]fleet.Labels{"decode-1": {fleet.LabelLeaving: "true"}}})
 		g.Expect(err).NotTo(HaveOccurred())
--- a/pkg/ingressdemo/demo.go
+++ b/pkg/ingressdemo/demo.go
@@ -39,7 +39,7 @@
 	// the time between two readiness checks.
 	startTimeout      = 10 * time.Second
 	startPollInterval = 20 * time.Millisecond
-	// prefillPart of every prefillOf engines start in the prefill stage.
+	// prefillPart in prefillOf engines (1 in 3) start in the prefill stage.
 	prefillPart, prefillOf = 1, 3
 )
 
@@ -57,7 +57,7 @@
 	// Workspaces divides the clients among three workspaces, one of which exceeds its
 	// rate limit.
 	Workspaces bool
-	// Seed seeds the random choices of the clients and of StrikeAtRandom.
+	// Seed seeds the random choices of the clients and of InjectRandomFaults.
 	Seed uint64
 }
 
--- a/pkg/ingressdemo/faults.go
+++ b/pkg/ingressdemo/faults.go
@@ -55,7 +55,7 @@
 
 // Error implements error.
 func (e *ErrFault) Error() string {
-	return fmt.Sprintf("no such fault: fault=%s target=%s reason=%s", e.Fault, e.Target, e.Why)
+	return fmt.Sprintf("fault not injected: fault=%s target=%s reason=%s", e.Fault, e.Target, e.Why)
 }
 
 // Strike injects a fault and returns the name of its target. The target is a runner or a
@@ -190,8 +190,8 @@
 }
 
 // InjectRandomFaults injects a random fault at each interval until the context ends. It calls
-// struck after each injected fault and skips faults that can't be injected.
-func (d *Demo) InjectRandomFaults(ctx context.Context, every time.Duration, struck func(f Fault, target string)) {
+// injected after each injected fault and skips faults that can't be injected.
+func (d *Demo) InjectRandomFaults(ctx context.Context, every time.Duration, injected func(f Fault, target string)) {
 	random := rand.New(rand.NewPCG(d.options.Seed, 2))
 	tick := time.NewTicker(every)
 	defer tick.Stop()
@@ -203,7 +203,7 @@
 		}
 		f := Faults[random.IntN(len(Faults))]
 		if target, err := d.Strike(f, "", DefaultFault); err == nil {
-			struck(f, target)
+			injected(f, target)
 		}
 	}
 }
--- a/pkg/ingressdemo/load.go
+++ b/pkg/ingressdemo/load.go
@@ -18,7 +18,8 @@
 const (
 	// plainShare is the share of the requests that go to the plain service.
 	plainShare = 0.4
-	// resumableShare is the share of the generation requests whose stream may be resumed.
+	// resumableShare is the share of the generation requests that are sent to /again/, the
+	// route that is configured as resumable.
 	resumableShare = 0.5
 	// minPromptTokens and maxPromptTokens bound the length of a prompt, and
 	// maxOutputTokens the length of a response, in tokens.
@@ -26,7 +27,8 @@
 	maxOutputTokens                  = 720
 	// requestTimeout bounds the time of a request over all of its attempts.
 	requestTimeout = 12 * time.Second
-	// firstByteTarget is the target of the stand-ins' routes for the time to first byte.
+	// firstByteTarget is the time-to-first-byte target of the routes in the stand-ins'
+	// configuration.
 	firstByteTarget = 900 * time.Millisecond
 	// maxAttempts is the maximum number of attempts per request.
 	maxAttempts = 3
@@ -134,7 +136,7 @@
 
 // Error implements error.
 func (e *errTry) Error() string {
-	return fmt.Sprintf("not served: status=%d cause=%v", e.Status, e.Err)
+	return fmt.Sprintf("attempt failed: status=%d cause=%v", e.Status, e.Err)
 }
 
 // noRetry is the delay returned for a request that must not be retried.
--- a/pkg/ingressdemo/tally.go
+++ b/pkg/ingressdemo/tally.go
@@ -14,9 +14,10 @@
 	// late requests got their first byte after the target time, or were refused at least
 	// once before they were served.
 	late
-	// refused requests were refused and never run: they received no part of a response.
+	// refused requests were refused at least once with 429 or 503, and received no part of
+	// a response in any attempt.
 	refused
-	// lost requests received no complete response.
+	// lost requests are the others that received no complete response.
 	lost
 	results
 )
--- a/pkg/ingressdemo/workspaces.go
+++ b/pkg/ingressdemo/workspaces.go
@@ -19,8 +19,8 @@
 }
 
 // demoWorkspaces are the workspaces of the demo. The last one sends more than twice its
-// limit: at 12 requests per second, of which a share of 0.6 uses some 2,400 tokens each,
-// half of the requests use 8,600 tokens per second.
+// limit of 4,000 tokens per second: 12 requests per second, of which 0.6 are generation
+// requests with some 2,400 tokens each, times its share of 0.5 are 8,600 tokens per second.
 var demoWorkspaces = []demoWorkspace{{"counter", 0.3, 60000}, {"phone-desk", 0.2, 60000}, {"night-batch", 0.5, 4000}}
 
 // plainRequestTokens is the number of tokens charged for a request to the plain service.
