--- a/experiment/bound.go
+++ b/experiment/bound.go
@@ -11,9 +11,9 @@
 }
 
 // costOf returns the minimum cost of an arrival. It assumes that the shared prefix is
-// cached, and charges for each decode step the time of the stream itself plus a part of
-// the step's fixed time, which is shared by as many streams as the batch limit or the
-// memory allows.
+// cached, and charges for each decode step StepSlope, the time of the stream itself, plus a share
+// of StepBase, the fixed time of the step. StepBase is shared by as many streams as the
+// batch limit or the memory allows.
 func (d *Deployment) costOf(a *Arrival) cost {
 	e := &d.Engine
 	memory := float64(int64(a.Prompt+a.Out)*e.KVPerToken) / float64(e.KVTotal)
@@ -50,7 +50,8 @@
 // Bound returns an upper bound on the number of good responses of any policy, even one
 // that knows all arrivals in advance. It counts how many requests, cheapest first, fit
 // into the engine time of the whole run, for each pool separately, with all prefixes
-// cached and all batches full.
+// cached and all batches full. prefills and decodes are the numbers of engines in the two
+// pools.
 func (d *Deployment) Bound(load []Arrival, length time.Duration, prefills, decodes float64) int {
 	var plainRequests int
 	var pre, dec []float64
--- a/pkg/fleettest/judge.go
+++ b/pkg/fleettest/judge.go
@@ -18,8 +18,8 @@
 
 // The promises.
 const (
-	// NoMemoryForGone: engines free the memory of a request soon after it
-	// ended or its client disconnected.
+	// NoMemoryForGone: engines free the memory of a request soon after the
+	// request ended (is gone) or its client disconnected.
 	NoMemoryForGone Promise = iota + 1
 	// NothingTwice: a client receives at most one response.
 	NothingTwice
--- a/pkg/fleettest/judge_runs.go
+++ b/pkg/fleettest/judge_runs.go
@@ -91,7 +91,7 @@
 }
 
 // judgeLeaving checks that no new work began on a leaving instance later than
-// leaveBound after it was known to be leaving.
+// leaveBound after the test announced that it leaves.
 func (f *Fleet) judgeLeaving(r *Record) []Violation {
 	var out []Violation
 	for _, p := range f.Processes() {
--- a/pkg/ingressdemo/view.go
+++ b/pkg/ingressdemo/view.go
@@ -42,8 +42,8 @@
 			fmt.Fprintf(w, "%s\t%s\t\t\t\t\n", gatewayName(i), d.state(gatewayName(i), now))
 			continue
 		}
-		waiting, reading, reserved := poolLoad(g, now)
-		fmt.Fprintf(w, "%s\tup\thttp://%s\t%d\t%d\t%.0f%%\n", gatewayName(i), g.Ports().Callers, waiting, reading, reserved*percent)
+		waiting, promptTokens, reserved := poolLoad(g, now)
+		fmt.Fprintf(w, "%s\tup\thttp://%s\t%d\t%d\t%.0f%%\n", gatewayName(i), g.Ports().Callers, waiting, promptTokens, reserved*percent)
 	}
 	fmt.Fprintln(w)
 }
