--- a/pkg/demo/demo.go
+++ b/pkg/demo/demo.go
@@ -271,8 +271,8 @@
 )
 
 // portCounter counts the ports tried, so that FreePorts doesn't return a port again within
-// one process: a returned port looks free until its user listens on it. The start depends on the process ID, so that
-// processes start at different ports.
+// one process: a returned port looks free until its user listens on it. The start depends
+// on the process ID, so that processes start at different ports.
 var portCounter atomic.Uint32
 
 func init() { portCounter.Store(uint32(os.Getpid()) * portStride) }
--- a/pkg/fleettest/network.go
+++ b/pkg/fleettest/network.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// reach waits while traffic between two addresses is frozen, as a TCP
-// connect to a host that drops all packets does.
+// reach waits while traffic between two addresses is frozen, as a TCP connect to
+// a host that drops all packets does.
 func (n *Network) reach(ctx context.Context, from, to string) error {
 	for {
 		freezeEnd := n.freezeEnd(from, to)
@@ -92,8 +92,8 @@
 	}
 }
 
-// freezeEnd returns a channel that is closed at the end of the freeze that holds up
-// traffic from one address to another, or nil if the traffic is not frozen.
+// freezeEnd returns a channel that is closed at the end of the freeze that holds
+// up traffic from one address to another, or nil if the traffic is not frozen.
 func (n *Network) freezeEnd(from, to string) chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/pkg/fleettest/promises_test.go
+++ b/pkg/fleettest/promises_test.go
@@ -93,7 +93,7 @@
 	})
 }
 
-func TestGatewayCrashFreesMemoryWithinLease(t *testing.T) {
+func TestGatewayCrashFreesMemoryAfterHoldLease(t *testing.T) {
 	for _, name := range []string{"killed", "cut off"} {
 		t.Run(name, func(t *testing.T) {
 			scenario(t, DefaultSpec(), func(g *WithT, f *Fleet, r *Record) {
