--- a/pkg/decisionlog/story_test.go
+++ b/pkg/decisionlog/story_test.go
@@ -39,7 +39,7 @@
 
 const sample = `
 noise without any decision
-  1.0 b time=2026-12-02T10:00:01.000Z process=b kind=failed event=send_failed request=r1 at=5.0ms runner=i-1 error="no complete response: cause=EOF"
+  1.0 b time=2026-12-02T10:00:01.000Z process=b kind=failed event=send_failed request=r1 at=5.0ms runner=i-1 error="no answer: cause=EOF"
   0.5 b time=2026-12-02T10:00:00.500Z process=b kind=state event=runner_leaving runner=i-1 service=s
   0.4 c time=2026-12-02T10:00:00.400Z process=c kind=state event=runner_leaving runner=i-1 service=s
   0.6 b time=2026-12-02T10:00:00.600Z process=b kind=state event=runner_leaving runner=i-9 service=s
--- a/pkg/ingress/errors.go
+++ b/pkg/ingress/errors.go
@@ -164,7 +164,7 @@
 
 // Error implements error.
 func (e *ErrSilent) Error() string {
-	return fmt.Sprintf("no response in time: runner=%s cause=%v", e.Runner, e.Err)
+	return fmt.Sprintf("silent: runner=%s cause=%v", e.Runner, e.Err)
 }
 
 // Unwrap returns the cause.
@@ -189,4 +189,4 @@
 type errClientGone struct{}
 
 // Error implements error.
-func (errClientGone) Error() string { return "client disconnected" }
+func (errClientGone) Error() string { return "client gone" }
--- a/pkg/ingressdemo/faults.go
+++ b/pkg/ingressdemo/faults.go
@@ -55,7 +55,7 @@
 
 // Error implements error.
 func (e *ErrFault) Error() string {
-	return fmt.Sprintf("fault not injected: fault=%s target=%s reason=%s", e.Fault, e.Target, e.Why)
+	return fmt.Sprintf("no such fault: fault=%s target=%s reason=%s", e.Fault, e.Target, e.Why)
 }
 
 // Strike injects a fault and returns the name of its target. The target is a runner or a
--- a/pkg/upstream/upstream.go
+++ b/pkg/upstream/upstream.go
@@ -64,7 +64,7 @@
 
 // Error implements error.
 func (e *ErrExchange) Error() string {
-	return fmt.Sprintf("no complete response: address=%s reused=%t cause=%v", e.Address, e.Reused, e.Err)
+	return fmt.Sprintf("no answer: address=%s reused=%t cause=%v", e.Address, e.Reused, e.Err)
 }
 
 // Unwrap returns the cause.
@@ -78,7 +78,7 @@
 
 // Error implements error.
 func (e *ErrStalled) Error() string {
-	return fmt.Sprintf("write to the runner stalled: address=%s after=%s", e.Address, e.After)
+	return fmt.Sprintf("runner reads nothing: address=%s after=%s", e.Address, e.After)
 }
 
 // ErrSurplus reports that too many responses arrived that are not the final response to the
@@ -89,7 +89,7 @@
 
 // Error implements error.
 func (e *ErrSurplus) Error() string {
-	return fmt.Sprintf("too many surplus responses: count=%d", e.Responses)
+	return fmt.Sprintf("answers of other requests: count=%d", e.Responses)
 }
 
 // Request is one HTTP request to a runner.
